--- a/crates/slopes/src/data_paths.rs
+++ b/crates/slopes/src/data_paths.rs
@@ -15,14 +15,14 @@
 use std::time::Instant;
 
 use sedgeridge_platform_standins::documents;
-use sedgeridge_platform_standins::documents::AccountForm;
-use sedgeridge_platform_standins::documents::ConfigForm;
-use sedgeridge_platform_standins::documents::EndpointForm;
-use sedgeridge_platform_standins::documents::Kind;
-use sedgeridge_platform_standins::documents::RouteForm;
+use sedgeridge_platform_standins::documents::AccountSpec;
+use sedgeridge_platform_standins::documents::ConfigSpec;
+use sedgeridge_platform_standins::documents::EndpointSpec;
+use sedgeridge_platform_standins::documents::RouteKind;
+use sedgeridge_platform_standins::documents::RouteSpec;
 use sedgeridge_platform_standins::endpoint;
 use sedgeridge_platform_standins::endpoint::ListedId;
-use sedgeridge_platform_standins::endpoint::Runs;
+use sedgeridge_platform_standins::endpoint::RunLog;
 use sedgeridge_platform_standins::endpoint::STREAM_PATH;
 use sedgeridge_platform_standins::endpoint::StreamShape;
 use sedgeridge_platform_standins::store;
@@ -83,15 +83,15 @@
         interval: Duration::from_secs_f64(target::TOKEN_INTERVAL_MS / 1e3),
     };
     let store = store::spawn(rows.clone())?;
-    let endpoint = endpoint::spawn(ListedId::new("e-1"), Runs::default(), shape)?;
+    let endpoint = endpoint::spawn(ListedId::new("e-1"), RunLog::default(), shape)?;
     rows.put(OPERATOR_TABLE, CONFIG_KEY, &documents::config(&config()));
-    let entry = documents::endpoint(&EndpointForm {
+    let entry = documents::endpoint(&EndpointSpec {
         service: "streams".to_owned(),
         address: endpoint.address(),
         data_centre: "dc-0".to_owned(),
         slots: SLOTS,
         is_leaving: false,
-        cold_ms: 0,
+        cold_remaining_ms: 0,
     });
     rows.put(ENDPOINTS_TABLE, "e-1", &entry);
 
@@ -119,19 +119,19 @@
     Ok(sample)
 }
 
-fn config() -> ConfigForm {
-    ConfigForm {
+fn config() -> ConfigSpec {
+    ConfigSpec {
         version: 1,
-        routes: vec![RouteForm {
+        routes: vec![RouteSpec {
             host: "desk.example".to_owned(),
             path: STREAM_PATH.to_owned(),
-            kind: Kind::Stream,
+            kind: RouteKind::Stream,
             service: "streams".to_owned(),
             timeout_ms: TIMEOUT_MS,
         }],
         cold_start_s: 0.0,
-        cold_per_s: 0.0,
-        accounts: vec![AccountForm {
+        cold_requests_per_s: 0.0,
+        accounts: vec![AccountSpec {
             name: "crew".to_owned(),
             keys: vec!["secret".to_owned()],
         }],
--- a/crates/soak/src/callers.rs
+++ b/crates/soak/src/callers.rs
@@ -16,10 +16,10 @@
 use sedgeridge_coordination::random::SeededRandom;
 use sedgeridge_gateway::endpoint_pool::EndpointConnection;
 use sedgeridge_gateway::endpoint_pool::open_connection;
-use sedgeridge_platform_standins::caller::CallerTry;
-use sedgeridge_platform_standins::caller::is_vouched;
-use sedgeridge_platform_standins::caller::request;
-use sedgeridge_platform_standins::documents::Kind;
+use sedgeridge_platform_standins::caller::CallerAttempt;
+use sedgeridge_platform_standins::caller::build_request;
+use sedgeridge_platform_standins::caller::has_endpoint_stamp;
+use sedgeridge_platform_standins::documents::RouteKind;
 use sedgeridge_platform_standins::endpoint::STREAM_EVENTS;
 use sedgeridge_platform_standins::endpoint::event_data;
 use sedgeridge_platform_standins::endpoint::whole_answer;
@@ -157,7 +157,11 @@
     id: String,
     body: Bytes,
 ) -> Record {
-    let kinds = [Kind::Idempotent, Kind::AtMostOnce, Kind::Stream];
+    let kinds = [
+        RouteKind::Idempotent,
+        RouteKind::AtMostOnce,
+        RouteKind::Stream,
+    ];
     let kind = kinds[random.below(3) as usize];
     let (newest, since) = shared.key.get();
     let is_revoked = newest >= 3 && random.below(100) < REVOKED_PERCENT;
@@ -167,15 +171,15 @@
         (false, true) => newest,
         (false, false) => newest - 1,
     };
-    let head = CallerTry {
+    let head = CallerAttempt {
         id: id.clone(),
         host: HOST.to_owned(),
         path: path(kind).to_owned(),
         key: key(generation),
-        wait_ms: TIMEOUT.as_millis() as u64,
+        timeout_ms: TIMEOUT.as_millis() as u64,
     };
     let sent_at = shared.now();
-    let outcome = match request(&head, Full::from(body)) {
+    let outcome = match build_request(&head, Full::from(body)) {
         Ok(request) => {
             let answered = exchange(&mut connection.sender, request, &id, kind);
             timeout(HUNG_AFTER, answered).await.unwrap_or(Outcome::Hung)
@@ -203,7 +207,7 @@
     sender: &mut EndpointConnection,
     request: hyper::Request<Full<Bytes>>,
     id: &str,
-    kind: Kind,
+    kind: RouteKind,
 ) -> Outcome {
     let answer = match sender.send_request(request).await {
         Ok(answer) => answer,
@@ -215,10 +219,10 @@
         }
     };
     let status = answer.status().as_u16();
-    let is_vouched = is_vouched(answer.headers());
+    let is_vouched = has_endpoint_stamp(answer.headers());
     let (is_whole, wrong) = match (status, kind) {
-        (200, Kind::Stream) => read_stream(answer, id).await,
-        (200, Kind::Idempotent | Kind::AtMostOnce) => read_whole(answer, id).await,
+        (200, RouteKind::Stream) => read_stream(answer, id).await,
+        (200, RouteKind::Idempotent | RouteKind::AtMostOnce) => read_whole(answer, id).await,
         _ => (answer.into_body().collect().await.is_ok(), None),
     };
     match is_whole {
--- a/crates/soak/src/promises.rs
+++ b/crates/soak/src/promises.rs
@@ -4,9 +4,9 @@
 use std::collections::HashSet;
 use std::time::Duration;
 
-use sedgeridge_platform_standins::caller::says_not_run;
-use sedgeridge_platform_standins::documents::Kind;
-use sedgeridge_platform_standins::documents::RESEND_BOUND;
+use sedgeridge_platform_standins::caller::is_not_run_status;
+use sedgeridge_platform_standins::documents::RESEND_LIMITS;
+use sedgeridge_platform_standins::documents::RouteKind;
 
 use crate::records::Evidence;
 use crate::records::Outcome;
@@ -81,14 +81,14 @@
 fn check_runs(record: &Record, runs: Option<usize>, report: &mut impl FnMut(&'static str, String)) {
     let runs = runs.unwrap_or(0);
     let status = record.status().and_then(|code| code.try_into().ok());
-    if runs > 0 && status.is_some_and(says_not_run) {
+    if runs > 0 && status.is_some_and(is_not_run_status) {
         let status = record.status();
         report(
             "a true 'not run'",
             format!("{}: {status:?}, run {runs} times", record.id),
         );
     }
-    if record.kind == Kind::AtMostOnce && runs > 1 {
+    if record.kind == RouteKind::AtMostOnce && runs > 1 {
         report(
             "at most one run",
             format!("{}: run {runs} times", record.id),
@@ -152,7 +152,11 @@
 
 fn check_calm(evidence: &Evidence, report: &mut impl FnMut(&'static str, String)) {
     let (from, to) = evidence.calm;
-    for kind in [Kind::Idempotent, Kind::AtMostOnce, Kind::Stream] {
+    for kind in [
+        RouteKind::Idempotent,
+        RouteKind::AtMostOnce,
+        RouteKind::Stream,
+    ] {
         let calm = evidence.records.iter().filter(|record| {
             let is_calm = record.sent_at >= from && record.sent_at < to;
             is_calm && record.kind == kind && !record.is_revoked
@@ -167,7 +171,7 @@
 }
 
 fn check_resends(evidence: &Evidence, report: &mut impl FnMut(&'static str, String)) {
-    let (ratio, extra) = RESEND_BOUND;
+    let (ratio, extra) = RESEND_LIMITS;
     let first: HashSet<_> = evidence.runs.iter().collect();
     let resends = evidence.runs.len() - first.len();
     let windows = evidence.length.as_secs_f64() / RESEND_WINDOW.as_secs_f64() + 1.0;
--- a/crates/soak/src/records.rs
+++ b/crates/soak/src/records.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use sedgeridge_platform_standins::documents::Kind;
+use sedgeridge_platform_standins::documents::RouteKind;
 use serde::Serialize;
 
 /// How a request ended.
@@ -34,7 +34,7 @@
     /// Its id.
     pub id: String,
     /// What its route allows.
-    pub kind: Kind,
+    pub kind: RouteKind,
     /// The router.
     pub router: usize,
     /// Which run of the router the connection was opened to.
--- a/crates/soak/src/routers.rs
+++ b/crates/soak/src/routers.rs
@@ -17,7 +17,7 @@
 use sedgeridge_load::processes::signal_process;
 use sedgeridge_platform_standins::documents::CALLERS_PORT;
 use sedgeridge_platform_standins::documents::READY_PORT;
-use sedgeridge_platform_standins::documents::SettingsForm;
+use sedgeridge_platform_standins::documents::SettingsSpec;
 use sedgeridge_platform_standins::documents::settings;
 
 use crate::links::Link;
@@ -53,11 +53,11 @@
         let ip = loopback(index);
         let callers_link = Link::to(SocketAddr::new(ip, CALLERS_PORT))?;
         let store_link = Link::to(store)?;
-        let form = SettingsForm {
+        let form = SettingsSpec {
             host: format!("router-{index}"),
             data_centre: format!("dc-{}", index % DATA_CENTRES),
             ip,
-            store: store_link.address(),
+            store_address: store_link.address(),
             grace_s: GRACE.as_secs_f64(),
         };
         let router = Self {
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -350,7 +350,7 @@
     fn into_evidence(self) -> Evidence {
         Evidence {
             records: self.shared.records.take(),
-            runs: self.site.runs.all(),
+            runs: self.site.runs.ids(),
             length: self.shared.now(),
             ..self.evidence
         }
--- a/crates/soak/src/site.rs
+++ b/crates/soak/src/site.rs
@@ -6,14 +6,14 @@
 use std::time::Duration;
 
 use sedgeridge_platform_standins::documents;
-use sedgeridge_platform_standins::documents::AccountForm;
-use sedgeridge_platform_standins::documents::ConfigForm;
-use sedgeridge_platform_standins::documents::EndpointForm;
-use sedgeridge_platform_standins::documents::Kind;
-use sedgeridge_platform_standins::documents::RouteForm;
+use sedgeridge_platform_standins::documents::AccountSpec;
+use sedgeridge_platform_standins::documents::ConfigSpec;
+use sedgeridge_platform_standins::documents::EndpointSpec;
+use sedgeridge_platform_standins::documents::RouteKind;
+use sedgeridge_platform_standins::documents::RouteSpec;
 use sedgeridge_platform_standins::endpoint;
 use sedgeridge_platform_standins::endpoint::ListedId;
-use sedgeridge_platform_standins::endpoint::Runs;
+use sedgeridge_platform_standins::endpoint::RunLog;
 use sedgeridge_platform_standins::endpoint::STREAM_PATH;
 use sedgeridge_platform_standins::endpoint::StreamShape;
 use sedgeridge_platform_standins::store;
@@ -36,11 +36,11 @@
 const WHOLE_SERVICE: &str = "answers";
 
 /// Returns the path of requests that allow this.
-pub fn path(kind: Kind) -> &'static str {
+pub fn path(kind: RouteKind) -> &'static str {
     match kind {
-        Kind::Idempotent => "/read/",
-        Kind::AtMostOnce => "/book/",
-        Kind::Stream => STREAM_PATH,
+        RouteKind::Idempotent => "/read/",
+        RouteKind::AtMostOnce => "/book/",
+        RouteKind::Stream => STREAM_PATH,
     }
 }
 
@@ -53,7 +53,7 @@
 #[derive(Debug)]
 pub struct Site {
     /// What the endpoints ran.
-    pub runs: Runs,
+    pub runs: RunLog,
     /// The store.
     pub store: Running,
     /// The store's rows.
@@ -85,7 +85,7 @@
     /// No port is free.
     pub fn start(endpoints: usize) -> io::Result<Self> {
         let rows = StoreRows::default();
-        let runs = Runs::default();
+        let runs = RunLog::default();
         let endpoints = (0..endpoints).map(|index| SoakEndpoint::start(index, &runs));
         let site = Self {
             store: store::spawn(rows.clone())?,
@@ -119,25 +119,30 @@
 
     fn write_config(&self) {
         let newest = self.generation.get();
-        let routes = [Kind::Idempotent, Kind::AtMostOnce, Kind::Stream].map(|kind| RouteForm {
+        let routes = [
+            RouteKind::Idempotent,
+            RouteKind::AtMostOnce,
+            RouteKind::Stream,
+        ]
+        .map(|kind| RouteSpec {
             host: HOST.to_owned(),
             path: path(kind).to_owned(),
             kind,
             service: match kind {
-                Kind::Stream => STREAM_SERVICE.to_owned(),
-                Kind::Idempotent | Kind::AtMostOnce => WHOLE_SERVICE.to_owned(),
+                RouteKind::Stream => STREAM_SERVICE.to_owned(),
+                RouteKind::Idempotent | RouteKind::AtMostOnce => WHOLE_SERVICE.to_owned(),
             },
             timeout_ms: TIMEOUT.as_millis() as u64,
         });
-        let account = AccountForm {
+        let account = AccountSpec {
             name: "crew".to_owned(),
             keys: vec![key(newest), key(newest - 1)],
         };
-        let config = documents::config(&ConfigForm {
+        let config = documents::config(&ConfigSpec {
             version: newest,
             routes: routes.into(),
             cold_start_s: 0.0,
-            cold_per_s: 0.0,
+            cold_requests_per_s: 0.0,
             accounts: vec![account],
         });
         self.rows.put(OPERATOR_TABLE, CONFIG_KEY, &config);
@@ -145,7 +150,7 @@
 }
 
 impl SoakEndpoint {
-    fn start(index: usize, runs: &Runs) -> io::Result<Self> {
+    fn start(index: usize, runs: &RunLog) -> io::Result<Self> {
         let listed = ListedId::new(&id(index, 0));
         let server = endpoint::spawn(listed.clone(), runs.clone(), StreamShape::default())?;
         let link = Link::to(server.address())?;
@@ -166,13 +171,13 @@
 
     /// Lists the endpoint, or changes its entry.
     pub fn list(&self, rows: &StoreRows, is_leaving: bool) {
-        let entry = documents::endpoint(&EndpointForm {
+        let entry = documents::endpoint(&EndpointSpec {
             service: self.service.to_owned(),
             address: self.link.address(),
             data_centre: self.data_centre.clone(),
             slots: SLOTS,
             is_leaving,
-            cold_ms: 0,
+            cold_remaining_ms: 0,
         });
         rows.put(ENDPOINTS_TABLE, &self.id(), &entry);
     }
--- a/crates/soak/tests/promises.rs
+++ b/crates/soak/tests/promises.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use sedgeridge_platform_standins::documents::Kind;
+use sedgeridge_platform_standins::documents::RouteKind;
 use sedgeridge_soak::promises::check;
 use sedgeridge_soak::records::Disturbance;
 use sedgeridge_soak::records::Evidence;
@@ -11,7 +11,11 @@
 use sedgeridge_soak::records::Record;
 use yare::parameterized;
 
-const KINDS: [Kind; 3] = [Kind::Idempotent, Kind::AtMostOnce, Kind::Stream];
+const KINDS: [RouteKind; 3] = [
+    RouteKind::Idempotent,
+    RouteKind::AtMostOnce,
+    RouteKind::Stream,
+];
 
 fn at(millis: u64) -> Duration {
     Duration::from_millis(millis)
@@ -40,7 +44,7 @@
     }
 }
 
-fn record(id: &str, kind: Kind, sent_ms: u64, outcome: Outcome) -> Record {
+fn record(id: &str, kind: RouteKind, sent_ms: u64, outcome: Outcome) -> Record {
     Record {
         id: id.to_owned(),
         kind,
@@ -79,7 +83,7 @@
 }
 
 /// Adds a request from the noisy part, with as many runs.
-fn with(outcome: Outcome, kind: Kind, runs: usize) -> Evidence {
+fn with(outcome: Outcome, kind: RouteKind, runs: usize) -> Evidence {
     let mut evidence = good();
     evidence.records.push(record("x", kind, 5_000, outcome));
     evidence.runs.extend(vec!["x".to_owned(); runs]);
@@ -96,19 +100,19 @@
 }
 
 #[parameterized(
-    another_answer = { served(true, Some("x")), Kind::Stream, 1, "its own whole answer" },
-    a_wrong_part = { failed(Some("x")), Kind::Stream, 1, "its own whole answer" },
-    nobody_vouches = { served(false, None), Kind::Idempotent, 1, "its own whole answer" },
-    never_run = { answered(200), Kind::Idempotent, 0, "its own whole answer" },
-    refused_but_run = { answered(503), Kind::Idempotent, 1, "a true 'not run'" },
-    misdirected_but_run = { answered(421), Kind::AtMostOnce, 1, "a true 'not run'" },
-    run_twice = { answered(200), Kind::AtMostOnce, 2, "at most one run" },
-    run_twice_and_failed = { failed(None), Kind::AtMostOnce, 2, "at most one run" },
-    hung = { Outcome::Hung, Kind::Idempotent, 1, "an end in time" },
+    another_answer = { served(true, Some("x")), RouteKind::Stream, 1, "its own whole answer" },
+    a_wrong_part = { failed(Some("x")), RouteKind::Stream, 1, "its own whole answer" },
+    nobody_vouches = { served(false, None), RouteKind::Idempotent, 1, "its own whole answer" },
+    never_run = { answered(200), RouteKind::Idempotent, 0, "its own whole answer" },
+    refused_but_run = { answered(503), RouteKind::Idempotent, 1, "a true 'not run'" },
+    misdirected_but_run = { answered(421), RouteKind::AtMostOnce, 1, "a true 'not run'" },
+    run_twice = { answered(200), RouteKind::AtMostOnce, 2, "at most one run" },
+    run_twice_and_failed = { failed(None), RouteKind::AtMostOnce, 2, "at most one run" },
+    hung = { Outcome::Hung, RouteKind::Idempotent, 1, "an end in time" },
 )]
 fn a_request_that_ends_wrongly_is_found(
     outcome: Outcome,
-    kind: Kind,
+    kind: RouteKind,
     runs: usize,
     promise: &'static str,
 ) {
@@ -116,17 +120,17 @@
 }
 
 #[parameterized(
-    refused = { answered(503), Kind::AtMostOnce, 0 },
-    failed_after_a_run = { failed(None), Kind::AtMostOnce, 1 },
-    run_again = { answered(200), Kind::Idempotent, 2 },
+    refused = { answered(503), RouteKind::AtMostOnce, 0 },
+    failed_after_a_run = { failed(None), RouteKind::AtMostOnce, 1 },
+    run_again = { answered(200), RouteKind::Idempotent, 2 },
 )]
-fn what_is_allowed_is_not_reported(outcome: Outcome, kind: Kind, runs: usize) {
+fn what_is_allowed_is_not_reported(outcome: Outcome, kind: RouteKind, runs: usize) {
     assert_eq!(check(&with(outcome, kind, runs)), []);
 }
 
 #[test]
 fn a_hanging_request_proves_nothing_while_its_router_is_disturbed() {
-    let mut evidence = with(Outcome::Hung, Kind::Idempotent, 1);
+    let mut evidence = with(Outcome::Hung, RouteKind::Idempotent, 1);
     evidence.disturbances.push(Disturbance {
         router: 0,
         from: at(5_050),
@@ -146,7 +150,7 @@
 
 #[test]
 fn a_request_lost_at_a_planned_stop_is_found() {
-    let mut evidence = with(failed(None), Kind::Stream, 1);
+    let mut evidence = with(failed(None), RouteKind::Stream, 1);
     evidence.stops.push(stop(0, Some(6_000), true));
     assert_eq!(broken(&evidence), ["nothing lost at a planned stop"]);
 }
@@ -167,7 +171,7 @@
     let mut evidence = good();
     for (sent_ms, status) in [(5_000, 401), (6_000, 200)] {
         let id = format!("k{status}");
-        let mut probe = record(&id, Kind::Idempotent, sent_ms, answered(status));
+        let mut probe = record(&id, RouteKind::Idempotent, sent_ms, answered(status));
         probe.is_revoked = true;
         evidence.records.push(probe);
     }
@@ -178,7 +182,7 @@
 #[test]
 fn a_revoked_key_that_still_works_in_the_quiet_end_is_found() {
     let mut evidence = good();
-    let mut probe = record("k", Kind::Idempotent, 11_000, answered(200));
+    let mut probe = record("k", RouteKind::Idempotent, 11_000, answered(200));
     probe.is_revoked = true;
     evidence.records.push(probe);
     evidence.runs.push("k".to_owned());
@@ -189,7 +193,7 @@
 fn requests_refused_in_the_quiet_end_are_found() {
     let mut evidence = good();
     for n in 0..3 {
-        let refused = record(&format!("r{n}"), Kind::Stream, 11_000, answered(503));
+        let refused = record(&format!("r{n}"), RouteKind::Stream, 11_000, answered(503));
         evidence.records.push(refused);
     }
     assert_eq!(broken(&evidence), ["recovery after the last fault"]);
