--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -30,10 +30,10 @@
 use crate::event_log::LogEvent;
 use crate::event_log::millis;
 use crate::meters;
-use crate::wire::AnswerFacts;
-use crate::wire::ForwardFacts;
-use crate::wire::RunStatus;
-use crate::wire::Wire;
+use crate::wire::ExecutionStatus;
+use crate::wire::ForwardMetadata;
+use crate::wire::ResponseMetadata;
+use crate::wire::WireFormat;
 
 /// Longest answer that is taken whole before its caller gets any of it.
 const MAX_WHOLE_ANSWER_BYTES: usize = 256 * 1024;
@@ -90,7 +90,7 @@
 /// # Errors
 ///
 /// The attempt failed; the failure says whether the endpoint may have run the request.
-pub async fn send<W: Wire, C: Clock>(
+pub async fn send<W: WireFormat, C: Clock>(
     core: &Rc<Core<W, C>>,
     outgoing: &Outgoing,
     endpoint: &Arc<Endpoint>,
@@ -139,7 +139,7 @@
 /// # Errors
 ///
 /// The answer ends early, or is longer than what is kept in memory.
-pub async fn read_whole<W: Wire, C: Clock>(
+pub async fn read_whole<W: WireFormat, C: Clock>(
     core: &Rc<Core<W, C>>,
     endpoint: &Endpoint,
     answer: EndpointAnswer,
@@ -161,7 +161,7 @@
 }
 
 /// Puts a connection back once its answer has been read.
-pub fn keep<W: Wire, C: Clock>(
+pub fn keep<W: WireFormat, C: Clock>(
     core: &Rc<Core<W, C>>,
     endpoint: &Endpoint,
     mut connection: EndpointConnection,
@@ -181,7 +181,7 @@
     });
 }
 
-async fn open<W: Wire, C: Clock>(
+async fn open<W: WireFormat, C: Clock>(
     core: &Rc<Core<W, C>>,
     endpoint: &Endpoint,
 ) -> Result<EndpointConnection, Failure> {
@@ -190,14 +190,14 @@
     opened.map_err(|_| Failure::NotConnected)
 }
 
-async fn judge<W: Wire, C: Clock>(
+async fn judge<W: WireFormat, C: Clock>(
     core: &Rc<Core<W, C>>,
     outgoing: &Outgoing,
     endpoint: &Arc<Endpoint>,
     answer: EndpointAnswer,
 ) -> Result<EndpointAnswer, Failure> {
-    let facts = core.wire.answer(&answer.head);
-    if facts.run != RunStatus::Misdirected {
+    let facts = core.wire.parse_response(&answer.head);
+    if facts.execution != ExecutionStatus::Misdirected {
         take_notices(core, outgoing, endpoint, &facts);
     }
     // An endpoint may send a second answer to an earlier request, which then stands where the
@@ -205,13 +205,13 @@
     if facts.id.as_ref().is_some_and(|id| *id != outgoing.id) {
         return Err(Failure::SpoiledAnswer);
     }
-    match facts.run {
-        RunStatus::Misdirected => return Err(Failure::Misdirected),
-        RunStatus::NotRun => return Err(Failure::TurnedAway),
-        RunStatus::MayHaveRun => {}
+    match facts.execution {
+        ExecutionStatus::Misdirected => return Err(Failure::Misdirected),
+        ExecutionStatus::NotRun => return Err(Failure::TurnedAway),
+        ExecutionStatus::MayHaveRun => {}
     }
     let is_encoded = answer.head.headers.contains_key(header::CONTENT_ENCODING);
-    let is_own = facts.is_vouched && !is_encoded;
+    let is_own = facts.has_proof && !is_encoded;
     if answer.head.status.is_success() && !is_own {
         return Err(Failure::SpoiledAnswer);
     }
@@ -219,11 +219,11 @@
 }
 
 /// Passes on what an answer says of its endpoint.
-fn take_notices<W: Wire, C: Clock>(
+fn take_notices<W: WireFormat, C: Clock>(
     core: &Core<W, C>,
     outgoing: &Outgoing,
     endpoint: &Arc<Endpoint>,
-    facts: &AnswerFacts,
+    facts: &ResponseMetadata,
 ) {
     let request = ("request", (*outgoing.id).into());
     let name = ("endpoint", endpoint.id.as_str().into());
@@ -256,20 +256,20 @@
         Fingerprint::of(&payer, &input)
     }
 
-    fn request<W: Wire, C: Clock>(
+    fn request<W: WireFormat, C: Clock>(
         &self,
         core: &Rc<Core<W, C>>,
         endpoint: &Endpoint,
     ) -> Request<Full<Bytes>> {
         let now = core.now();
         let mut headers = self.headers.clone();
-        let facts = ForwardFacts {
+        let facts = ForwardMetadata {
             endpoint,
             account: self.account.as_ref(),
             time_left: self.deadline.saturating_sub(now),
             last_event_id: self.last_event_id,
         };
-        core.wire.forward(&mut headers, &facts);
+        core.wire.write_forward_headers(&mut headers, &facts);
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.uri.clone();
--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/call.rs
@@ -37,7 +37,7 @@
 use crate::held_memory::HeldMemory;
 use crate::meters;
 use crate::stream_forward;
-use crate::wire::Wire;
+use crate::wire::WireFormat;
 
 /// When a caller should come back to a route without a service: some changes of the configuration
 /// later.
@@ -65,7 +65,7 @@
 }
 
 /// Answers a request of a caller.
-pub async fn answer<W: Wire, C: Clock>(
+pub async fn answer<W: WireFormat, C: Clock>(
     core: Rc<Core<W, C>>,
     caller: CallerStream,
     request: Request<Incoming>,
@@ -97,7 +97,7 @@
     call.run(waiting).await
 }
 
-fn arrival_of<W: Wire, C: Clock>(
+fn arrival_of<W: WireFormat, C: Clock>(
     core: &Core<W, C>,
     id: RequestId,
     service: ServiceId,
@@ -118,7 +118,7 @@
 }
 
 /// A request that was handed in to the dispatcher.
-pub(crate) struct Call<W: Wire, C: Clock> {
+pub(crate) struct Call<W: WireFormat, C: Clock> {
     pub(crate) core: Rc<Core<W, C>>,
     caller: CallerStream,
     guard: RequestGuard<W, C>,
@@ -128,7 +128,7 @@
     pub(crate) received_at: Duration,
 }
 
-impl<W: Wire, C: Clock> Call<W, C> {
+impl<W: WireFormat, C: Clock> Call<W, C> {
     async fn run(mut self, waiting: VerdictReceiver) -> Answered {
         // The timeout covers everything up to the head of the answer; a stream goes on by itself.
         let left = self.outgoing.deadline.saturating_sub(self.core.now());
--- a/crates/gateway/src/call_log.rs
+++ b/crates/gateway/src/call_log.rs
@@ -14,9 +14,9 @@
 use crate::event_log::LogEvent;
 use crate::event_log::millis;
 use crate::meters;
-use crate::wire::Wire;
+use crate::wire::WireFormat;
 
-impl<W: Wire, C: Clock> Call<W, C> {
+impl<W: WireFormat, C: Clock> Call<W, C> {
     pub(crate) fn note_first_piece(&self) {
         let after = self.core.now().saturating_sub(self.received_at);
         meters::first_piece(self.route.repeat, after);
@@ -83,7 +83,7 @@
 }
 
 /// Counts a refusal, and logs it unless enough are logged in this second.
-pub(crate) fn log_refusal<W: Wire, C: Clock>(
+pub(crate) fn log_refusal<W: WireFormat, C: Clock>(
     core: &Core<W, C>,
     refused: &Refused<'_>,
     reason: RefusalReason,
--- a/crates/gateway/src/caller_connection.rs
+++ b/crates/gateway/src/caller_connection.rs
@@ -35,7 +35,7 @@
 use crate::early_refusal::Early;
 use crate::early_refusal::refuse_next;
 use crate::held_memory::HeldMemory;
-use crate::wire::Wire;
+use crate::wire::WireFormat;
 
 /// Bytes that a connection reads ahead or keeps back at most: a usual prompt in one read. The library's
 /// own bound is so high that some hundred callers with long bodies would fill a small host's memory.
@@ -46,7 +46,7 @@
 /// Between requests only the socket is kept. The HTTP state of a connection has buffers as large as the
 /// largest body that it ever carried; kept with each open connection they fill the memory
 /// of a small host, and the process is killed with requests in progress.
-pub(crate) async fn serve<W: Wire, C: Clock>(core: Rc<Core<W, C>>, stream: TcpStream) {
+pub(crate) async fn serve<W: WireFormat, C: Clock>(core: Rc<Core<W, C>>, stream: TcpStream) {
     let stream = CallerStream::new(stream);
     let served = Served::default();
     // What is refused early is better waited for without a state of its own.
@@ -98,7 +98,7 @@
 /// When the process is told to stop, a connection on which requests were answered is closed: a caller
 /// that went on with it would be cut off at the end of the grace time, and the balancer can only lead
 /// new connections elsewhere. A new connection stays for the request that its caller is sending.
-async fn wait_for_request<W: Wire, C: Clock>(
+async fn wait_for_request<W: WireFormat, C: Clock>(
     core: &Core<W, C>,
     stream: &CallerStream,
     served: &Served,
@@ -118,7 +118,7 @@
 }
 
 /// Serves requests until none is under way, or the connection ends.
-async fn serve_requests<W: Wire, C: Clock>(
+async fn serve_requests<W: WireFormat, C: Clock>(
     core: &Rc<Core<W, C>>,
     stream: &CallerStream,
     served: &Served,
@@ -170,7 +170,7 @@
 }
 
 /// Looks whether a connection that has nothing more to do at the moment needs its HTTP state.
-fn look<W: Wire, C: Clock>(
+fn look<W: WireFormat, C: Clock>(
     core: &Rc<Core<W, C>>,
     stream: &CallerStream,
     half_head: &mut Option<HalfHead<W, C>>,
@@ -194,18 +194,18 @@
 /// Nearly all heads come in one piece. Each that does not holds its connection's buffers, and no request is
 /// counted for it: heads that never end would fill a small host. Above a part of the memory such connections
 /// are closed, unread.
-struct HalfHead<W: Wire, C: Clock> {
+struct HalfHead<W: WireFormat, C: Clock> {
     core: Rc<Core<W, C>>,
 }
 
-impl<W: Wire, C: Clock> HalfHead<W, C> {
+impl<W: WireFormat, C: Clock> HalfHead<W, C> {
     fn begin(core: &Rc<Core<W, C>>) -> Self {
         core.half_heads.set(core.half_heads.get() + 1);
         Self { core: core.clone() }
     }
 }
 
-impl<W: Wire, C: Clock> Drop for HalfHead<W, C> {
+impl<W: WireFormat, C: Clock> Drop for HalfHead<W, C> {
     fn drop(&mut self) {
         let half_heads = &self.core.half_heads;
         half_heads.set(half_heads.get() - 1);
--- a/crates/gateway/src/caller_listener.rs
+++ b/crates/gateway/src/caller_listener.rs
@@ -10,7 +10,7 @@
 use crate::caller_connection;
 use crate::clock::Clock;
 use crate::core::Core;
-use crate::wire::Wire;
+use crate::wire::WireFormat;
 
 /// Pause after each new connection while the host cannot keep up. Without it a flood of connections,
 /// each read and refused, takes the processor from the requests that were admitted. Callers that
@@ -18,7 +18,7 @@
 const OVERLOADED_ACCEPT_PAUSE: Duration = Duration::from_millis(1);
 
 /// Accepts connections for as long as the process runs.
-pub async fn accept_forever<W: Wire, C: Clock>(core: Rc<Core<W, C>>, listener: TcpListener) {
+pub async fn accept_forever<W: WireFormat, C: Clock>(core: Rc<Core<W, C>>, listener: TcpListener) {
     loop {
         let stream = core.accept(&listener).await;
         spawn_local(serve_counted(core.clone(), stream));
@@ -35,7 +35,7 @@
 /// connection; above [`GatewaySettings::max_callers`] each answer therefore ends its connection.
 ///
 /// [`GatewaySettings::max_callers`]: crate::settings::GatewaySettings::max_callers
-async fn serve_counted<W: Wire, C: Clock>(core: Rc<Core<W, C>>, stream: TcpStream) {
+async fn serve_counted<W: WireFormat, C: Clock>(core: Rc<Core<W, C>>, stream: TcpStream) {
     core.callers.set(core.callers.get() + 1);
     caller_connection::serve(core.clone(), stream).await;
     core.callers.set(core.callers.get() - 1);
--- a/crates/gateway/src/caller_request.rs
+++ b/crates/gateway/src/caller_request.rs
@@ -29,9 +29,9 @@
 use crate::meters;
 use crate::request_body;
 use crate::request_body::BodyError;
-use crate::wire::RequestFacts;
-use crate::wire::Wire;
+use crate::wire::RequestMetadata;
 use crate::wire::WireError;
+use crate::wire::WireFormat;
 
 /// When a caller should come back while no configuration is known.
 const NO_CONFIG_RETRY: Duration = Duration::from_millis(300);
@@ -74,17 +74,17 @@
 /// # Errors
 ///
 /// The answer for a request that goes to no endpoint.
-pub async fn read<W: Wire, C: Clock>(
+pub async fn read<W: WireFormat, C: Clock>(
     core: &Rc<Core<W, C>>,
     request: Request<Incoming>,
 ) -> Result<ReadRequest, Answer> {
     let received_at = core.now();
-    if core.stopping_for() > Some(rotation_time(core.bounds.borrow().grace)) {
+    if core.stopping_for() > Some(rotation_time(core.bounds.borrow().grace_period)) {
         // It would be cut off by the end of the grace time.
         return Err(answer::not_run("stopping", STOPPING_RETRY));
     }
     let (head, body) = request.into_parts();
-    let facts = core.wire.request(&head);
+    let facts = core.wire.parse_request(&head);
     let facts = facts.map_err(|error| malformed(core, &error))?;
     let found = look_up(core, &head, &facts);
     let (route, account) = found.map_err(|error| turned_away(core, &head, &facts, error))?;
@@ -121,10 +121,10 @@
 }
 
 /// Returns the route of a request, and the account that pays.
-pub(crate) fn look_up<W: Wire, C: Clock>(
+pub(crate) fn look_up<W: WireFormat, C: Clock>(
     core: &Rc<Core<W, C>>,
     head: &Parts,
-    facts: &RequestFacts,
+    facts: &RequestMetadata,
 ) -> Result<(Arc<Route>, Option<AccountId>), LookupError> {
     let routes = core.routes.borrow().clone();
     let host = head.headers.get(header::HOST);
@@ -134,17 +134,17 @@
     Ok((route, account))
 }
 
-fn malformed<W: Wire, C: Clock>(core: &Rc<Core<W, C>>, error: &WireError) -> Answer {
+fn malformed<W: WireFormat, C: Clock>(core: &Rc<Core<W, C>>, error: &WireError) -> Answer {
     let reason = error.to_string();
     let fields = [("reason", reason.as_str().into())];
     core.log(LogEvent::RequestTurnedAway, &fields);
     answer::own(StatusCode::BAD_REQUEST, &reason)
 }
 
-fn turned_away<W: Wire, C: Clock>(
+fn turned_away<W: WireFormat, C: Clock>(
     core: &Rc<Core<W, C>>,
     head: &Parts,
-    facts: &RequestFacts,
+    facts: &RequestMetadata,
     error: LookupError,
 ) -> Answer {
     let fields = [
@@ -169,7 +169,7 @@
     fields.sum::<usize>() as u64
 }
 
-fn asker<W: Wire, C: Clock>(core: &Core<W, C>, account: Option<&AccountId>) -> Asker {
+fn asker<W: WireFormat, C: Clock>(core: &Core<W, C>, account: Option<&AccountId>) -> Asker {
     let account = account.map(|account| stable_hash(account.as_str()));
     let is_over = account.is_some_and(|account| {
         core.with_dispatcher(|dispatcher| dispatcher.is_over_share(account))
@@ -180,9 +180,9 @@
     }
 }
 
-fn unread<W: Wire, C: Clock>(
+fn unread<W: WireFormat, C: Clock>(
     core: &Rc<Core<W, C>>,
-    facts: &RequestFacts,
+    facts: &RequestMetadata,
     error: &BodyError,
 ) -> Answer {
     let status = match error {
@@ -194,7 +194,7 @@
     answer::own(status, &error.to_string())
 }
 
-fn no_memory<W: Wire, C: Clock>(core: &Rc<Core<W, C>>, facts: &RequestFacts) -> Answer {
+fn no_memory<W: WireFormat, C: Clock>(core: &Rc<Core<W, C>>, facts: &RequestMetadata) -> Answer {
     const REASON: &str = "no_memory";
     meters::refused(REASON);
     if core.log.is_wanted(core.now(), LogEvent::RequestRefused) {
--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -12,11 +12,11 @@
 
 /// The system's steady clock.
 #[derive(Debug, Clone, Copy)]
-pub struct SteadyClock {
+pub struct MonotonicClock {
     started_at: Instant,
 }
 
-impl SteadyClock {
+impl MonotonicClock {
     /// Starts counting now.
     pub fn start() -> Self {
         Self {
@@ -25,7 +25,7 @@
     }
 }
 
-impl clock::Clock for SteadyClock {
+impl clock::Clock for MonotonicClock {
     fn now(&self) -> Duration {
         self.started_at.elapsed()
     }
--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -42,7 +42,7 @@
 use crate::loop_lag::LoopLag;
 use crate::meters;
 use crate::settings::GatewaySettings;
-use crate::wire::Wire;
+use crate::wire::WireFormat;
 
 /// Pause after a connection could not be accepted: descriptors come free within some milliseconds.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
@@ -54,25 +54,25 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Bounds {
     /// Time between SIGTERM and SIGKILL.
-    pub grace: Duration,
+    pub grace_period: Duration,
     /// Window over which accounts share the engines.
     pub share_window: Duration,
     /// Time in which a fleet that was restarted serves again.
-    pub recovery: Duration,
+    pub recovery_time: Duration,
     /// Bounds of sending a request to a second endpoint.
-    pub resends: ResendLimits,
+    pub resend_limits: ResendLimits,
     /// Bounds of requests to endpoints that have just started.
-    pub cold_starts: ColdStartBounds,
+    pub cold_start_bounds: ColdStartBounds,
 }
 
 impl Bounds {
     fn of(settings: &GatewaySettings) -> Self {
         Self {
-            grace: settings.grace,
+            grace_period: settings.grace_period,
             share_window: settings.share_window,
-            recovery: settings.recovery,
-            resends: settings.resends,
-            cold_starts: settings.cold_starts,
+            recovery_time: settings.recovery_time,
+            resend_limits: settings.resend_limits,
+            cold_start_bounds: settings.cold_start_bounds,
         }
     }
 }
@@ -124,7 +124,7 @@
     wake: Notify,
 }
 
-impl<W: Wire, C: Clock> Core<W, C> {
+impl<W: WireFormat, C: Clock> Core<W, C> {
     /// Creates the state of a router that knows no configuration. `run` numbers this run of the
     /// host; a later run has a higher number.
     pub fn new(wire: W, clock: C, log: EventLog, settings: GatewaySettings, run: u64) -> Self {
@@ -133,9 +133,9 @@
             run,
             data_centre: settings.data_centre.clone(),
             share_window: settings.share_window,
-            recovery: settings.recovery,
-            resends: settings.resends,
-            cold_starts: settings.cold_starts,
+            recovery: settings.recovery_time,
+            resends: settings.resend_limits,
+            cold_starts: settings.cold_start_bounds,
             admission: settings.admission.clone(),
         });
         let limits = sedgeridge_fleet::config::CallerLimits::default();
@@ -187,9 +187,9 @@
         let mut dispatcher = self.dispatcher.borrow_mut();
         dispatcher.set_bounds(
             bounds.share_window,
-            bounds.recovery,
-            bounds.resends,
-            bounds.cold_starts,
+            bounds.recovery_time,
+            bounds.resend_limits,
+            bounds.cold_start_bounds,
         );
         true
     }
@@ -374,7 +374,7 @@
 /// Tells the dispatcher when a request ends without another word, for example because its caller
 /// left and its task was dropped.
 #[derive(Debug)]
-pub struct RequestGuard<W: Wire, C: Clock> {
+pub struct RequestGuard<W: WireFormat, C: Clock> {
     core: Rc<Core<W, C>>,
     id: RequestId,
     name: Arc<str>,
@@ -395,7 +395,7 @@
     Cut,
 }
 
-impl<W: Wire, C: Clock> RequestGuard<W, C> {
+impl<W: WireFormat, C: Clock> RequestGuard<W, C> {
     /// Watches over a request that was handed in and holds `memory`; `name` is its id on the wire.
     pub fn new(core: Rc<Core<W, C>>, id: RequestId, name: Arc<str>, memory: HeldMemory) -> Self {
         core.in_progress.set(core.in_progress.get() + 1);
@@ -442,7 +442,7 @@
     }
 }
 
-impl<W: Wire, C: Clock> Drop for RequestGuard<W, C> {
+impl<W: WireFormat, C: Clock> Drop for RequestGuard<W, C> {
     fn drop(&mut self) {
         self.core.in_progress.set(self.core.in_progress.get() - 1);
         let (reason, event) = match self.end {
--- a/crates/gateway/src/early_refusal.rs
+++ b/crates/gateway/src/early_refusal.rs
@@ -28,7 +28,7 @@
 use crate::caller_stream::CallerStream;
 use crate::clock::Clock;
 use crate::core::Core;
-use crate::wire::Wire;
+use crate::wire::WireFormat;
 
 /// Longest request that is refused early. Longer ones take the usual way.
 const MOST_BYTES: usize = 16 * 1024;
@@ -56,7 +56,7 @@
 }
 
 /// Refuses the next request on a connection if that can be told from its first bytes.
-pub(crate) fn refuse_next<W: Wire, C: Clock>(
+pub(crate) fn refuse_next<W: WireFormat, C: Clock>(
     core: &Rc<Core<W, C>>,
     stream: &CallerStream,
 ) -> Early {
@@ -132,9 +132,9 @@
 }
 
 /// Returns the answer to a request that is refused at once.
-fn refuse<W: Wire, C: Clock>(core: &Rc<Core<W, C>>, head: &Parts) -> Option<Vec<u8>> {
+fn refuse<W: WireFormat, C: Clock>(core: &Rc<Core<W, C>>, head: &Parts) -> Option<Vec<u8>> {
     let received_at = core.now();
-    let facts = core.wire.request(head).ok()?;
+    let facts = core.wire.parse_request(head).ok()?;
     let (route, account) = look_up(core, head, &facts).ok()?;
     let account = account?;
     let prompt = facts.prompt.as_ref()?;
@@ -182,7 +182,7 @@
 }
 
 /// Refuses a request that another host has the time for.
-fn shed<W: Wire, C: Clock>(core: &Rc<Core<W, C>>, refused: &Refused<'_>) -> Vec<u8> {
+fn shed<W: WireFormat, C: Clock>(core: &Rc<Core<W, C>>, refused: &Refused<'_>) -> Vec<u8> {
     let reason = RefusalReason::HostBusy;
     log_refusal(core, refused, reason, BUSY_RETRY, &Basis::default());
     answer(core.closes_connections(), reason.as_str(), BUSY_RETRY)
--- a/crates/gateway/src/http_caller.rs
+++ b/crates/gateway/src/http_client.rs
@@ -50,13 +50,13 @@
 
 /// Calls one address.
 #[derive(Debug)]
-pub struct HttpCaller<C> {
+pub struct HttpClient<C> {
     address: SocketAddr,
     clock: C,
     pool: RefCell<EndpointPool>,
 }
 
-impl<C: Clock> HttpCaller<C> {
+impl<C: Clock> HttpClient<C> {
     /// Creates a caller without connections.
     pub fn new(address: SocketAddr, clock: C) -> Self {
         Self {
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -2,7 +2,7 @@
 //! store on one thread.
 //!
 //! Decisions are those of `sedgeridge-fleet`. What is particular to a platform comes in through
-//! [`wire::Wire`] and [`store::Store`].
+//! [`wire::WireFormat`] and [`store::Store`].
 
 pub mod answer;
 pub mod attempt;
@@ -19,7 +19,7 @@
 pub mod endpoint_pool;
 pub mod event_log;
 pub mod held_memory;
-pub mod http_caller;
+pub mod http_client;
 pub mod loop_lag;
 pub mod meters;
 mod page_server;
--- a/crates/gateway/src/meters.rs
+++ b/crates/gateway/src/meters.rs
@@ -22,7 +22,7 @@
 /// # Errors
 ///
 /// A recorder is installed already.
-pub fn install() -> Result<PrometheusHandle, BuildError> {
+pub fn install_recorder() -> Result<PrometheusHandle, BuildError> {
     let builder = PrometheusBuilder::new().set_buckets(&BUCKETS_S)?;
     builder.install_recorder()
 }
--- a/crates/gateway/src/page_server.rs
+++ b/crates/gateway/src/page_server.rs
@@ -18,7 +18,7 @@
 
 use crate::clock::Clock;
 use crate::core::Core;
-use crate::wire::Wire;
+use crate::wire::WireFormat;
 
 /// Time after which a connection without a question is closed. The balancer asks each second.
 ///
@@ -30,7 +30,7 @@
 pub type Page = Response<Full<Bytes>>;
 
 /// Answers each question with what `page` makes of it, for as long as the process runs.
-pub async fn serve_pages<W: Wire, C: Clock>(
+pub async fn serve_pages<W: WireFormat, C: Clock>(
     core: Rc<Core<W, C>>,
     listener: TcpListener,
     page: impl Fn(&Request<Incoming>) -> Page + Clone + 'static,
--- a/crates/gateway/src/pages.rs
+++ b/crates/gateway/src/pages.rs
@@ -18,20 +18,20 @@
 use crate::page_server::Page;
 use crate::page_server::serve_pages;
 use crate::resident_memory::resident_bytes;
-use crate::wire::Wire;
+use crate::wire::WireFormat;
 
 const METRICS_PATH: &str = "/metrics";
 /// Time between two foldings of samples, which take memory with each request.
 const FOLD_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Answers the balancer for as long as the process runs.
-pub async fn serve_ready<W: Wire, C: Clock>(core: Rc<Core<W, C>>, listener: TcpListener) {
+pub async fn serve_ready<W: WireFormat, C: Clock>(core: Rc<Core<W, C>>, listener: TcpListener) {
     let asked = core.clone();
     serve_pages(core, listener, move |request| ready_page(&asked, request)).await;
 }
 
 /// Serves the metrics page for as long as the process runs.
-pub async fn serve_metrics<W: Wire, C: Clock>(
+pub async fn serve_metrics<W: WireFormat, C: Clock>(
     core: Rc<Core<W, C>>,
     recorder: PrometheusHandle,
     listener: TcpListener,
@@ -58,7 +58,7 @@
     }
 }
 
-fn set_gauges<W: Wire, C: Clock>(core: &Core<W, C>) {
+fn set_gauges<W: WireFormat, C: Clock>(core: &Core<W, C>) {
     let now = core.now();
     let (moment, counts) = core.with_dispatcher(|dispatcher| {
         let moment = Moment {
@@ -87,7 +87,7 @@
     page
 }
 
-fn ready_page<W: Wire, C: Clock>(core: &Core<W, C>, request: &Request<Incoming>) -> Page {
+fn ready_page<W: WireFormat, C: Clock>(core: &Core<W, C>, request: &Request<Incoming>) -> Page {
     let status = match request.uri().path() {
         path if path != core.wire.ready_path() => StatusCode::NOT_FOUND,
         _ if core.is_ready() => StatusCode::OK,
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -37,7 +37,7 @@
 use crate::table_copies::Fetched;
 use crate::table_copies::fetch_copy;
 use crate::table_follower::Tables;
-use crate::wire::Wire;
+use crate::wire::WireFormat;
 
 /// Time between looks whether reports are due.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
@@ -68,7 +68,7 @@
     random: RefCell<SeededRandom>,
 }
 
-impl<W: Wire, C: Clock> Peers<W, C> {
+impl<W: WireFormat, C: Clock> Peers<W, C> {
     /// Creates the state of a host that has heard of no other.
     pub fn new(core: Rc<Core<W, C>>, tables: Rc<Tables<W, C>>) -> Self {
         let seed = stable_hash(&core.settings.host);
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -25,7 +25,7 @@
 use crate::store::Store;
 use crate::store::Table;
 use crate::table_follower::Tables;
-use crate::wire::Wire;
+use crate::wire::WireFormat;
 
 /// Time between looks at the settings, which may change without a word.
 const SETTINGS_INTERVAL: Duration = Duration::from_secs(5);
@@ -50,11 +50,11 @@
     /// What renders the metrics page, if it is served.
     pub metrics: Option<PrometheusHandle>,
     /// Notified when the process is told to stop.
-    pub stop: Rc<Notify>,
+    pub stop_signal: Rc<Notify>,
     /// Notified when the process is told that its settings changed.
-    pub reload: Rc<Notify>,
+    pub reload_signal: Rc<Notify>,
     /// Number of this run of the host; a later run has a higher one.
-    pub run: u64,
+    pub run_number: u64,
 }
 
 /// Reads the settings from where they are kept.
@@ -72,7 +72,7 @@
 /// # Errors
 ///
 /// An address cannot be bound.
-pub async fn serve<W: Wire, C: Clock, S: Store, R: SettingsSource>(
+pub async fn serve<W: WireFormat, C: Clock, S: Store, R: SettingsSource>(
     context: Context<W, C, S, R>,
     settings: GatewaySettings,
 ) -> io::Result<()> {
@@ -87,7 +87,7 @@
         context.clock,
         context.log,
         settings,
-        context.run,
+        context.run_number,
     );
     let core = Rc::new(core);
     let tables = Rc::new(Tables::new(core.clone()));
@@ -118,14 +118,14 @@
         ("callers", core.settings.callers_address.to_string().into()),
         ("peers", core.settings.peers_address.to_string().into()),
         ("data_centre", (*core.settings.data_centre).into()),
-        ("run", context.run.into()),
+        ("run", context.run_number.into()),
     ];
     core.log(LogEvent::Started, &fields);
 
     loop {
         tokio::select! {
-            () = context.stop.notified() => break,
-            () = context.reload.notified() => {}
+            () = context.stop_signal.notified() => break,
+            () = context.reload_signal.notified() => {}
             () = tokio::time::sleep(SETTINGS_INTERVAL) => {}
         }
         reload(&core, &context.settings_source);
@@ -140,7 +140,7 @@
 }
 
 /// Takes in changed bounds. Addresses and names hold to the end of the process.
-fn reload<W: Wire, C: Clock, R: SettingsSource>(core: &Core<W, C>, source: &R) {
+fn reload<W: WireFormat, C: Clock, R: SettingsSource>(core: &Core<W, C>, source: &R) {
     let settings = match source.read() {
         Ok(settings) => settings,
         Err(reason) => {
@@ -152,16 +152,16 @@
         return;
     }
     let fields = [
-        ("grace_ms", millis(settings.grace)),
+        ("grace_ms", millis(settings.grace_period)),
         ("share_window_ms", millis(settings.share_window)),
-        ("recovery_ms", millis(settings.recovery)),
-        ("resend_ratio", settings.resends.ratio.into()),
-        ("resend_min_extra", settings.resends.min_extra.into()),
+        ("recovery_ms", millis(settings.recovery_time)),
+        ("resend_ratio", settings.resend_limits.ratio.into()),
+        ("resend_min_extra", settings.resend_limits.min_extra.into()),
     ];
     core.log(LogEvent::SettingsAdopted, &fields);
 }
 
-async fn stop<W: Wire, C: Clock, S: Store>(
+async fn stop<W: WireFormat, C: Clock, S: Store>(
     core: &Rc<Core<W, C>>,
     peers: &Peers<W, C>,
     store: Rc<S>,
@@ -170,8 +170,8 @@
     core.stopping.send_replace(Some(started_at));
     let entry = peers.entry();
     spawn_local(async move { store.unregister(&entry).await });
-    let ends_at = started_at + core.bounds.borrow().grace.mul_f64(GRACE_PART);
-    let rotated_at = started_at + rotation_time(core.bounds.borrow().grace);
+    let ends_at = started_at + core.bounds.borrow().grace_period.mul_f64(GRACE_PART);
+    let rotated_at = started_at + rotation_time(core.bounds.borrow().grace_period);
     loop {
         tokio::time::sleep(STOP_INTERVAL).await;
         let now = core.now();
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -28,15 +28,15 @@
     /// Memory that the process may have. With more it is killed.
     pub memory_bytes: u64,
     /// Time between SIGTERM and SIGKILL.
-    pub grace: Duration,
+    pub grace_period: Duration,
     /// Window over which accounts share the engines.
     pub share_window: Duration,
     /// Time in which a fleet that was restarted serves again.
-    pub recovery: Duration,
+    pub recovery_time: Duration,
     /// Bounds of sending a request to a second endpoint.
-    pub resends: ResendLimits,
+    pub resend_limits: ResendLimits,
     /// Bounds of requests to endpoints that have just started.
-    pub cold_starts: ColdStartBounds,
+    pub cold_start_bounds: ColdStartBounds,
     /// Bounds of queueing and of engines' backlogs.
     pub admission: AdmissionSettings,
 }
--- a/crates/gateway/src/stream_forward.rs
+++ b/crates/gateway/src/stream_forward.rs
@@ -27,11 +27,11 @@
 use crate::core::RequestGuard;
 use crate::event_log::LogEvent;
 use crate::meters;
-use crate::wire::Wire;
+use crate::wire::WireFormat;
 
 /// A stream in progress.
 #[derive(Debug)]
-pub struct StreamForwarder<W: Wire, C: Clock> {
+pub struct StreamForwarder<W: WireFormat, C: Clock> {
     /// The router's state.
     pub core: Rc<Core<W, C>>,
     /// Ends the request with the stream.
@@ -57,7 +57,7 @@
 
 type Pieces = mpsc::Sender<Result<Bytes, StreamCut>>;
 
-impl<W: Wire, C: Clock> StreamForwarder<W, C> {
+impl<W: WireFormat, C: Clock> StreamForwarder<W, C> {
     /// Starts passing on, and returns the pieces for the caller's answer.
     pub fn start(
         self,
--- a/crates/gateway/src/table_copies.rs
+++ b/crates/gateway/src/table_copies.rs
@@ -31,7 +31,7 @@
 use crate::page_server::Page;
 use crate::store::Table;
 use crate::table_follower::Tables;
-use crate::wire::Wire;
+use crate::wire::WireFormat;
 
 /// Longest copy. Tables hold some hundred rows of less than a kilobyte, and 2,200 at the size to build
 /// for.
@@ -166,7 +166,7 @@
 
 impl CopyPages {
     /// Answers another host's question for a copy.
-    pub fn page<W: Wire, C: Clock>(
+    pub fn page<W: WireFormat, C: Clock>(
         &self,
         tables: &Tables<W, C>,
         request: &Request<Incoming>,
@@ -184,7 +184,12 @@
         }
     }
 
-    fn bytes<W: Wire, C: Clock>(&self, tables: &Tables<W, C>, table: Table, after: u64) -> Bytes {
+    fn bytes<W: WireFormat, C: Clock>(
+        &self,
+        tables: &Tables<W, C>,
+        table: Table,
+        after: u64,
+    ) -> Bytes {
         let version = tables.changed_version(table);
         let mut all_made = self.made.borrow_mut();
         let made = all_made.get(&table);
--- a/crates/gateway/src/table_follower.rs
+++ b/crates/gateway/src/table_follower.rs
@@ -26,7 +26,7 @@
 use crate::meters;
 use crate::store::Store;
 use crate::store::Table;
-use crate::wire::Wire;
+use crate::wire::WireFormat;
 
 /// Time between looks for entries whose time is over.
 const EXPIRY_INTERVAL: Duration = Duration::from_millis(200);
@@ -48,7 +48,7 @@
     news: Notify,
 }
 
-impl<W: Wire, C: Clock> Tables<W, C> {
+impl<W: WireFormat, C: Clock> Tables<W, C> {
     /// Creates empty copies.
     pub fn new(core: Rc<Core<W, C>>) -> Self {
         let seed = stable_hash(&core.settings.host);
@@ -261,7 +261,7 @@
     fn apply(&self, table: Table, changed: Vec<Row>) {
         for row in changed {
             match table {
-                Table::Config => match self.core.wire.evacuated(&row.key) {
+                Table::Config => match self.core.wire.evacuated_data_centre(&row.key) {
                     Some(data_centre) => self.apply_evacuation(&row, data_centre),
                     None => self.apply_config(&row),
                 },
@@ -275,7 +275,7 @@
         let Some(document) = &row.value else {
             return;
         };
-        let config = match self.core.wire.config(document) {
+        let config = match self.core.wire.parse_config(document) {
             Ok(config) => config,
             Err(error) => {
                 let fields = [
@@ -329,7 +329,7 @@
             self.remove_endpoint(&row.key);
             return;
         };
-        match self.core.wire.endpoint(&row.key, document) {
+        match self.core.wire.parse_endpoint(&row.key, document) {
             Ok(endpoint) => {
                 let fields = [
                     ("endpoint", (*row.key).into()),
--- a/crates/gateway/src/wire.rs
+++ b/crates/gateway/src/wire.rs
@@ -14,7 +14,7 @@
 
 /// Facts that the head of a caller's request states.
 #[derive(Debug, Clone, PartialEq)]
-pub struct RequestFacts {
+pub struct RequestMetadata {
     /// Identifies this attempt of the caller. Endpoints echo it.
     pub id: Arc<str>,
     /// Key of a client account.
@@ -29,7 +29,7 @@
 
 /// What a request to an endpoint says in addition to the caller's own headers.
 #[derive(Debug, Clone, PartialEq)]
-pub struct ForwardFacts<'a> {
+pub struct ForwardMetadata<'a> {
     /// The endpoint for which the request is meant. Any other turns it away.
     pub endpoint: &'a Endpoint,
     /// The account that pays.
@@ -42,13 +42,13 @@
 
 /// What the head of an endpoint's answer states.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct AnswerFacts {
+pub struct ResponseMetadata {
     /// The request that it answers, if it says so.
     pub id: Option<Arc<str>>,
     /// Whether the endpoint vouches for the answer.
-    pub is_vouched: bool,
+    pub has_proof: bool,
     /// What the answer says of the run.
-    pub run: RunStatus,
+    pub execution: ExecutionStatus,
     /// Whether the endpoint says that it is about to stop.
     pub is_leaving: bool,
     /// How long the endpoint wants no further request from this host.
@@ -57,7 +57,7 @@
 
 /// Whether an endpoint ran a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum RunStatus {
+pub enum ExecutionStatus {
     /// It did, or may have.
     MayHaveRun,
     /// It turned the request away unrun.
@@ -83,37 +83,37 @@
 }
 
 /// Translates between a platform's forms and the product's types.
-pub trait Wire: 'static {
+pub trait WireFormat: 'static {
     /// Reads the head of a caller's request.
     ///
     /// # Errors
     ///
     /// The request lacks its id, or a header has no usable value.
-    fn request(&self, head: &request::Parts) -> Result<RequestFacts, WireError>;
+    fn parse_request(&self, head: &request::Parts) -> Result<RequestMetadata, WireError>;
 
     /// Turns the headers of a caller's request into those for an endpoint.
-    fn forward(&self, headers: &mut HeaderMap, facts: &ForwardFacts<'_>);
+    fn write_forward_headers(&self, headers: &mut HeaderMap, facts: &ForwardMetadata<'_>);
 
     /// Reads the head of an endpoint's answer.
-    fn answer(&self, head: &response::Parts) -> AnswerFacts;
+    fn parse_response(&self, head: &response::Parts) -> ResponseMetadata;
 
     /// Reads a configuration.
     ///
     /// # Errors
     ///
     /// The document cannot be used.
-    fn config(&self, document: &[u8]) -> Result<FleetConfig, WireError>;
+    fn parse_config(&self, document: &[u8]) -> Result<FleetConfig, WireError>;
 
     /// Reads an endpoint's entry, which is listed under `id`.
     ///
     /// # Errors
     ///
     /// The document cannot be used.
-    fn endpoint(&self, id: &str, document: &[u8]) -> Result<Endpoint, WireError>;
+    fn parse_endpoint(&self, id: &str, document: &[u8]) -> Result<Endpoint, WireError>;
 
     /// Returns the data centre to whose endpoints nothing is to be sent while this row of the operator's table
     /// exists; `None` for other rows.
-    fn evacuated(&self, key: &str) -> Option<Arc<str>>;
+    fn evacuated_data_centre(&self, key: &str) -> Option<Arc<str>>;
 
     /// Path on which the balancer asks whether the router is ready.
     fn ready_path(&self) -> &'static str;
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -33,7 +33,7 @@
 use sedgeridge_fleet::row_watch::Row;
 use sedgeridge_fleet::row_watch::StoreAnswer;
 use sedgeridge_fleet::row_watch::StoreCall;
-use sedgeridge_gateway::clock::SteadyClock;
+use sedgeridge_gateway::clock::MonotonicClock;
 use sedgeridge_gateway::event_log::EventLog;
 use sedgeridge_gateway::meters;
 use sedgeridge_gateway::serve::Context;
@@ -43,12 +43,12 @@
 use sedgeridge_gateway::store::HostEntry;
 use sedgeridge_gateway::store::Store;
 use sedgeridge_gateway::store::Table;
-use sedgeridge_gateway::wire::AnswerFacts;
-use sedgeridge_gateway::wire::ForwardFacts;
-use sedgeridge_gateway::wire::RequestFacts;
-use sedgeridge_gateway::wire::RunStatus;
-use sedgeridge_gateway::wire::Wire;
+use sedgeridge_gateway::wire::ExecutionStatus;
+use sedgeridge_gateway::wire::ForwardMetadata;
+use sedgeridge_gateway::wire::RequestMetadata;
+use sedgeridge_gateway::wire::ResponseMetadata;
 use sedgeridge_gateway::wire::WireError;
+use sedgeridge_gateway::wire::WireFormat;
 use sedgeridge_state::ids::AccountId;
 use sedgeridge_state::ids::EndpointId;
 use sedgeridge_state::ids::ServiceId;
@@ -84,10 +84,10 @@
     headers.get(name)?.to_str().ok().map(Arc::from)
 }
 
-impl Wire for TestWire {
-    fn request(&self, head: &http::request::Parts) -> Result<RequestFacts, WireError> {
+impl WireFormat for TestWire {
+    fn parse_request(&self, head: &http::request::Parts) -> Result<RequestMetadata, WireError> {
         let headers = &head.headers;
-        Ok(RequestFacts {
+        Ok(RequestMetadata {
             id: text(headers, "id").ok_or(WireError::Missing("id"))?,
             key: text(headers, "key"),
             time_left: text(headers, "time-left-ms")
@@ -100,7 +100,7 @@
         })
     }
 
-    fn forward(&self, headers: &mut HeaderMap, facts: &ForwardFacts<'_>) {
+    fn write_forward_headers(&self, headers: &mut HeaderMap, facts: &ForwardMetadata<'_>) {
         headers.remove("key");
         if let Some(account) = facts.account {
             let account = HeaderValue::from_str(account.as_str()).expect("ASCII");
@@ -111,13 +111,13 @@
         }
     }
 
-    fn answer(&self, head: &http::response::Parts) -> AnswerFacts {
-        AnswerFacts {
+    fn parse_response(&self, head: &http::response::Parts) -> ResponseMetadata {
+        ResponseMetadata {
             id: text(&head.headers, "id"),
-            is_vouched: head.headers.contains_key("proof"),
-            run: match head.headers.contains_key("not-run") {
-                true => RunStatus::NotRun,
-                false => RunStatus::MayHaveRun,
+            has_proof: head.headers.contains_key("proof"),
+            execution: match head.headers.contains_key("not-run") {
+                true => ExecutionStatus::NotRun,
+                false => ExecutionStatus::MayHaveRun,
             },
             is_leaving: head.headers.contains_key("leaving"),
             pause: text(&head.headers, "pause-ms")
@@ -126,15 +126,15 @@
         }
     }
 
-    fn config(&self, _: &[u8]) -> Result<FleetConfig, WireError> {
+    fn parse_config(&self, _: &[u8]) -> Result<FleetConfig, WireError> {
         Ok(FleetConfig::clone(&self.config))
     }
 
-    fn evacuated(&self, _: &str) -> Option<Arc<str>> {
+    fn evacuated_data_centre(&self, _: &str) -> Option<Arc<str>> {
         None
     }
 
-    fn endpoint(&self, id: &str, document: &[u8]) -> Result<Endpoint, WireError> {
+    fn parse_endpoint(&self, id: &str, document: &[u8]) -> Result<Endpoint, WireError> {
         if document == UNREADABLE {
             return Err(WireError::Missing("service"));
         }
@@ -352,14 +352,14 @@
             config: Rc::new(config),
             endpoints: Rc::new(endpoints),
         },
-        clock: SteadyClock::start(),
+        clock: MonotonicClock::start(),
         store,
         settings_source: FixedSettings(settings.clone()),
         log: EventLog::silent(Arc::from("test")),
         metrics: recorder(),
-        stop: stop.clone(),
-        reload: Rc::new(Notify::new()),
-        run: 1,
+        stop_signal: stop.clone(),
+        reload_signal: Rc::new(Notify::new()),
+        run_number: 1,
     };
     let is_stopped = Rc::new(RefCell::new(false));
     let fleet = Fleet {
@@ -381,7 +381,9 @@
 /// The recorder of the test's process, which all its routers share.
 fn recorder() -> Option<PrometheusHandle> {
     static RECORDER: OnceLock<Option<PrometheusHandle>> = OnceLock::new();
-    RECORDER.get_or_init(|| meters::install().ok()).clone()
+    RECORDER
+        .get_or_init(|| meters::install_recorder().ok())
+        .clone()
 }
 
 fn settings() -> GatewaySettings {
@@ -394,11 +396,11 @@
         peers_address: free_address(),
         max_callers: 3,
         memory_bytes: 64 << 20,
-        grace: Duration::from_secs(4),
+        grace_period: Duration::from_secs(4),
         share_window: Duration::from_secs(4),
-        recovery: Duration::from_secs(5),
-        resends: ResendLimits::default(),
-        cold_starts: ColdStartBounds::default(),
+        recovery_time: Duration::from_secs(5),
+        resend_limits: ResendLimits::default(),
+        cold_start_bounds: ColdStartBounds::default(),
         admission: AdmissionSettings::default(),
     }
 }
