--- a/crates/gateway/tests/caller_stream.rs
+++ b/crates/gateway/tests/caller_stream.rs
@@ -1,4 +1,5 @@
-//! Whether a caller has left, asked of the system and not of the event loop.
+//! Tests whether a caller that has left is detected by asking the operating system, not the event
+//! loop.
 
 use std::io::Write;
 use std::net::TcpStream;
@@ -9,8 +10,8 @@
 
 const REQUEST: &[u8] = b"GET / HTTP/1.1\r\n\r\n";
 
-/// A caller sends a request and closes its connection a moment later. The server has read the request;
-/// the event loop has not been told of the close, since nothing ran meanwhile.
+/// A caller sends a request and closes its connection a moment later. The server has read the
+/// request, but the event loop has not been told of the close, since nothing ran meanwhile.
 #[test]
 fn a_caller_that_closed_has_left_and_one_that_waits_has_not() {
     let runtime = tokio::runtime::Builder::new_current_thread()
--- a/crates/gateway/tests/docs.rs
+++ b/crates/gateway/tests/docs.rs
@@ -1,4 +1,4 @@
-//! The catalogue of log events lists what the router logs.
+//! Tests that the catalogue of log events lists what the router logs.
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -9,7 +9,7 @@
 const PAGE: &str = "../../docs/EVENTS.md";
 const MARK: &str = "<!-- gateway events:";
 
-/// An operator looks a number up that an alarm names, and finds another event or none.
+/// Guards against an operator who looks up the number in an alarm and finds another event or none.
 #[test]
 fn the_catalogue_lists_every_event_as_declared() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join(PAGE);
@@ -40,7 +40,8 @@
     }
 }
 
-/// Two events with one number are one event to whoever counts them.
+/// Guards against two events with the same number, which cannot be told apart where they are
+/// counted.
 #[test]
 fn numbers_and_names_of_events_are_distinct() {
     let numbers: BTreeSet<u16> = LogEvent::ALL.iter().map(|event| event.code()).collect();
--- a/crates/gateway/tests/early_refusals.rs
+++ b/crates/gateway/tests/early_refusals.rs
@@ -1,4 +1,4 @@
-//! Requests that are refused by their first bytes while engines have nothing left.
+//! Requests that are refused by their first bytes while the engines have no capacity left.
 
 mod support;
 
@@ -11,13 +11,13 @@
 use tokio::time::timeout;
 use yare::parameterized;
 
-use support::Act;
 use support::Fleet;
+use support::Step;
 use support::header;
 use support::read_message;
 use support::run_engines;
 
-/// So little that one prompt is more than the account's share.
+/// So low that one prompt is more than the account's share.
 const TOKENS_PER_S: f64 = 10.0;
 const TOKENS: u32 = 20_000;
 const READ_TIMEOUT: Duration = Duration::from_secs(3);
@@ -30,14 +30,15 @@
     )
 }
 
-/// Runs a test on a router whose only engine reads a long prompt, so that the account is refused.
+/// Runs a test on a router whose only engine is busy with a long prompt, so that the account is
+/// refused.
 fn run(test: impl AsyncFnOnce(Fleet)) {
-    let script = vec![vec![Act::Read, Act::Hang]];
+    let script = vec![vec![Step::Read, Step::Hang]];
     run_engines(TOKENS_PER_S, script, async |fleet| {
         let mut first = connect(&fleet).await;
         send(&mut first, &engine_request("first", "", "body")).await;
         sleep(Duration::from_millis(100)).await;
-        // Another account asks for a part of what the first one has had.
+        // Another account asks for part of what the first one has used.
         let mut second = connect(&fleet).await;
         let other = engine_request("second", "", "body").replace("secret", "other");
         send(&mut second, &other).await;
@@ -58,27 +59,28 @@
 }
 
 async fn refusal(caller: &mut TcpStream) -> String {
-    let answer = timeout(READ_TIMEOUT, read_message(caller)).await;
-    let answer = answer.expect("an answer in time").expect("an answer");
-    assert!(answer.starts_with("HTTP/1.1 503"), "{answer}");
-    assert!(answer.ends_with("over_share"), "{answer}");
-    let wait: f64 = header(&answer, "retry-after")
+    let response = timeout(READ_TIMEOUT, read_message(caller)).await;
+    let response = response.expect("an answer in time").expect("an answer");
+    assert!(response.starts_with("HTTP/1.1 503"), "{response}");
+    assert!(response.ends_with("over_share"), "{response}");
+    let wait: f64 = header(&response, "retry-after")
         .expect("a time")
         .parse()
         .expect("seconds");
     assert!(wait > 0.0 && wait <= 1.5, "{wait}");
-    answer
+    response
 }
 
 fn requests_seen(fleet: &Fleet) -> usize {
     fleet
-        .seen
+        .records
         .iter()
-        .map(|seen| seen.borrow().requests.len())
+        .map(|records| records.borrow().requests.len())
         .sum()
 }
 
-/// Guards against answers that are lost, doubled or out of order where many requests come on one connection.
+/// Guards against responses that are lost, doubled or out of order when many requests arrive on one
+/// connection.
 #[test]
 fn each_request_of_a_flood_gets_one_answer() {
     run(async |fleet| {
@@ -90,9 +92,9 @@
                 &engine_request(&format!("a{number}"), "", "body"),
             )
             .await;
-            // The server's library dates its answers.
-            let answer = refusal(&mut caller).await;
-            early += u32::from(header(&answer, "date").is_none());
+            // hyper adds a date to its responses.
+            let response = refusal(&mut caller).await;
+            early += u32::from(header(&response, "date").is_none());
         }
         assert!(early > 100, "{early} were refused by their first bytes");
         let pipelined: String = (0..50)
@@ -106,7 +108,8 @@
     });
 }
 
-/// Guards against a request that comes in pieces, or whose length only the server's library knows.
+/// Guards against wrong handling of a request that arrives in pieces, or whose length only hyper
+/// knows.
 #[parameterized(
     within_head = { "POST /plan HTTP/1.1\r\nHost: desk.example\r\nid: a\r\nkey: sec", "ret\r\ntokens: 20000\r\nContent-Length: 4\r\n\r\nbody" },
     before_body = { "POST /plan HTTP/1.1\r\nHost: desk.example\r\nid: a\r\nkey: secret\r\ntokens: 20000\r\nContent-Length: 4\r\n\r\n", "body" },
@@ -118,7 +121,7 @@
     run(async move |fleet| {
         let mut caller = connect(&fleet).await;
         for _ in 0..3 {
-            // Makes the next request one that may be refused early.
+            // After this request, the next one may be refused early.
             send(&mut caller, &engine_request("before", "", "body")).await;
             refusal(&mut caller).await;
             send(&mut caller, &first).await;
@@ -130,13 +133,13 @@
     });
 }
 
-/// Guards against a stated length that is read in another way than by the server's library.
+/// Guards against a stated length that is parsed in another way than by hyper.
 #[parameterized(
     beyond_all = { "18446744073709551615" },
     signed = { "+4" },
     twice = { "4\r\nContent-Length: 5" },
 )]
-fn odd_lengths_are_left_to_the_server(length: &str) {
+fn unusual_lengths_are_left_to_hyper(length: &str) {
     let odd = format!(
         "POST /plan HTTP/1.1\r\nHost: desk.example\r\nid: x\r\nkey: secret\r\ntokens: 5\r\n\
          Content-Length: {length}\r\n\r\nbody"
@@ -146,14 +149,14 @@
         send(&mut caller, &engine_request("a", "", "body")).await;
         refusal(&mut caller).await;
         send(&mut caller, &odd).await;
-        let answer = timeout(READ_TIMEOUT, read_message(&mut caller)).await;
-        // Closing the connection without a word is an answer too.
-        let answer = answer.expect("an end in time").unwrap_or_default();
-        assert!(!answer.starts_with("HTTP/1.1 503"), "{answer}");
+        let response = timeout(READ_TIMEOUT, read_message(&mut caller)).await;
+        // Closing the connection without a response is valid too.
+        let response = response.expect("an end in time").unwrap_or_default();
+        assert!(!response.starts_with("HTTP/1.1 503"), "{response}");
     });
 }
 
-/// Guards against a caller that asks for the end of the connection and waits for it.
+/// Guards against leaving a caller waiting that asked for the end of the connection.
 #[test]
 fn a_connection_that_its_caller_wants_closed_is_closed() {
     run(async |fleet| {
@@ -172,12 +175,12 @@
     });
 }
 
-/// Guards against an early refusal of what isn't an engine's request, or of a key that nobody has.
+/// Guards against an early refusal of a request that isn't for an engine, or has an unknown key.
 #[parameterized(
     unknown_key = { "key: guess", "401" },
     no_route = { "key: secret", "404" },
 )]
-fn other_answers_stay_as_they_are(key: &str, status: &str) {
+fn other_error_responses_are_unchanged(key: &str, status: &str) {
     let path = match status {
         "404" => "elsewhere.example",
         _ => "desk.example",
@@ -191,11 +194,11 @@
         send(&mut caller, &engine_request("a", "", "body")).await;
         refusal(&mut caller).await;
         send(&mut caller, &request).await;
-        let answer = timeout(READ_TIMEOUT, read_message(&mut caller)).await;
-        let answer = answer.expect("in time").expect("an answer");
+        let response = timeout(READ_TIMEOUT, read_message(&mut caller)).await;
+        let response = response.expect("in time").expect("an answer");
         assert!(
-            answer.starts_with(&format!("HTTP/1.1 {status}")),
-            "{answer}"
+            response.starts_with(&format!("HTTP/1.1 {status}")),
+            "{response}"
         );
     });
 }
--- a/crates/gateway/tests/endpoint_notices.rs
+++ b/crates/gateway/tests/endpoint_notices.rs
@@ -1,4 +1,5 @@
-//! What endpoints say of themselves in their answers: that they leave, or want no requests for a while.
+//! Notices of endpoints about themselves in their responses: that they leave, or want no requests
+//! for a while.
 
 mod support;
 
@@ -8,58 +9,60 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-use support::Act;
 use support::Fleet;
-use support::ask;
+use support::Step;
 use support::request;
+use support::response_with_body;
 use support::run;
-use support::whole;
+use support::send_request;
 
-/// Time that the scripted endpoints ask for without requests.
+/// Time for which the scripted endpoints want no requests.
 const PAUSE: Duration = Duration::from_millis(600);
 const WORK_TIME: Duration = Duration::from_millis(50);
 
-fn answer(head: &str, headers: &str) -> Vec<Act> {
-    let answer =
+fn response(head: &str, headers: &str) -> Vec<Step> {
+    let response =
         format!("HTTP/1.1 {head}\r\nid: {{id}}\r\n{headers}\r\nContent-Length: 2\r\n\r\nok");
-    vec![Act::Read, Act::Send(answer)]
+    vec![Step::Read, Step::Send(response)]
 }
 
-fn pause() -> Vec<Act> {
+fn pause_response() -> Vec<Step> {
     let headers = format!("not-run: 1\r\npause-ms: {}", PAUSE.as_millis());
-    answer("503 Busy", &headers)
+    response("503 Busy", &headers)
 }
 
-fn good() -> Vec<Act> {
-    vec![Act::Read, Act::Send(whole("kit list"))]
+fn ok_response() -> Vec<Step> {
+    vec![Step::Read, Step::Send(response_with_body("kit list"))]
 }
 
 fn requests_at(fleet: &Fleet, endpoint: usize) -> usize {
-    fleet.seen[endpoint].borrow().requests.len()
+    fleet.records[endpoint].borrow().requests.len()
 }
 
 /// Returns the endpoint that got the first request.
-fn first_asked(fleet: &Fleet) -> usize {
-    let asked = (0..fleet.seen.len()).find(|at| requests_at(fleet, *at) > 0);
+fn first_endpoint_asked(fleet: &Fleet) -> usize {
+    let asked = (0..fleet.records.len()).find(|at| requests_at(fleet, *at) > 0);
     asked.expect("an endpoint was asked")
 }
 
-/// Guards against requests to an endpoint that has announced its end in an answer, while the store cannot tell of it.
+/// Guards against requests to an endpoint that has announced its end in a response, while the store
+/// cannot tell of it.
 #[test]
 fn an_endpoint_that_says_it_leaves_gets_no_more_requests() {
-    for last_words in [
-        answer("200 OK", "proof: p\r\nleaving: 1"),
-        answer("404 Not Found", "proof: p\r\nleaving: 1"),
-        answer("500 Error", "proof: p\r\nleaving: 1"),
-        answer("503 Busy", "not-run: 1\r\nleaving: 1"),
+    for last_response in [
+        response("200 OK", "proof: p\r\nleaving: 1"),
+        response("404 Not Found", "proof: p\r\nleaving: 1"),
+        response("500 Error", "proof: p\r\nleaving: 1"),
+        response("503 Busy", "not-run: 1\r\nleaving: 1"),
     ] {
-        let script = vec![last_words, good()];
+        let script = vec![last_response, ok_response()];
         run(Repeat::AtMostOnce, 2, script, async |fleet| {
-            ask(fleet.callers, &request("first"), false).await;
-            let leaving = first_asked(&fleet);
+            send_request(fleet.callers, &request("first"), false).await;
+            let leaving = first_endpoint_asked(&fleet);
             for number in 0..20 {
-                let answer = ask(fleet.callers, &request(&number.to_string()), false).await;
-                assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
+                let response =
+                    send_request(fleet.callers, &request(&number.to_string()), false).await;
+                assert!(response.starts_with("HTTP/1.1 200"), "{response}");
             }
             assert_eq!(requests_at(&fleet, leaving), 1);
         });
@@ -70,19 +73,21 @@
 #[test]
 fn an_endpoint_gets_no_requests_in_the_time_for_which_it_wants_none() {
     let slow = vec![
-        Act::Read,
-        Act::Wait(WORK_TIME),
-        Act::Send(whole("kit list")),
+        Step::Read,
+        Step::Wait(WORK_TIME),
+        Step::Send(response_with_body("kit list")),
     ];
-    let script = vec![pause(), slow];
+    let script = vec![pause_response(), slow];
     run(Repeat::AtMostOnce, 2, script, async |fleet| {
-        let answer = ask(fleet.callers, &request("first"), false).await;
-        assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
+        let response = send_request(fleet.callers, &request("first"), false).await;
+        assert!(response.starts_with("HTTP/1.1 200"), "{response}");
         let before = [requests_at(&fleet, 0), requests_at(&fleet, 1)];
         assert_eq!(before, [1, 1], "one rests, the other one has answered");
         let callers = (0..12).map(|number| {
             let callers = fleet.callers;
-            spawn_local(async move { ask(callers, &request(&number.to_string()), false).await })
+            spawn_local(
+                async move { send_request(callers, &request(&number.to_string()), false).await },
+            )
         });
         let callers: Vec<_> = callers.collect();
         sleep(PAUSE - 2 * WORK_TIME).await;
--- a/crates/gateway/tests/metrics_memory.rs
+++ b/crates/gateway/tests/metrics_memory.rs
@@ -1,4 +1,4 @@
-//! Memory of the figures that a router collects.
+//! Memory of the metrics that a router collects.
 
 mod support;
 
@@ -12,28 +12,28 @@
 
 /// Samples of about an hour at some hundred requests a second.
 const SAMPLES: usize = 2_000_000;
-/// Between two rests in which the router's other work is done.
-const SAMPLES_AT_ONCE: usize = 500_000;
-const REST: Duration = Duration::from_millis(1_200);
-/// Kept, they take 16 bytes each, 33 MB.
-const MOST_GROWTH_BYTES: u64 = 16 << 20;
+/// Samples between two pauses in which the router's other tasks run.
+const SAMPLES_PER_BURST: usize = 500_000;
+const PAUSE: Duration = Duration::from_millis(1_200);
+/// Samples that are kept take 16 bytes each, 33 MB in all.
+const MAX_GROWTH_BYTES: u64 = 16 << 20;
 
-/// Nobody reads a router's metrics page. Each request leaves two samples of how long it took, and they
-/// were kept until the page was read: the process grew for as long as it lived, was killed at its memory
-/// limit, and requests in progress got no answer. They are folded into the histogram's buckets
-/// by the router itself.
+/// Guards against samples that are kept until the metrics page is read. Each request leaves two
+/// samples. Where nobody read the page, the process grew until it was killed at its memory limit,
+/// and requests in progress got no response. The router must fold the samples into the histogram's
+/// buckets itself.
 #[test]
 fn samples_are_not_kept_for_a_page_that_nobody_reads() {
     run(Repeat::Idempotent, 1, vec![vec![]], async |_fleet| {
         let before = resident_bytes(std::process::id()).expect("own memory");
-        for _ in 0..SAMPLES / SAMPLES_AT_ONCE {
-            for _ in 0..SAMPLES_AT_ONCE {
+        for _ in 0..SAMPLES / SAMPLES_PER_BURST {
+            for _ in 0..SAMPLES_PER_BURST {
                 meters::record_queue_time(Repeat::Idempotent, Duration::from_millis(3));
             }
-            tokio::time::sleep(REST).await;
+            tokio::time::sleep(PAUSE).await;
         }
         let after = resident_bytes(std::process::id()).expect("own memory");
         let growth = after.saturating_sub(before);
-        assert!(growth < MOST_GROWTH_BYTES, "{growth} bytes");
+        assert!(growth < MAX_GROWTH_BYTES, "{growth} bytes");
     });
 }
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -62,10 +62,10 @@
 use tokio::time::timeout;
 
 const SERVICE: &str = "desk";
-/// Longest time of a test.
+/// Timeout of a test.
 const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Plain names, and a configuration made in the test.
+/// Wire format with plain header names, and with a configuration made by the test.
 #[derive(Debug, Clone)]
 pub struct TestWire {
     pub config: Rc<FleetConfig>,
@@ -135,7 +135,7 @@
     }
 
     fn parse_endpoint(&self, id: &str, document: &[u8]) -> Result<Endpoint, WireError> {
-        if document == UNREADABLE {
+        if document == UNREADABLE_ENTRY {
             return Err(WireError::Missing("service"));
         }
         let known = self.endpoints.get(id).cloned();
@@ -147,10 +147,10 @@
     }
 }
 
-/// An entry that no endpoint wrote.
-const UNREADABLE: &[u8] = b"\xff{";
+/// An entry that no endpoint wrote and that cannot be read.
+const UNREADABLE_ENTRY: &[u8] = b"\xff{";
 
-/// Answers the list once and then keeps every call, but for one change that a test may make.
+/// Lists all rows and then answers no further call, except for one change that a test may trigger.
 #[derive(Debug)]
 pub struct TestStore {
     endpoints: Vec<String>,
@@ -201,7 +201,7 @@
         let row = Row {
             key: Arc::from(self.endpoints[0].as_str()),
             version: 2,
-            value: Some(Arc::from(UNREADABLE)),
+            value: Some(Arc::from(UNREADABLE_ENTRY)),
         };
         StoreAnswer::Rows {
             rows: vec![row],
@@ -220,17 +220,18 @@
     }
 }
 
-/// How connections are treated, in the order in which any endpoint accepts them; the last repeats.
-pub type Script = Vec<Vec<Act>>;
+/// Steps for each connection, in the order in which any endpoint accepts them. The last entry
+/// repeats.
+pub type Script = Vec<Vec<Step>>;
 
-/// What an endpoint does on a connection.
+/// A step of an endpoint on a connection.
 #[derive(Debug, Clone)]
-pub enum Act {
-    /// Reads a request and notes its head and body.
+pub enum Step {
+    /// Reads a request and records its head and body.
     Read,
     /// Sends bytes. `{id}` stands for the id of the last request that was read.
     Send(String),
-    /// Works for a while.
+    /// Waits for a while.
     Wait(Duration),
     /// Closes the connection.
     Close,
@@ -238,19 +239,19 @@
     Hang,
 }
 
-/// An endpoint's notes.
+/// What an endpoint has seen.
 #[derive(Debug, Default)]
-pub struct Seen {
+pub struct EndpointRecord {
     pub requests: Vec<String>,
     /// Connections whose other end closed while the endpoint did nothing.
-    pub closed_while_hanging: usize,
+    pub closed_while_idle: usize,
 }
 
 /// A running router and its endpoints.
 pub struct Fleet {
     pub callers: SocketAddr,
     pub ready: SocketAddr,
-    pub seen: Vec<Rc<RefCell<Seen>>>,
+    pub records: Vec<Rc<RefCell<EndpointRecord>>>,
     /// Makes another writer overwrite the first endpoint's entry.
     pub overwrite: Rc<Notify>,
     pub stop: Rc<Notify>,
@@ -265,10 +266,10 @@
     test: impl FnOnce(Fleet) -> F,
 ) {
     let config = config(repeat, ServiceId::from(SERVICE));
-    run_with(config, endpoints, script, test);
+    run_config(config, endpoints, script, test);
 }
 
-/// Runs a test before engines that process `tokens_per_s` together.
+/// Runs a test on a router with engines that process `tokens_per_s` in total.
 pub fn run_engines<F: Future<Output = ()>>(
     tokens_per_s: f64,
     script: Script,
@@ -286,10 +287,10 @@
         ..ServiceSpec::default()
     };
     config.services.insert(ServiceId::from(SERVICE), spec);
-    run_with(config, 1, script, test);
+    run_config(config, 1, script, test);
 }
 
-fn run_with<F: Future<Output = ()>>(
+fn run_config<F: Future<Output = ()>>(
     config: FleetConfig,
     endpoints: usize,
     script: Script,
@@ -306,8 +307,8 @@
     });
 }
 
-/// Returns an address that nothing else uses: a port that was drawn and released is taken by any connection
-/// on the machine before the router binds it.
+/// Returns an address that nothing else uses. A port that was drawn and released can be taken by
+/// any connection on the machine before the router binds it.
 fn free_address() -> SocketAddr {
     static NEXT_PORT: AtomicU16 = AtomicU16::new(20_000);
     let [_, _, high, low] = std::process::id().to_be_bytes();
@@ -318,14 +319,14 @@
 async fn start(config: FleetConfig, count: usize, script: Script) -> Fleet {
     let service = ServiceId::from(SERVICE);
     let mut endpoints = BTreeMap::new();
-    let mut seen = Vec::new();
+    let mut records = Vec::new();
     let next = Rc::new(Cell::new(0));
     for index in 0..count {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address");
-        let notes = Rc::new(RefCell::new(Seen::default()));
-        seen.push(notes.clone());
-        spawn_local(play(listener, script.clone(), next.clone(), notes));
+        let record = Rc::new(RefCell::new(EndpointRecord::default()));
+        records.push(record.clone());
+        spawn_local(serve_script(listener, script.clone(), next.clone(), record));
         let id = EndpointId::from(format!("desk-{index}").as_str());
         let endpoint = Endpoint {
             key: Endpoint::key_of(&id, None),
@@ -365,7 +366,7 @@
     let fleet = Fleet {
         callers: settings.callers_address,
         ready: settings.ready_address,
-        seen,
+        records,
         overwrite,
         stop,
         is_stopped: is_stopped.clone(),
@@ -378,7 +379,7 @@
     fleet
 }
 
-/// The recorder of the test's process, which all its routers share.
+/// Returns the metrics recorder of the test's process, which all its routers share.
 fn recorder() -> Option<PrometheusHandle> {
     static RECORDER: OnceLock<Option<PrometheusHandle>> = OnceLock::new();
     RECORDER
@@ -440,43 +441,43 @@
     }
 }
 
-async fn play(
+async fn serve_script(
     listener: TcpListener,
     script: Script,
     next: Rc<Cell<usize>>,
-    seen: Rc<RefCell<Seen>>,
+    records: Rc<RefCell<EndpointRecord>>,
 ) {
     while let Ok((stream, _)) = listener.accept().await {
-        let acts = script[next.get().min(script.len() - 1)].clone();
+        let steps = script[next.get().min(script.len() - 1)].clone();
         next.set(next.get() + 1);
-        spawn_local(act(stream, acts, seen.clone()));
+        spawn_local(run_steps(stream, steps, records.clone()));
     }
 }
 
-async fn act(mut stream: TcpStream, acts: Vec<Act>, seen: Rc<RefCell<Seen>>) {
+async fn run_steps(mut stream: TcpStream, steps: Vec<Step>, records: Rc<RefCell<EndpointRecord>>) {
     let mut id = String::new();
-    for act in acts {
-        match act {
-            Act::Read => {
+    for run_steps in steps {
+        match run_steps {
+            Step::Read => {
                 let Some(request) = read_message(&mut stream).await else {
                     return;
                 };
                 id = header(&request, "id").unwrap_or_default();
-                seen.borrow_mut().requests.push(request);
+                records.borrow_mut().requests.push(request);
             }
-            Act::Send(bytes) => {
+            Step::Send(bytes) => {
                 let bytes = bytes.replace("{id}", &id);
                 if stream.write_all(bytes.as_bytes()).await.is_err() {
                     return;
                 }
             }
-            Act::Wait(time) => tokio::time::sleep(time).await,
-            Act::Close => return,
-            Act::Hang => {
+            Step::Wait(time) => tokio::time::sleep(time).await,
+            Step::Close => return,
+            Step::Hang => {
                 let mut rest = [0; 64];
                 let read = stream.read(&mut rest).await;
                 if matches!(read, Ok(0) | Err(_)) {
-                    seen.borrow_mut().closed_while_hanging += 1;
+                    records.borrow_mut().closed_while_idle += 1;
                 }
                 return;
             }
@@ -508,7 +509,7 @@
     found.next().map(|(_, value)| value.trim().to_owned())
 }
 
-/// The head of a request.
+/// Returns a request with a short body.
 pub fn request(id: &str) -> String {
     format!(
         "POST /plan HTTP/1.1\r\nHost: desk.example\r\nid: {id}\r\nkey: secret\r\n\
@@ -516,22 +517,22 @@
     )
 }
 
-/// A whole answer with a length.
-pub fn whole(body: &str) -> String {
+/// Returns a successful response with `body` and its length.
+pub fn response_with_body(body: &str) -> String {
     let length = body.len();
     format!("HTTP/1.1 200 OK\r\nid: {{id}}\r\nproof: p\r\nContent-Length: {length}\r\n\r\n{body}")
 }
 
-/// Sends a request on a new connection and reads the whole answer, to the end of the connection if
+/// Sends a request on a new connection and reads the response, up to the end of the connection if
 /// `to_end`.
-pub async fn ask(address: SocketAddr, request: &str, to_end: bool) -> String {
+pub async fn send_request(address: SocketAddr, request: &str, to_end: bool) -> String {
     let mut stream = TcpStream::connect(address).await.expect("a connection");
     stream.write_all(request.as_bytes()).await.expect("sent");
     if !to_end {
         return read_message(&mut stream).await.unwrap_or_default();
     }
-    let mut answer = Vec::new();
-    // A connection that is reset ends what was read like one that is closed.
-    let _ = timeout(Duration::from_secs(3), stream.read_to_end(&mut answer)).await;
-    String::from_utf8_lossy(&answer).into_owned()
+    let mut response = Vec::new();
+    // A reset ends the data like a close.
+    let _ = timeout(Duration::from_secs(3), stream.read_to_end(&mut response)).await;
+    String::from_utf8_lossy(&response).into_owned()
 }
--- a/crates/gateway/tests/table_copies.rs
+++ b/crates/gateway/tests/table_copies.rs
@@ -12,7 +12,7 @@
 use tokio::task::LocalSet;
 use tokio::task::spawn_local;
 
-/// A copy as hosts of the first version told it.
+/// A copy as sent by hosts of the first version.
 #[derive(Serialize)]
 struct EarliestCopy {
     version: u64,
@@ -27,7 +27,8 @@
     value: Option<serde_bytes::ByteBuf>,
 }
 
-/// A copy whose maker tells what may have lapsed, but not since when it was without the store.
+/// A copy as sent by hosts that report what may have lapsed, but not for how long they were without
+/// the store.
 #[derive(Serialize)]
 struct EarlierCopy {
     version: u64,
@@ -49,8 +50,8 @@
     bytes
 }
 
-/// Answers one question, whatever it is.
-async fn answering(status: &'static str, body: Vec<u8>) -> SocketAddr {
+/// Answers one request with `status` and `body`.
+async fn serve_once(status: &'static str, body: Vec<u8>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
     spawn_local(async move {
@@ -74,12 +75,12 @@
         .build()
         .expect("a runtime");
     LocalSet::new().block_on(&runtime, async move {
-        let from = answering(status, body).await;
+        let from = serve_once(status, body).await;
         fetch_copy(Table::Endpoints, 7, from).await
     })
 }
 
-/// Hosts are replaced in turn, and meanwhile both versions copy from each other.
+/// Hosts are upgraded one after the other, and meanwhile both versions copy from each other.
 #[test]
 fn copies_of_earlier_versions_are_read() {
     let earliest = EarliestCopy {
@@ -115,13 +116,13 @@
 }
 
 #[test]
-fn a_host_that_gives_as_many_as_it_can_is_asked_again() {
+fn a_host_at_its_copy_limit_is_reported_as_busy() {
     let fetched = fetched("503 Service Unavailable", Vec::new());
     assert!(matches!(fetched, FetchResult::Busy));
 }
 
 #[test]
-fn what_is_no_copy_is_not_taken() {
+fn invalid_copies_are_rejected() {
     for (status, body) in [
         ("200 OK", b"no copy".to_vec()),
         ("200 OK", Vec::new()),
