--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/call.rs
@@ -133,8 +133,8 @@
     async fn run(mut self, receiver: VerdictReceiver) -> HeldResponse {
         // The timeout covers everything up to the head of the response. A stream applies the
         // deadline itself.
-        let left = self.outgoing.deadline.saturating_sub(self.gateway.now());
-        match timeout(left, self.run_attempts(receiver)).await {
+        let time_left = self.outgoing.deadline.saturating_sub(self.gateway.now());
+        match timeout(time_left, self.run_attempts(receiver)).await {
             Ok(AttemptsEnd::Response(response)) => HeldResponse {
                 response,
                 memory: self.guard.take_memory(),
--- a/crates/gateway/src/caller_connection.rs
+++ b/crates/gateway/src/caller_connection.rs
@@ -67,9 +67,9 @@
                 continue;
             }
         }
-        let exchange = serve_requests(&gateway, &stream, &history);
+        let serving = serve_requests(&gateway, &stream, &history);
         // Boxed, so that it takes no memory in this task, which lives as long as the connection.
-        if Box::pin(exchange).await == NextStep::Close {
+        if Box::pin(serving).await == NextStep::Close {
             return;
         }
         // hyper stops after some pipelined requests although it has read more.
--- a/crates/gateway/src/caller_request.rs
+++ b/crates/gateway/src/caller_request.rs
@@ -64,8 +64,8 @@
 }
 
 /// Returns the time after SIGTERM in which new requests are still accepted.
-pub fn out_of_rotation_time(grace: Duration) -> Duration {
-    OUT_OF_ROTATION_TIME.min(grace / 2)
+pub fn out_of_rotation_time(grace_period: Duration) -> Duration {
+    OUT_OF_ROTATION_TIME.min(grace_period / 2)
 }
 
 /// Reads a request.
@@ -99,8 +99,8 @@
         request_body::discard(body).await;
         return Err(reject_no_memory(gateway, &metadata));
     };
-    let left = deadline.saturating_sub(gateway.now());
-    let body = request_body::read(body, gateway.max_body_bytes.get(), left, &mut memory).await;
+    let time_left = deadline.saturating_sub(gateway.now());
+    let body = request_body::read(body, gateway.max_body_bytes.get(), time_left, &mut memory).await;
     let body = body.map_err(|error| reject_unread_body(gateway, &metadata, &error))?;
     let mut headers = head.headers;
     remove_hop_by_hop_headers(&mut headers);
--- a/crates/gateway/src/caller_stream.rs
+++ b/crates/gateway/src/caller_stream.rs
@@ -95,8 +95,8 @@
     /// to that body, and only hyper knows how many. If they were taken for the next request, part
     /// of a caller's body would run as a request.
     pub fn is_between_requests(&self) -> bool {
-        let is_under_way = self.inner.is_busy.get() || self.inner.may_receive_body.get();
-        !is_under_way && !self.inner.is_write_blocked.get()
+        let is_in_progress = self.inner.is_busy.get() || self.inner.may_receive_body.get();
+        !is_in_progress && !self.inner.is_write_blocked.get()
     }
 
     /// Returns whether only part of a request's head has been read.
--- a/crates/gateway/src/early_refusal.rs
+++ b/crates/gateway/src/early_refusal.rs
@@ -50,7 +50,7 @@
 }
 
 /// A complete request at the start of a buffer.
-struct WholeRequest {
+struct CompleteRequest {
     head: Parts,
     /// Length of head and body in bytes.
     length: usize,
@@ -69,7 +69,7 @@
         return EarlyOutcome::NotRefused;
     };
     let bytes = &buffer[..read];
-    let refusal = read_request(bytes, gateway.max_header_bytes.get())
+    let refusal = parse_request(bytes, gateway.max_header_bytes.get())
         .and_then(|request| Some((refuse_request(gateway, &request.head)?, request.length)));
     let Some((response, length)) = refusal else {
         stream.put_back(bytes);
@@ -83,7 +83,7 @@
 }
 
 /// Parses a request that has arrived completely and needs no further feature of hyper.
-fn read_request(bytes: &[u8], max_head_bytes: usize) -> Option<WholeRequest> {
+fn parse_request(bytes: &[u8], max_head_bytes: usize) -> Option<CompleteRequest> {
     let mut fields = [httparse::EMPTY_HEADER; MAX_HEADER_FIELDS];
     let mut parsed = httparse::Request::new(&mut fields);
     let head_bytes = match parsed.parse(bytes).ok()? {
@@ -102,8 +102,8 @@
         head.headers.append(name, value);
     }
     let length = head_bytes.checked_add(stated_body_bytes(&head)?)?;
-    let is_whole = length <= bytes.len();
-    is_whole.then_some(WholeRequest { head, length })
+    let is_complete = length <= bytes.len();
+    is_complete.then_some(CompleteRequest { head, length })
 }
 
 /// Returns the stated length of a request's body, or 0; `None` if the length is unusable or the
--- a/crates/gateway/src/endpoint_pool.rs
+++ b/crates/gateway/src/endpoint_pool.rs
@@ -13,9 +13,9 @@
 
 use crate::connection;
 
-/// Timeout of connecting. The slowest handshake of an endpoint takes a few milliseconds. Beyond
-/// this timeout, the endpoint's queue of new connections is full, and the retry of the operating
-/// system takes seconds.
+/// Timeout for connecting. The slowest handshake of an endpoint takes a few milliseconds. If one
+/// takes longer than this, the endpoint's queue of new connections is full, and the operating
+/// system's own retry takes seconds.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 /// Longest time for which an idle connection is reused. Endpoints that name no idle timeout get
 /// this one.
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -347,8 +347,8 @@
         can_serve && self.routes.borrow().version().is_some() && has_endpoints
     }
 
-    fn record_lag(&self, planned: Duration) {
-        let late = self.now().saturating_sub(planned);
+    fn record_lag(&self, planned_at: Duration) {
+        let late = self.now().saturating_sub(planned_at);
         let was_overloaded = self.loop_lag.borrow().is_overloaded();
         self.loop_lag.borrow_mut().record(late);
         let now = self.now();
--- a/crates/gateway/src/http_client.rs
+++ b/crates/gateway/src/http_client.rs
@@ -34,7 +34,7 @@
     /// The address cannot be reached.
     #[error("cannot connect: {0}")]
     NotConnected(#[from] std::io::Error),
-    /// The connection was lost, or the response is malformed or too long.
+    /// The connection was lost, or the response was malformed or too long.
     #[error("connection lost: {0}")]
     ConnectionLost(String),
 }
--- a/crates/gateway/src/pages.rs
+++ b/crates/gateway/src/pages.rs
@@ -29,9 +29,9 @@
     gateway: Rc<Gateway<W, C>>,
     listener: TcpListener,
 ) {
-    let page_core = gateway.clone();
+    let shared = gateway.clone();
     serve_pages(gateway, listener, move |request| {
-        ready_page(&page_core, request)
+        ready_page(&shared, request)
     })
     .await;
 }
@@ -42,10 +42,10 @@
     recorder: PrometheusHandle,
     listener: TcpListener,
 ) {
-    let page_core = gateway.clone();
+    let shared = gateway.clone();
     let page = move |request: &Request<Incoming>| match request.uri().path() {
         METRICS_PATH => {
-            set_gauges(&page_core);
+            set_gauges(&shared);
             Response::new(Full::from(recorder.render()))
         }
         _ => not_found(),
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -51,7 +51,7 @@
 /// Longest random delay before a host that depends on copies fetches one, so that not all ask at
 /// once.
 const MAX_FETCH_DELAY_MS: u64 = 120;
-/// Timeout of fetching a copy.
+/// Timeout for fetching a copy.
 const FETCH_TIMEOUT: Duration = Duration::from_millis(800);
 /// Attempts to fetch a copy from a host that already sends as many as it can.
 const MAX_FETCH_ATTEMPTS: u32 = 3;
@@ -142,7 +142,9 @@
         loop {
             tokio::select! {
                 () = tokio::time::sleep(REPORT_POLL_INTERVAL) => {}
-                () = self.tables.wait_for_change() => self.gateway.with_dispatcher(Dispatcher::hasten_reports),
+                () = self.tables.wait_for_change() => self
+                    .gateway
+                    .with_dispatcher(Dispatcher::hasten_reports),
             }
             let now = self.gateway.now();
             let state = self.host_state();
--- a/crates/gateway/src/request_body.rs
+++ b/crates/gateway/src/request_body.rs
@@ -11,9 +11,10 @@
 
 use crate::held_memory::HeldMemory;
 
-/// Longest time for which a body without memory is read and discarded. A connection that is closed
-/// with unread bytes is reset, and the caller loses the response that says that nothing has run.
-/// Enough for 4 MB, the longest body where the configuration sets no limit, at 11 Mbit/s.
+/// Longest time for which a body is read and discarded that there is no memory for. A connection
+/// that is closed with unread bytes is reset, and the caller loses the response that says that
+/// nothing has run. Enough for 4 MB, the longest body where the configuration sets no limit, at 11
+/// Mbit/s.
 const DISCARD_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Memory that a body gets at first, unless it is shorter: enough for a typical prompt.
--- a/crates/gateway/src/request_log.rs
+++ b/crates/gateway/src/request_log.rs
@@ -18,13 +18,13 @@
 
 impl<W: WireFormat, C: Clock> ActiveRequest<W, C> {
     pub(crate) fn record_first_piece(&self) {
-        let after = self.gateway.now().saturating_sub(self.received_at);
-        meters::record_first_piece(self.route.repeat, after);
-        if after > self.route.latency_target {
+        let elapsed = self.gateway.now().saturating_sub(self.received_at);
+        meters::record_first_piece(self.route.repeat, elapsed);
+        if elapsed > self.route.latency_target {
             let fields = [
                 ("request", (*self.outgoing.id).into()),
                 ("route", (*self.route.name).into()),
-                ("after_ms", millis(after)),
+                ("after_ms", millis(elapsed)),
                 ("target_ms", millis(self.route.latency_target)),
             ];
             self.gateway.log(LogEvent::RequestLate, &fields);
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -76,10 +76,10 @@
     context: Context<W, C, S, R>,
     settings: GatewaySettings,
 ) -> io::Result<()> {
-    let callers = connection::listen(settings.callers_address).await?;
-    let ready = connection::listen(settings.ready_address).await?;
-    let copies = connection::listen(settings.peers_address).await?;
-    let reports = Rc::new(UdpSocket::bind(settings.peers_address).await?);
+    let callers_listener = connection::listen(settings.callers_address).await?;
+    let ready_listener = connection::listen(settings.ready_address).await?;
+    let copies_listener = connection::listen(settings.peers_address).await?;
+    let reports_socket = Rc::new(UdpSocket::bind(settings.peers_address).await?);
     let metrics_address = settings.metrics_address;
     let store = Rc::new(context.store);
     let gateway = Gateway::new(
@@ -103,16 +103,16 @@
     spawn_local(async move { ticking.tick_forever().await });
     let (listing, listing_store) = (peers.clone(), store.clone());
     spawn_local(async move { listing.list_hosts_forever(listing_store).await });
-    let (reporting, socket) = (peers.clone(), reports.clone());
+    let (reporting, socket) = (peers.clone(), reports_socket.clone());
     spawn_local(async move { reporting.send_reports_forever(socket).await });
-    spawn_local(peers.clone().receive_reports_forever(reports));
-    spawn_local(peers.clone().serve_copies(copies));
-    spawn_local(serve_ready(gateway.clone(), ready));
-    spawn_local(accept_forever(gateway.clone(), callers));
+    spawn_local(peers.clone().receive_reports_forever(reports_socket));
+    spawn_local(peers.clone().serve_copies(copies_listener));
+    spawn_local(serve_ready(gateway.clone(), ready_listener));
+    spawn_local(accept_forever(gateway.clone(), callers_listener));
     if let Some(recorder) = context.metrics {
-        let metrics = connection::listen(metrics_address).await?;
+        let metrics_listener = connection::listen(metrics_address).await?;
         spawn_local(fold_samples_forever(recorder.clone()));
-        spawn_local(serve_metrics(gateway.clone(), recorder, metrics));
+        spawn_local(serve_metrics(gateway.clone(), recorder, metrics_listener));
     }
     let fields = [
         (
--- a/crates/gateway/src/stream_forward.rs
+++ b/crates/gateway/src/stream_forward.rs
@@ -75,8 +75,8 @@
         response: EndpointResponse,
         sender: EventSender,
     ) {
-        let left = self.outgoing.deadline.saturating_sub(self.gateway.now());
-        let forwarding = timeout(left, self.forward(endpoint, response, &sender));
+        let time_left = self.outgoing.deadline.saturating_sub(self.gateway.now());
+        let forwarding = timeout(time_left, self.forward(endpoint, response, &sender));
         match forwarding.await {
             Ok(true) => {
                 meters::count_served(self.repeat);
--- a/crates/gateway/src/table_copies.rs
+++ b/crates/gateway/src/table_copies.rs
@@ -56,7 +56,7 @@
     version: u64,
     is_whole: bool,
     rows: Vec<CopiedRow>,
-    /// Absent from hosts of an earlier version.
+    /// Hosts of an earlier version do not send it.
     #[serde(default)]
     lapsing: Vec<CopiedLapsingRow>,
     #[serde(default)]
@@ -75,7 +75,7 @@
     key: String,
     version: u64,
     remaining_ms: u64,
-    /// Absent from hosts of an earlier version, which are believed.
+    /// Hosts of an earlier version do not send it, and are believed.
     #[serde(default)]
     lost_ms: u64,
 }
--- a/crates/gateway/src/table_follower.rs
+++ b/crates/gateway/src/table_follower.rs
@@ -100,14 +100,14 @@
         watch.step(now)
     }
 
-    /// Records that another host knows version `heard` of a table. Returns whether to fetch its
-    /// copy.
-    pub fn should_fetch_copy(&self, table: Table, heard: u64) -> bool {
+    /// Records that another host knows version `reported_version` of a table. Returns whether to
+    /// fetch its copy.
+    pub fn should_fetch_copy(&self, table: Table, reported_version: u64) -> bool {
         let now = self.gateway.now();
-        let known = self.changed_version(table);
-        let is_answered = self.role(now).is_following() && !self.watch(table).borrow().is_lost();
+        let known_version = self.changed_version(table);
+        let store_answers = self.role(now).is_following() && !self.watch(table).borrow().is_lost();
         let mut news = self.news_of(table).borrow_mut();
-        news.takes_copy(now, known, heard, is_answered)
+        news.takes_copy(now, known_version, reported_version, store_answers)
     }
 
     /// Records that the fetch of another host's copy has ended.
@@ -290,13 +290,13 @@
                 return;
             }
         };
-        let known = self.gateway.routes.borrow().version();
-        if known.is_some_and(|known| known >= config.version) {
+        let known_version = self.gateway.routes.borrow().version();
+        if known_version.is_some_and(|known_version| known_version >= config.version) {
             return;
         }
         let fields = [
             ("version", config.version.into()),
-            ("known_version", known.into()),
+            ("known_version", known_version.into()),
             ("routes", config.routes.len().into()),
         ];
         self.gateway.log(LogEvent::ConfigAdopted, &fields);
@@ -364,10 +364,10 @@
 
     fn remove_endpoint(&self, id: &str) {
         let id = sedgeridge_state::ids::EndpointId::from(id);
-        let known: Option<Arc<Endpoint>> = self
+        let known_endpoint: Option<Arc<Endpoint>> = self
             .gateway
             .with_dispatcher(|dispatcher| dispatcher.endpoints().get(&id).cloned());
-        if let Some(endpoint) = known {
+        if let Some(endpoint) = known_endpoint {
             let fields = [("endpoint", endpoint.id.as_str().into())];
             self.gateway.log(LogEvent::EndpointGone, &fields);
             self.gateway.handle(DispatchEvent::EndpointGone(endpoint));
--- a/crates/gateway/tests/support/mod.rs
+++ b/crates/gateway/tests/support/mod.rs
@@ -445,25 +445,25 @@
     listener: TcpListener,
     script: Script,
     next: Rc<Cell<usize>>,
-    records: Rc<RefCell<EndpointRecord>>,
+    record: Rc<RefCell<EndpointRecord>>,
 ) {
     while let Ok((stream, _)) = listener.accept().await {
         let steps = script[next.get().min(script.len() - 1)].clone();
         next.set(next.get() + 1);
-        spawn_local(run_steps(stream, steps, records.clone()));
+        spawn_local(run_steps(stream, steps, record.clone()));
     }
 }
 
-async fn run_steps(mut stream: TcpStream, steps: Vec<Step>, records: Rc<RefCell<EndpointRecord>>) {
+async fn run_steps(mut stream: TcpStream, steps: Vec<Step>, record: Rc<RefCell<EndpointRecord>>) {
     let mut id = String::new();
-    for run_steps in steps {
-        match run_steps {
+    for step in steps {
+        match step {
             Step::Read => {
                 let Some(request) = read_message(&mut stream).await else {
                     return;
                 };
                 id = header(&request, "id").unwrap_or_default();
-                records.borrow_mut().requests.push(request);
+                record.borrow_mut().requests.push(request);
             }
             Step::Send(bytes) => {
                 let bytes = bytes.replace("{id}", &id);
@@ -477,7 +477,7 @@
                 let mut rest = [0; 64];
                 let read = stream.read(&mut rest).await;
                 if matches!(read, Ok(0) | Err(_)) {
-                    records.borrow_mut().closed_while_idle += 1;
+                    record.borrow_mut().closed_while_idle += 1;
                 }
                 return;
             }
