--- a/crates/fleet/src/cold_start.rs
+++ b/crates/fleet/src/cold_start.rs
@@ -30,7 +30,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ColdStart {
     /// How long an endpoint is cold after it has started.
-    pub lasts: Duration,
+    pub duration: Duration,
     /// Requests that it bears in a second meanwhile, from all hosts together.
     pub requests_per_s: f64,
 }
@@ -61,10 +61,10 @@
     /// use sedgeridge_fleet::cold_start::{ColdStart, ColdStartBounds};
     ///
     /// let bounds = ColdStartBounds { overshoot: 1.5, slack: 3.0 };
-    /// let stated = ColdStart { lasts: Duration::from_secs(3), requests_per_s: 10.0 };
-    /// assert_eq!(bounds.requests_of_host(stated), 4);
+    /// let stated = ColdStart { duration: Duration::from_secs(3), requests_per_s: 10.0 };
+    /// assert_eq!(bounds.requests_per_host(stated), 4);
     /// ```
-    pub fn requests_of_host(self, stated: ColdStart) -> usize {
+    pub fn requests_per_host(self, stated: ColdStart) -> usize {
         let bound = stated.requests_per_s * self.overshoot + self.slack;
         // Rounded down, and zero for bounds that are no number.
         (bound / BOUND_PARTS) as usize
@@ -105,7 +105,7 @@
     }
 
     /// Takes in which hosts are registered. A host that is a sender no more sends nothing from now on.
-    pub fn on_hosts(&mut self, listed: &[ListedHost]) {
+    pub fn on_hosts_listed(&mut self, listed: &[ListedHost]) {
         self.hosts = listed.iter().map(|listed| listed.host).collect();
         let endpoints: Vec<_> = self.endpoints.keys().copied().collect();
         for endpoint in endpoints {
@@ -119,9 +119,9 @@
 
     /// Notes that an endpoint is cold, or probably is, until `until` at least. What was noted before holds on: an entry
     /// may be older than what this host has seen of the endpoint.
-    pub fn note(&mut self, endpoint: u64, stated: ColdStart, until: Duration) {
+    pub fn mark_cold(&mut self, endpoint: u64, stated: ColdStart, until: Duration) {
         let most_sent = match self.is_sender(endpoint) {
-            true => self.bounds.requests_of_host(stated),
+            true => self.bounds.requests_per_host(stated),
             false => 0,
         };
         let cold = self.endpoints.entry(endpoint).or_default();
@@ -140,7 +140,7 @@
     }
 
     /// Tells whether this host may send a request to the endpoint now.
-    pub fn allows(&self, now: Duration, endpoint: u64) -> bool {
+    pub fn may_send(&self, now: Duration, endpoint: u64) -> bool {
         let cold = self.endpoints.get(&endpoint);
         cold.is_none_or(|cold| now >= cold.until || cold.has_room(now))
     }
@@ -153,14 +153,14 @@
     }
 
     /// Returns the cold endpoints to which this host may send a request now.
-    pub fn open(&self, now: Duration) -> impl Iterator<Item = u64> + '_ {
+    pub fn open_endpoints(&self, now: Duration) -> impl Iterator<Item = u64> + '_ {
         let open = self.endpoints.iter();
         let open = open.filter(move |(_, cold)| now < cold.until && cold.has_room(now));
         open.map(|(endpoint, _)| *endpoint)
     }
 
     /// Returns how many endpoints are cold.
-    pub fn count(&self, now: Duration) -> usize {
+    pub fn cold_count(&self, now: Duration) -> usize {
         let cold = self.endpoints.values();
         cold.filter(|cold| now < cold.until).count()
     }
--- a/crates/fleet/src/dispatcher.rs
+++ b/crates/fleet/src/dispatcher.rs
@@ -252,7 +252,7 @@
             DispatchEvent::Abandoned(request) => self.on_abandoned(now, request),
             DispatchEvent::HostsListed(hosts) => {
                 self.peers.on_listed(now, &hosts);
-                self.cold.on_hosts(&hosts);
+                self.cold.on_hosts_listed(&hosts);
             }
             DispatchEvent::Reported(report) => self.on_report(now, report),
             DispatchEvent::Tick => self.on_tick(now, decisions),
@@ -310,7 +310,7 @@
 
     /// Returns how many endpoints are cold, as far as this host knows.
     pub fn cold_endpoints(&self, now: Duration) -> usize {
-        self.cold.count(now)
+        self.cold.cold_count(now)
     }
 
     /// Returns the whole fleet's work on an endpoint, as far as this host knows it.
--- a/crates/fleet/src/dispatcher/admission.rs
+++ b/crates/fleet/src/dispatcher/admission.rs
@@ -364,7 +364,7 @@
         if total.requests > 0 && depth > self.settings.admission.plain_depth {
             return None;
         }
-        let answer_ms = self.records.answer_ms(key) * depth.max(1.0 / slots);
+        let answer_ms = self.records.mean_answer_ms(key) * depth.max(1.0 / slots);
         let load = Load {
             requests: 1,
             ..Load::default()
--- a/crates/fleet/src/dispatcher/attempts.rs
+++ b/crates/fleet/src/dispatcher/attempts.rs
@@ -153,7 +153,7 @@
         };
         if let Some(attempt) = pending.attempt.take() {
             let took = now.saturating_sub(attempt.sent_at);
-            self.records.succeeded(now, attempt.endpoint.key, took);
+            self.records.on_success(now, attempt.endpoint.key, took);
             self.loads.subtract_own(attempt.endpoint.key, attempt.load);
         }
         if let Some(fingerprint) = pending.arrival.fingerprint {
@@ -172,7 +172,7 @@
             let patience = pending.arrival.route.latency_target * SILENT_TARGETS;
             if !attempt.has_first_piece && silent_for > patience {
                 let key = attempt.endpoint.key;
-                self.records.failed(now, key, Failure::TimedOut);
+                self.records.on_failure(now, key, Failure::TimedOut);
             }
         }
         if let Some(fingerprint) = pending.arrival.fingerprint {
@@ -210,7 +210,7 @@
             }
         }
         self.loads.subtract_own(endpoint.key, attempt.load);
-        if self.records.failed(now, endpoint.key, failure) {
+        if self.records.on_failure(now, endpoint.key, failure) {
             self.quarantine.endpoint_down(now, &endpoint.run_name());
             self.expect_cold(now, &endpoint);
         }
--- a/crates/fleet/src/dispatcher/closed.rs
+++ b/crates/fleet/src/dispatcher/closed.rs
@@ -29,11 +29,11 @@
             return;
         };
         let cold_for = match is_later_run {
-            true => listed.cold_for.max(stated.lasts),
+            true => listed.cold_for.max(stated.duration),
             false => listed.cold_for,
         };
         if !cold_for.is_zero() {
-            self.cold.note(listed.key, stated, now + cold_for);
+            self.cold.mark_cold(listed.key, stated, now + cold_for);
         }
     }
 
@@ -49,7 +49,7 @@
             let spec = self.services.get(&endpoint.service);
             if let Some(stated) = spec.and_then(|spec| spec.cold_start) {
                 let until = now + endpoint.cold_for;
-                self.cold.note(endpoint.key, stated, until);
+                self.cold.mark_cold(endpoint.key, stated, until);
             }
         }
     }
@@ -64,7 +64,8 @@
         let of_data_centre = of_data_centre.filter(|it| it.data_centre == *data_centre);
         for endpoint in of_data_centre {
             if let Some(stated) = self.cold_start_of(endpoint) {
-                self.cold.note(endpoint.key, stated, now + stated.lasts);
+                self.cold
+                    .mark_cold(endpoint.key, stated, now + stated.duration);
             }
         }
     }
@@ -78,15 +79,15 @@
     pub(super) fn is_open(&self, now: Duration, endpoint: &Endpoint) -> bool {
         let is_paused = self.pauses.until(now, endpoint.key).is_some();
         let is_cut_off = is_paused || self.is_evacuated(&endpoint.data_centre);
-        !is_cut_off && self.cold.allows(now, endpoint.key)
+        !is_cut_off && self.cold.may_send(now, endpoint.key)
     }
 
     /// An endpoint that was down is cold when it comes back, and its entry says so a moment later. Without this all
     /// hosts choose it at once, since it seems idle.
     pub(super) fn expect_cold(&mut self, now: Duration, endpoint: &Endpoint) {
         if let Some(stated) = self.cold_start_of(endpoint) {
-            let until = now + LAPSE_TIME + stated.lasts;
-            self.cold.note(endpoint.key, stated, until);
+            let until = now + LAPSE_TIME + stated.duration;
+            self.cold.mark_cold(endpoint.key, stated, until);
         }
     }
 
--- a/crates/fleet/src/dispatcher/peers.rs
+++ b/crates/fleet/src/dispatcher/peers.rs
@@ -8,7 +8,7 @@
 use super::Dispatcher;
 use crate::peer_hosts::ListedHost;
 use crate::peer_hosts::PeerHosts;
-use crate::peer_report::CrashNews;
+use crate::peer_report::CrashNotice;
 use crate::peer_report::PeerReport;
 use crate::peer_report::Scope;
 use crate::peer_report::to_millis;
@@ -105,7 +105,7 @@
     told: HostState,
     reports_made: u64,
     kept: VecDeque<(u64, WorkSums)>,
-    news: Vec<(u32, CrashNews)>,
+    news: Vec<(u32, CrashNotice)>,
 }
 
 impl PeerLinks {
@@ -127,10 +127,10 @@
 
     pub(super) fn tick(&mut self, now: Duration) {
         self.hosts.tick(now);
-        let failing = self.hosts.failing_at_store(now);
+        let failing = self.hosts.count_failing_at_store(now);
         self.store_followers.tick(now, failing);
-        let mut reports = self.hosts.reports_of_store(now);
-        reports.losses.extend(self.own_store.lost_at);
+        let mut reports = self.hosts.store_reports(now);
+        reports.lost_since.extend(self.own_store.lost_at);
         reports.answered_at = reports.answered_at.max(self.own_store.answered_at);
         self.store_outage.tick(now, reports);
         self.relay.tick(now);
@@ -142,7 +142,7 @@
 
     pub(super) fn on_listed(&mut self, now: Duration, listed: &[ListedHost]) {
         if self.hosts.on_listed(now, listed) {
-            self.schedule.hasten();
+            self.schedule.make_due_now();
         }
     }
 
@@ -151,7 +151,7 @@
         self.news.extend(news);
     }
 
-    fn take_news(&mut self) -> Vec<CrashNews> {
+    fn take_news(&mut self) -> Vec<CrashNotice> {
         let sent = self.news.iter_mut().take(MAX_NEWS).map(|(repeats, news)| {
             *repeats -= 1;
             news.clone()
@@ -184,13 +184,13 @@
     /// for small. Of hosts that start together each would wait for changes of both tables; calls are bounded a
     /// second.
     pub fn store_role(&self, now: Duration) -> StoreRole {
-        if !self.peers.hosts.is_known(now) {
+        if !self.peers.hosts.knows_fleet(now) {
             return StoreRole::Copier;
         }
-        if self.peers.hosts.is_small(now) {
+        if self.peers.hosts.is_small_fleet(now) {
             return StoreRole::Follower;
         }
-        let before = self.peers.hosts.followers_before(now);
+        let before = self.peers.hosts.higher_ranked_followers(now);
         self.peers.store_followers.role(now, before)
     }
 
@@ -209,10 +209,10 @@
     pub fn reports_due(&mut self, now: Duration, state: HostState) -> Vec<OutgoingReport> {
         self.peers.own_store = OwnStore::new(now, state);
         if self.must_hasten(state) {
-            self.peers.schedule.hasten();
+            self.peers.schedule.make_due_now();
         }
         let mut due = Vec::new();
-        if self.peers.hosts.is_small(now) {
+        if self.peers.hosts.is_small_fleet(now) {
             self.add_report_to_all(now, state, &mut due);
         } else {
             self.add_presence(now, state, &mut due);
@@ -224,7 +224,7 @@
 
     /// Makes the next reports due at once, since this host knows of a change first.
     pub fn hasten_reports(&mut self) {
-        self.peers.schedule.hasten();
+        self.peers.schedule.make_due_now();
     }
 
     /// Returns this host's report about its own work.
@@ -241,12 +241,12 @@
 
     /// Returns how many requests were started since the last report.
     pub fn unreported(&self) -> u32 {
-        self.peers.schedule.unreported()
+        self.peers.schedule.unreported_starts()
     }
 
     /// Returns the number of hosts that report, this one included.
     pub fn hosts(&self, now: Duration) -> usize {
-        self.peers.hosts.count(now)
+        self.peers.hosts.live_count(now)
     }
 
     pub(super) fn on_report(&mut self, now: Duration, report: PeerReport) {
@@ -257,7 +257,7 @@
             self.quarantine.on_notice(now, news.into());
         }
         match report.scope {
-            Scope::Presence => {}
+            Scope::Heartbeat => {}
             Scope::Own => self.on_own_work(now, report),
             Scope::DataCentre => {
                 self.peers.hosts.on_sum(now, report.host);
@@ -271,7 +271,7 @@
     }
 
     fn on_own_work(&mut self, now: Duration, report: PeerReport) {
-        if self.peers.hosts.is_small(now) {
+        if self.peers.hosts.is_small_fleet(now) {
             self.shares.on_report(now, report.host, report.usage);
             self.loads.on_report(now, report.host, report.loads);
         } else if report.data_centre == self.own_data_centre() {
@@ -280,7 +280,7 @@
     }
 
     fn on_fleet_sum(&mut self, now: Duration, report: &PeerReport) {
-        if self.peers.hosts.is_small(now) || !self.peers.view.takes(now, report.hosts) {
+        if self.peers.hosts.is_small_fleet(now) || !self.peers.view.accepts(now, report.hosts) {
             return;
         }
         let mut others = WorkSums::default();
@@ -318,8 +318,8 @@
         state: HostState,
         due: &mut Vec<OutgoingReport>,
     ) {
-        let to: Vec<Addressee> = self.peers.hosts.all().map(Addressee::from).collect();
-        if self.peers.schedule.takes_report(now, to.len()) {
+        let to: Vec<Addressee> = self.peers.hosts.iter().map(Addressee::from).collect();
+        if self.peers.schedule.take_due_report(now, to.len()) {
             let report = self.report(state);
             due.push(OutgoingReport { report, to });
         }
@@ -327,16 +327,16 @@
 
     fn add_presence(&mut self, now: Duration, state: HostState, due: &mut Vec<OutgoingReport>) {
         let is_follower = self.store_role(now) != StoreRole::Copier;
-        let interval = self.peers.hosts.presence_interval();
+        let interval = self.peers.hosts.heartbeat_interval();
         if !self
             .peers
             .schedule
-            .takes_presence(now, is_follower, interval)
+            .take_due_heartbeat(now, is_follower, interval)
         {
             return;
         }
-        let to = self.peers.hosts.all().map(Addressee::from).collect();
-        let mut report = self.blank_report(state, Scope::Presence);
+        let to = self.peers.hosts.iter().map(Addressee::from).collect();
+        let mut report = self.blank_report(state, Scope::Heartbeat);
         report.crashes = self.peers.take_news();
         due.push(OutgoingReport { report, to });
     }
@@ -348,11 +348,11 @@
         due: &mut Vec<OutgoingReport>,
     ) {
         let hosts = self.hosts(now);
-        if !self.peers.schedule.takes_member_report(now, hosts) {
+        if !self.peers.schedule.take_due_member_report(now, hosts) {
             return;
         }
         let own = self.settings.host;
-        let mut relays = self.peers.hosts.relays(now, self.own_data_centre());
+        let mut relays = self.peers.hosts.choose_relays(now, self.own_data_centre());
         relays.retain(|relay| *relay != own);
         let to = relays.iter().copied().map(Addressee::from).collect();
         let report = self.report(state);
@@ -362,11 +362,11 @@
     /// Adds the sums of a relay, and goes by them itself.
     fn add_sums(&mut self, now: Duration, state: HostState, due: &mut Vec<OutgoingReport>) {
         let hosts = self.hosts(now);
-        if !self.peers.schedule.takes_sums(now, hosts) {
+        if !self.peers.schedule.take_due_sums(now, hosts) {
             return;
         }
         let own_data_centre = self.own_data_centre();
-        let mut expected = self.peers.hosts.relays(now, own_data_centre);
+        let mut expected = self.peers.hosts.choose_relays(now, own_data_centre);
         let is_chosen = expected.contains(&self.settings.host);
         if is_chosen || self.peers.relay.has_members() {
             let relays = self.relays_elsewhere(now);
@@ -389,12 +389,12 @@
         let mut sum = self.peers.relay.members_sum();
         let hosts = self.hosts(now);
         let own = self.settings.host;
-        let relays = self.peers.hosts.relays(now, self.own_data_centre());
+        let relays = self.peers.hosts.choose_relays(now, self.own_data_centre());
         let rank = relays.iter().position(|relay| *relay == own);
         if self
             .peers
             .schedule
-            .takes_sum_elsewhere(hosts, rank.unwrap_or(0))
+            .take_remote_sum_turn(hosts, rank.unwrap_or(0))
         {
             let mut report = self.blank_report(state, Scope::DataCentre);
             let mut of_data_centre = sum.work.clone();
@@ -408,7 +408,7 @@
         }
 
         self.peers.relay.add_data_centres(&mut sum);
-        if self.peers.view.takes(now, sum.hosts + 1) {
+        if self.peers.view.accepts(now, sum.hosts + 1) {
             self.adopt_view(now, &sum.work);
         }
         let mut report = self.blank_report(state, Scope::Fleet);
@@ -426,8 +426,8 @@
         let hosts = &self.peers.hosts;
         let mut relays = Vec::new();
         for data_centre in hosts.other_data_centres() {
-            relays.extend(hosts.relays(now, data_centre));
-            relays.extend(hosts.summing(now, data_centre));
+            relays.extend(hosts.choose_relays(now, data_centre));
+            relays.extend(hosts.sum_senders(now, data_centre));
         }
         relays.sort_unstable();
         relays.dedup();
@@ -449,7 +449,7 @@
             is_busy: state.is_busy,
             store_answers: state.store_answers,
             store_lost_ms: to_millis(state.store_lost_for),
-            store_answered_ms: state.store_answered_ago.map(to_millis),
+            store_answered_ago_ms: state.store_answered_ago.map(to_millis),
             ..PeerReport::default()
         }
     }
--- a/crates/fleet/src/dispatcher/places.rs
+++ b/crates/fleet/src/dispatcher/places.rs
@@ -65,7 +65,7 @@
         // Prompts are placed among the endpoints that work: when the homes of a prompt were down, each
         // of its requests went to the least busy endpoint and was read anew there.
         let sound = usable.iter().filter(|endpoint| {
-            self.records.is_sound(now, endpoint.key) && self.is_open(now, endpoint)
+            self.records.is_healthy(now, endpoint.key) && self.is_open(now, endpoint)
         });
         let sound: Vec<_> = sound.map(|endpoint| endpoint.key).collect();
         let homes = home_endpoints(key, sound.iter().copied());
@@ -79,7 +79,7 @@
         let draw = pair_hash(self.settings.host, pending.arrival.id.0);
         let cold = self
             .cold
-            .open(now)
+            .open_endpoints(now)
             .find(|endpoint| sound.contains(endpoint));
         let drawn = home_endpoints(draw, sound);
         Places::Preferred { homes, drawn, cold }
--- a/crates/fleet/src/endpoint_record.rs
+++ b/crates/fleet/src/endpoint_record.rs
@@ -34,7 +34,7 @@
 struct EndpointRecord {
     failure_share: f64,
     noted_at: Duration,
-    answer_ms: f64,
+    mean_answer_ms: f64,
     down_until: Duration,
     full_until: Duration,
     downs: u32,
@@ -45,7 +45,7 @@
         Self {
             failure_share: 0.0,
             noted_at: Duration::ZERO,
-            answer_ms: ASSUMED_ANSWER_MS,
+            mean_answer_ms: ASSUMED_ANSWER_MS,
             down_until: Duration::ZERO,
             full_until: Duration::ZERO,
             downs: 0,
@@ -55,16 +55,16 @@
 
 impl EndpointRecords {
     /// Notes an answer in full, which took `took` from being sent.
-    pub fn succeeded(&mut self, now: Duration, endpoint: u64, took: Duration) {
+    pub fn on_success(&mut self, now: Duration, endpoint: u64, took: Duration) {
         let record = self.records.entry(endpoint).or_default();
         let took_ms = took.as_secs_f64() * 1_000.0;
         record.note(now, 0.0, OUTCOME_WEIGHT);
-        record.answer_ms += (took_ms - record.answer_ms) * TIME_WEIGHT;
+        record.mean_answer_ms += (took_ms - record.mean_answer_ms) * TIME_WEIGHT;
         record.downs = 0;
     }
 
     /// Notes a failed attempt. Returns whether the endpoint is now taken as down.
-    pub fn failed(&mut self, now: Duration, endpoint: u64, failure: Failure) -> bool {
+    pub fn on_failure(&mut self, now: Duration, endpoint: u64, failure: Failure) -> bool {
         let record = self.records.entry(endpoint).or_default();
         match failure {
             Failure::NotConnected => {
@@ -95,7 +95,7 @@
 
     /// Tells whether prompts may be placed on the endpoint: it can be reached, and most requests come
     /// to a good end there. One that is only full keeps its prompts.
-    pub fn is_sound(&self, now: Duration, endpoint: u64) -> bool {
+    pub fn is_healthy(&self, now: Duration, endpoint: u64) -> bool {
         let record = self.records.get(&endpoint);
         record.is_none_or(|record| {
             now >= record.down_until && record.failure_share(now) < UNSOUND_SHARE
@@ -109,9 +109,9 @@
     }
 
     /// Returns the usual time of a whole answer in milliseconds.
-    pub fn answer_ms(&self, endpoint: u64) -> f64 {
+    pub fn mean_answer_ms(&self, endpoint: u64) -> f64 {
         let record = self.records.get(&endpoint);
-        record.map_or(ASSUMED_ANSWER_MS, |record| record.answer_ms)
+        record.map_or(ASSUMED_ANSWER_MS, |record| record.mean_answer_ms)
     }
 
     /// Forgets an endpoint that is gone.
--- a/crates/fleet/src/peer_hosts.rs
+++ b/crates/fleet/src/peer_hosts.rs
@@ -6,11 +6,11 @@
 
 use crate::hashing::pair_hash;
 use crate::peer_report::PeerReport;
-use crate::store_followers::HostsBefore;
+use crate::store_followers::HigherRankedHosts;
 use crate::store_outage::StoreReports;
 
 /// Largest fleet in which each host reports to each other one, and follows the store itself.
-pub const SMALL_FLEET: usize = 12;
+pub const MAX_SMALL_FLEET_HOSTS: usize = 12;
 /// Shortest silence after which a host no longer counts as part of the fleet.
 const MIN_HOST_SILENCE: Duration = Duration::from_secs(5);
 /// The same in signs of life that have been missed, for large fleets.
@@ -143,7 +143,7 @@
         let lost_for = Duration::from_millis(report.store_lost_ms);
         let lost_at = now.saturating_sub(lost_for);
         host.store_lost_at = (!report.store_answers).then_some(lost_at);
-        let answered_ago = report.store_answered_ms.map(Duration::from_millis);
+        let answered_ago = report.store_answered_ago_ms.map(Duration::from_millis);
         host.store_answered_at = answered_ago.map(|ago| now.saturating_sub(ago));
         host.may_relay = !report.is_stopping && !report.is_busy;
         true
@@ -163,8 +163,8 @@
     }
 
     /// Returns the number of hosts that were heard lately, this one included.
-    pub fn count(&self, now: Duration) -> usize {
-        let silence = self.presence_interval() * MISSED_PRESENCES;
+    pub fn live_count(&self, now: Duration) -> usize {
+        let silence = self.heartbeat_interval() * MISSED_PRESENCES;
         let silence = silence.max(MIN_HOST_SILENCE);
         let heard = self.hosts.values();
         let counted = heard.filter(|host| host.is_heard(now, silence) || host.is_expected(now));
@@ -172,23 +172,23 @@
     }
 
     /// Tells whether this host has had the means to know of the others.
-    pub fn is_known(&self, now: Duration) -> bool {
+    pub fn knows_fleet(&self, now: Duration) -> bool {
         self.has_list || !self.hosts.is_empty() || now >= LIST_PATIENCE
     }
 
     /// Tells whether each host reports to each other one.
-    pub fn is_small(&self, now: Duration) -> bool {
-        self.count(now) <= SMALL_FLEET
+    pub fn is_small_fleet(&self, now: Duration) -> bool {
+        self.live_count(now) <= MAX_SMALL_FLEET_HOSTS
     }
 
     /// Returns the time between signs of life.
-    pub fn presence_interval(&self) -> Duration {
+    pub fn heartbeat_interval(&self) -> Duration {
         let hosts = self.hosts.len() as u32;
         MIN_PRESENCE_INTERVAL.max(PRESENCE_INTERVAL_PER_HOST * hosts)
     }
 
     /// Returns all hosts that are listed or were heard.
-    pub fn all(&self) -> impl Iterator<Item = u64> + '_ {
+    pub fn iter(&self) -> impl Iterator<Item = u64> + '_ {
         self.hosts.keys().copied()
     }
 
@@ -202,23 +202,23 @@
     }
 
     /// Returns the live hosts that come before this one in the choice of followers.
-    pub fn followers_before(&self, now: Duration) -> HostsBefore {
+    pub fn higher_ranked_followers(&self, now: Duration) -> HigherRankedHosts {
         let own_score = pair_hash(FOLLOWER_SALT, self.own.host);
-        let mut before = HostsBefore::default();
+        let mut before = HigherRankedHosts::default();
         for (host, known) in &self.hosts {
             if pair_hash(FOLLOWER_SALT, *host) >= own_score {
                 continue;
             }
             if known.is_expected(now) {
-                before.answered += 1;
+                before.answered_by_store += 1;
                 continue;
             }
             if !known.is_heard(now, FOLLOWER_SILENCE) {
                 continue;
             }
             match known.store_access {
-                StoreAccess::Answered => before.answered += 1,
-                StoreAccess::Failing => before.failing += 1,
+                StoreAccess::Answered => before.answered_by_store += 1,
+                StoreAccess::Failing => before.failing_at_store += 1,
                 StoreAccess::Unused => {}
             }
         }
@@ -226,7 +226,7 @@
     }
 
     /// Returns the number of live hosts that the store does not answer.
-    pub fn failing_at_store(&self, now: Duration) -> usize {
+    pub fn count_failing_at_store(&self, now: Duration) -> usize {
         let failing = self.hosts.values().filter(|host| {
             host.store_access == StoreAccess::Failing && host.is_heard(now, FOLLOWER_SILENCE)
         });
@@ -234,19 +234,19 @@
     }
 
     /// Sums up what live hosts report of the store.
-    pub fn reports_of_store(&self, now: Duration) -> StoreReports {
+    pub fn store_reports(&self, now: Duration) -> StoreReports {
         let heard = self.hosts.values();
         let heard = heard.filter(|host| host.is_heard(now, FOLLOWER_SILENCE));
         let failing = heard.clone();
         StoreReports {
-            losses: failing.filter_map(|host| host.store_lost_at).collect(),
+            lost_since: failing.filter_map(|host| host.store_lost_at).collect(),
             answered_at: heard.filter_map(|host| host.store_answered_at).max(),
         }
     }
 
     /// Chooses the relays of a data centre; this host may be one of them. All hosts choose alike as
     /// far as they know the same hosts.
-    pub fn relays(&self, now: Duration, data_centre: u64) -> Vec<u64> {
+    pub fn choose_relays(&self, now: Duration, data_centre: u64) -> Vec<u64> {
         let mut ranked: Vec<_> = self
             .hosts
             .iter()
@@ -274,7 +274,7 @@
     }
 
     /// Returns the hosts of a data centre that sent sums lately.
-    pub fn summing(&self, now: Duration, data_centre: u64) -> impl Iterator<Item = u64> + '_ {
+    pub fn sum_senders(&self, now: Duration, data_centre: u64) -> impl Iterator<Item = u64> + '_ {
         let summing = self.hosts.iter().filter(move |(_, host)| {
             let is_new = |at| now.saturating_sub(at) <= RELAY_SILENCE;
             host.data_centre == data_centre && host.sum_heard_at.is_some_and(is_new)
--- a/crates/fleet/src/peer_report.rs
+++ b/crates/fleet/src/peer_report.rs
@@ -27,7 +27,7 @@
 pub enum Scope {
     /// Nobody's: the report tells only that the sender lives and what it knows.
     #[serde(rename = "p")]
-    Presence,
+    Heartbeat,
     /// The sender's own.
     #[default]
     #[serde(rename = "o")]
@@ -85,7 +85,7 @@
     pub store_lost_ms: u64,
     /// How long ago the store last answered the host, in milliseconds; `None` if it does not call.
     #[serde(rename = "a", default)]
-    pub store_answered_ms: Option<u64>,
+    pub store_answered_ago_ms: Option<u64>,
     /// Work in progress, by hash of the endpoint's id.
     #[serde(rename = "l", with = "packed_loads")]
     pub loads: Vec<(u64, Load)>,
@@ -94,19 +94,19 @@
     pub usage: Vec<(u64, Usage)>,
     /// News of requests that crash endpoints.
     #[serde(rename = "p")]
-    pub crashes: Vec<CrashNews>,
+    pub crashes: Vec<CrashNotice>,
 }
 
 /// News of one request that was in progress when an endpoint crashed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct CrashNews {
+pub struct CrashNotice {
     high: u64,
     low: u64,
-    kind: CrashNewsKind,
+    kind: CrashNoticeKind,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-enum CrashNewsKind {
+enum CrashNoticeKind {
     Crashed { endpoint: String, age_ms: u64 },
     Quarantined { remaining_ms: u64 },
     Finished,
@@ -248,18 +248,18 @@
     }
 }
 
-impl From<&PoisonNotice> for CrashNews {
+impl From<&PoisonNotice> for CrashNotice {
     fn from(notice: &PoisonNotice) -> Self {
         let whole = notice.fingerprint.0;
         let kind = match &notice.news {
-            PoisonNews::Crashed { endpoint, age } => CrashNewsKind::Crashed {
+            PoisonNews::Crashed { endpoint, age } => CrashNoticeKind::Crashed {
                 endpoint: endpoint.to_string(),
                 age_ms: to_millis(*age),
             },
-            PoisonNews::Quarantined { remaining } => CrashNewsKind::Quarantined {
+            PoisonNews::Quarantined { remaining } => CrashNoticeKind::Quarantined {
                 remaining_ms: to_millis(*remaining),
             },
-            PoisonNews::Finished => CrashNewsKind::Finished,
+            PoisonNews::Finished => CrashNoticeKind::Finished,
         };
         Self {
             high: (whole >> 64) as u64,
@@ -269,18 +269,18 @@
     }
 }
 
-impl From<&CrashNews> for PoisonNotice {
-    fn from(news: &CrashNews) -> Self {
+impl From<&CrashNotice> for PoisonNotice {
+    fn from(news: &CrashNotice) -> Self {
         let fingerprint = Fingerprint(u128::from(news.high) << 64 | u128::from(news.low));
         let news = match &news.kind {
-            CrashNewsKind::Crashed { endpoint, age_ms } => PoisonNews::Crashed {
+            CrashNoticeKind::Crashed { endpoint, age_ms } => PoisonNews::Crashed {
                 endpoint: EndpointId::from(endpoint.as_str()),
                 age: Duration::from_millis(*age_ms),
             },
-            CrashNewsKind::Quarantined { remaining_ms } => PoisonNews::Quarantined {
+            CrashNoticeKind::Quarantined { remaining_ms } => PoisonNews::Quarantined {
                 remaining: Duration::from_millis(*remaining_ms),
             },
-            CrashNewsKind::Finished => PoisonNews::Finished,
+            CrashNoticeKind::Finished => PoisonNews::Finished,
         };
         Self { fingerprint, news }
     }
--- a/crates/fleet/src/peer_schedule.rs
+++ b/crates/fleet/src/peer_schedule.rs
@@ -44,7 +44,7 @@
     }
 
     /// Returns how many requests were started since the last report.
-    pub fn unreported(&self) -> u32 {
+    pub fn unreported_starts(&self) -> u32 {
         self.unreported
     }
 
@@ -54,38 +54,43 @@
     }
 
     /// Makes the next sign of life, and in a small fleet the next report, due at once.
-    pub fn hasten(&mut self) {
+    pub fn make_due_now(&mut self) {
         self.report_at = Duration::ZERO;
         self.presence_at = Duration::ZERO;
     }
 
     /// Tells whether a report to all hosts of a small fleet is due, and plans the next one.
-    pub fn takes_report(&mut self, now: Duration, hosts: usize) -> bool {
+    pub fn take_due_report(&mut self, now: Duration, hosts: usize) -> bool {
         let interval = REPORT_INTERVAL_PER_HOST.saturating_mul(hosts as u32);
         self.takes_own(now, interval.max(MIN_REPORT_INTERVAL))
     }
 
     /// Tells whether a report to the relays is due, and plans the next one. There are two for each sum.
-    pub fn takes_member_report(&mut self, now: Duration, hosts: usize) -> bool {
+    pub fn take_due_member_report(&mut self, now: Duration, hosts: usize) -> bool {
         let interval = relay_interval(hosts) / 2;
         self.takes_own(now, interval.max(MIN_MEMBER_INTERVAL))
     }
 
     /// Tells whether a relay's sums are due, and plans the next ones.
-    pub fn takes_sums(&mut self, now: Duration, hosts: usize) -> bool {
+    pub fn take_due_sums(&mut self, now: Duration, hosts: usize) -> bool {
         take(&mut self.sums_at, now, relay_interval(hosts))
     }
 
     /// Tells whether the sum that is due is sent to other data centres too. The first two relays of a data
     /// centre, `rank` 0 and 1, take turns.
-    pub fn takes_sum_elsewhere(&mut self, hosts: usize, rank: usize) -> bool {
+    pub fn take_remote_sum_turn(&mut self, hosts: usize, rank: usize) -> bool {
         self.sums_made += 1;
         let is_dense = relay_interval(hosts) * TURNS <= *RELAY_INTERVALS.end();
         !is_dense || (self.sums_made + rank as u32).is_multiple_of(TURNS)
     }
 
     /// Tells whether a sign of life is due, and plans the next one.
-    pub fn takes_presence(&mut self, now: Duration, is_follower: bool, interval: Duration) -> bool {
+    pub fn take_due_heartbeat(
+        &mut self,
+        now: Duration,
+        is_follower: bool,
+        interval: Duration,
+    ) -> bool {
         let interval = match is_follower {
             true => interval.min(FOLLOWER_PRESENCE_INTERVAL),
             false => interval,
--- a/crates/fleet/src/table_news.rs
+++ b/crates/fleet/src/peer_versions.rs
@@ -10,16 +10,16 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use sedgeridge_fleet::table_news::TableNews;
+/// use sedgeridge_fleet::peer_versions::PeerVersions;
 ///
-/// let mut news = TableNews::default();
-/// assert!(news.takes_copy(Duration::ZERO, 7, 9, false));
-/// assert!(!news.takes_copy(Duration::ZERO, 7, 9, false), "one fetch at a time");
-/// news.on_fetched();
-/// assert!(news.takes_copy(Duration::ZERO, 7, 9, false));
+/// let mut news = PeerVersions::default();
+/// assert!(news.try_start_fetch(Duration::ZERO, 7, 9, false));
+/// assert!(!news.try_start_fetch(Duration::ZERO, 7, 9, false), "one fetch at a time");
+/// news.on_fetch_ended();
+/// assert!(news.try_start_fetch(Duration::ZERO, 7, 9, false));
 /// ```
 #[derive(Debug, Default)]
-pub struct TableNews {
+pub struct PeerVersions {
     ahead: Option<Ahead>,
     is_fetching: bool,
 }
@@ -31,13 +31,19 @@
     since: Duration,
 }
 
-impl TableNews {
+impl PeerVersions {
     /// Takes in that another host knows the version `heard`, and tells whether to fetch its copy now.
     ///
     /// The store may turn this host away while it serves the others and the operator. Without the
     /// copy, callers here would be served by old routes and keys, and endpoints that left. A host that the store
     /// answers, `is_answered`, leaves it a moment to tell of the change itself.
-    pub fn takes_copy(&mut self, now: Duration, known: u64, heard: u64, is_answered: bool) -> bool {
+    pub fn try_start_fetch(
+        &mut self,
+        now: Duration,
+        known: u64,
+        heard: u64,
+        is_answered: bool,
+    ) -> bool {
         // A host that has caught up meanwhile waits anew: else it would copy each later change at once.
         self.ahead.take_if(|ahead| ahead.version <= known);
         if heard <= known {
@@ -60,7 +66,7 @@
     }
 
     /// Notes that a fetch has ended, with a copy or without one.
-    pub fn on_fetched(&mut self) {
+    pub fn on_fetch_ended(&mut self) {
         self.is_fetching = false;
         self.ahead = None;
     }
--- a/crates/fleet/src/relay.rs
+++ b/crates/fleet/src/relay.rs
@@ -127,7 +127,7 @@
 impl FleetView {
     /// Tells whether a new sum of that many hosts should be taken, and notes it if so. Two relays may
     /// know different parts of the fleet, for example while links between data centres are cut.
-    pub fn takes(&mut self, now: Duration, hosts: u32) -> bool {
+    pub fn accepts(&mut self, now: Duration, hosts: u32) -> bool {
         let is_old = self
             .heard_at
             .is_none_or(|at| now.saturating_sub(at) > REPLACED_AFTER);
--- a/crates/fleet/src/row_watch.rs
+++ b/crates/fleet/src/row_watch.rs
@@ -67,7 +67,7 @@
     /// Time that its writer has left.
     pub remaining: Duration,
     /// How long ago the outage began in which it may have lapsed.
-    pub lost_for: Duration,
+    pub outage_age: Duration,
 }
 
 /// The next call to the store.
@@ -85,7 +85,7 @@
         /// Whether the store keeps the call until there is a change. After an outage it must not:
         /// the answer could come long after the store is back, and what is removed meanwhile would
         /// look as if it had lapsed in the outage.
-        is_held: bool,
+        is_long_poll: bool,
     },
 }
 
@@ -127,7 +127,7 @@
 /// let answer = StoreAnswer::Rows { rows: Vec::new(), version: 7, has_more: false };
 /// watch.on_answer(Duration::ZERO, answer);
 /// let step = watch.step(Duration::ZERO);
-/// assert_eq!(step, WatchStep::Call(StoreCall::Feed { after: 7, is_held: true }));
+/// assert_eq!(step, WatchStep::Call(StoreCall::Feed { after: 7, is_long_poll: true }));
 /// ```
 #[derive(Debug)]
 pub struct RowWatch {
@@ -222,7 +222,7 @@
             },
             None => StoreCall::Feed {
                 after: self.fed_version,
-                is_held: self.lost_at.is_none(),
+                is_long_poll: self.lost_at.is_none(),
             },
         };
         WatchStep::Call(call)
@@ -310,17 +310,17 @@
         self.changed_version = self.changed_version.max(copy.version);
         for row in copy.lapsing {
             let lapse = Lapse {
-                lost_at: now.saturating_sub(row.lost_for),
+                lost_at: now.saturating_sub(row.outage_age),
                 until: now + row.remaining,
             };
-            let lapse = Some(lapse).filter(|it| self.outage.may_be_of_all(it.lost_at));
+            let lapse = Some(lapse).filter(|it| self.outage.may_be_fleet_wide(it.lost_at));
             changed.extend(self.miss(row.key, row.version, lapse));
         }
         changed
     }
 
     /// Returns a copy for a host that knows everything up to `after`.
-    pub fn copy(&self, now: Duration, after: u64) -> TableCopy {
+    pub fn copy_after(&self, now: Duration, after: u64) -> TableCopy {
         let is_whole = after == 0;
         let lacks_removals = self.lacks_removals(after);
         let removed = self.removed.iter().filter(|_| !is_whole && !lacks_removals);
@@ -362,13 +362,13 @@
             key: key.clone(),
             version: lapsing.version,
             remaining: lapsing.lapse.until.saturating_sub(now),
-            lost_for: now.saturating_sub(lapsing.lapse.lost_at),
+            outage_age: now.saturating_sub(lapsing.lapse.lost_at),
         };
         lapsing.map(to_row).collect()
     }
 
     /// Returns rows that went missing while the store was away and whose time is now over.
-    pub fn expired(&mut self, now: Duration) -> Vec<Row> {
+    pub fn take_expired(&mut self, now: Duration) -> Vec<Row> {
         if self.lapsing.is_empty() || self.is_cut_off() {
             return Vec::new();
         }
@@ -390,7 +390,7 @@
     }
 
     /// Returns how many missing rows stay in use for now.
-    pub fn lapsing(&self) -> usize {
+    pub fn lapsing_count(&self) -> usize {
         self.lapsing.len()
     }
 
@@ -399,7 +399,8 @@
     /// reports: without them a host that the store refuses keeps what lapsed for as long as no row changes.
     fn is_cut_off(&self) -> bool {
         let has_copy_since = |lost_at| self.copied_at.is_some_and(|at| at >= lost_at);
-        let may_be_away = |lost_at| !has_copy_since(lost_at) && self.outage.may_be_of_all(lost_at);
+        let may_be_away =
+            |lost_at| !has_copy_since(lost_at) && self.outage.may_be_fleet_wide(lost_at);
         self.lost_at.is_some_and(may_be_away)
     }
 
@@ -419,17 +420,17 @@
     }
 
     /// Returns since when no call has succeeded, if the last one failed.
-    pub fn lost_since(&self) -> Option<Duration> {
+    pub fn store_lost_since(&self) -> Option<Duration> {
         self.lost_at
     }
 
     /// Returns when a call was last answered.
-    pub fn answered_at(&self) -> Option<Duration> {
+    pub fn store_answered_at(&self) -> Option<Duration> {
         self.answered_at
     }
 
     /// Tells whether the last call failed.
-    pub fn is_lost(&self) -> bool {
+    pub fn is_store_lost(&self) -> bool {
         self.lost_at.is_some()
     }
 
@@ -444,7 +445,7 @@
         let Some(lost_at) = self.lost_at.take() else {
             return;
         };
-        if now.saturating_sub(lost_at) >= MIN_OUTAGE && self.outage.may_be_of_all(lost_at) {
+        if now.saturating_sub(lost_at) >= MIN_OUTAGE && self.outage.may_be_fleet_wide(lost_at) {
             self.catch_up_until = now + CATCH_UP_TIME;
             self.outage_ended = Some(Lapse {
                 lost_at,
--- a/crates/fleet/src/store_followers.rs
+++ b/crates/fleet/src/store_followers.rs
@@ -23,11 +23,11 @@
 
 /// Live hosts that come before this one in the choice of followers.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct HostsBefore {
+pub struct HigherRankedHosts {
     /// Those that the store answers, as far as they know.
-    pub answered: usize,
+    pub answered_by_store: usize,
     /// Those that it does not answer.
-    pub failing: usize,
+    pub failing_at_store: usize,
 }
 
 /// A host's part in following the platform's store.
@@ -93,21 +93,21 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use sedgeridge_fleet::store_followers::{HostsBefore, StoreFollowers, StoreRole};
+    /// use sedgeridge_fleet::store_followers::{HigherRankedHosts, StoreFollowers, StoreRole};
     ///
     /// let followers = StoreFollowers::default();
-    /// let before = HostsBefore { answered: 0, failing: 1 };
+    /// let before = HigherRankedHosts { answered_by_store: 0, failing_at_store: 1 };
     /// assert_eq!(followers.role(Duration::ZERO, before), StoreRole::FirstFollower);
-    /// let before = HostsBefore { answered: 4, failing: 0 };
+    /// let before = HigherRankedHosts { answered_by_store: 4, failing_at_store: 0 };
     /// assert_eq!(followers.role(Duration::ZERO, before), StoreRole::Copier);
     /// ```
-    pub fn role(&self, now: Duration, before: HostsBefore) -> StoreRole {
+    pub fn role(&self, now: Duration, before: HigherRankedHosts) -> StoreRole {
         let turned_away_for = self
             .turned_away_since
             .map(|since| now.saturating_sub(since));
         let further = turned_away_for.unwrap_or_default().as_millis() / NEXT_TRY.as_millis();
-        let may_try = before.failing < FOLLOWERS + MOST_FAILING + further as usize;
-        match before.answered {
+        let may_try = before.failing_at_store < FOLLOWERS + MOST_FAILING + further as usize;
+        match before.answered_by_store {
             _ if !may_try => StoreRole::Copier,
             0 => StoreRole::FirstFollower,
             answered if answered < FOLLOWERS => StoreRole::Standby,
--- a/crates/fleet/src/store_outage.rs
+++ b/crates/fleet/src/store_outage.rs
@@ -20,7 +20,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct StoreReports {
     /// Since when it does not answer, for each host that calls it in vain.
-    pub losses: Vec<Duration>,
+    pub lost_since: Vec<Duration>,
     /// When it last answered any host.
     pub answered_at: Option<Duration>,
 }
@@ -40,7 +40,7 @@
 
 impl OutageView {
     /// Tells whether the store may have been away for all hosts in a loss that began at `lost_at`.
-    pub fn may_be_of_all(&self, lost_at: Duration) -> bool {
+    pub fn may_be_fleet_wide(&self, lost_at: Duration) -> bool {
         self.since.is_some() || !self.is_refuted(lost_at)
     }
 
@@ -64,12 +64,12 @@
 ///
 /// let seconds = Duration::from_secs;
 /// let mut outage = StoreOutage::default();
-/// let losses = vec![seconds(5)];
-/// outage.tick(seconds(6), StoreReports { losses: losses.clone(), answered_at: Some(seconds(4)) });
+/// let lost_since = vec![seconds(5)];
+/// outage.tick(seconds(6), StoreReports { lost_since: lost_since.clone(), answered_at: Some(seconds(4)) });
 /// assert_eq!(outage.since(), Some(seconds(5)));
 ///
 /// for now in 6..10 {
-///     let answers_others = StoreReports { losses: losses.clone(), answered_at: Some(seconds(now)) };
+///     let answers_others = StoreReports { lost_since: lost_since.clone(), answered_at: Some(seconds(now)) };
 ///     outage.tick(seconds(now), answers_others);
 /// }
 /// assert_eq!(outage.since(), None);
@@ -88,8 +88,8 @@
     /// Takes in what hosts report. Call it several times a second.
     pub fn tick(&mut self, now: Duration, reports: StoreReports) {
         self.note_answer(now, reports.answered_at);
-        let losses = reports.losses.into_iter();
-        self.current = losses.filter(|at| !self.view.is_refuted(*at)).min();
+        let lost_since = reports.lost_since.into_iter();
+        self.current = lost_since.filter(|at| !self.view.is_refuted(*at)).min();
         let is_long = |lost_at: &Duration| now.saturating_sub(*lost_at) >= MIN_OUTAGE;
         let kept = self.view.since.filter(|at| !self.view.is_refuted(*at));
         self.view.since = kept.or(self.current.filter(is_long));
--- a/crates/fleet/tests/cold_starts.rs
+++ b/crates/fleet/tests/cold_starts.rs
@@ -34,7 +34,7 @@
 use support::settings;
 
 const COLD_START: ColdStart = ColdStart {
-    lasts: Duration::from_millis(3_000),
+    duration: Duration::from_millis(3_000),
     requests_per_s: 14.0,
 };
 const BOUNDS: ColdStartBounds = ColdStartBounds {
@@ -222,7 +222,7 @@
 
     fn cold(&self, endpoint: &Endpoint) -> DispatchEvent {
         DispatchEvent::EndpointListed(Endpoint {
-            cold_for: COLD_START.lasts,
+            cold_for: COLD_START.duration,
             ..endpoint.clone()
         })
     }
--- a/crates/fleet/tests/row_watch.rs
+++ b/crates/fleet/tests/row_watch.rs
@@ -66,7 +66,7 @@
     assert_eq!(changed.len(), 2);
     let feed = StoreCall::Feed {
         after: 6,
-        is_held: true,
+        is_long_poll: true,
     };
     assert_eq!(watch.step(at(1)), WatchStep::Call(feed));
 }
@@ -89,8 +89,8 @@
     watch.on_answer(at(5_000), rows(vec![removed("a", 3), removed("b", 4)], 4));
     assert_eq!(keys(&watch), ["a", "b"]);
     watch.on_answer(at(6_000), rows(vec![row("a", 5)], 5));
-    assert!(watch.expired(at(6_900)).is_empty());
-    let gone = watch.expired(at(7_400));
+    assert!(watch.take_expired(at(6_900)).is_empty());
+    let gone = watch.take_expired(at(7_400));
     assert_eq!(gone, vec![removed("b", 4)]);
     assert_eq!(keys(&watch), ["a"]);
 }
@@ -105,7 +105,7 @@
     // A call that waits for a change would not tell when the store is back.
     let catch_up = StoreCall::Feed {
         after: 2,
-        is_held: false,
+        is_long_poll: false,
     };
     assert_eq!(watch.step(at(4_999)), WatchStep::Call(catch_up));
     watch.on_answer(at(5_000), rows(Vec::new(), 3));
@@ -174,7 +174,7 @@
     let mut followed = watch_of_two();
     followed.on_answer(at(10), rows(vec![removed("a", 3), row("c", 4)], 4));
     let mut behind = watch_of_two();
-    let copy = followed.copy(at(20), behind.changed_version());
+    let copy = followed.copy_after(at(20), behind.changed_version());
     assert_eq!(copy.rows, vec![row("c", 4), removed("a", 3)]);
     behind.on_copy(at(20), copy);
     assert_eq!(keys(&behind), ["b", "c"]);
@@ -190,7 +190,7 @@
     turned_away.on_answer(at(100), StoreAnswer::Failed);
     let mut served = watch_of_two();
     served.on_answer(at(2_000), rows(vec![removed("a", 3)], 3));
-    let copy = served.copy(at(2_050), turned_away.changed_version());
+    let copy = served.copy_after(at(2_050), turned_away.changed_version());
     let changed = turned_away.on_copy(at(2_050), copy);
     assert_eq!(changed, vec![removed("a", 3)]);
     assert_eq!(keys(&turned_away), ["b"]);
@@ -205,21 +205,21 @@
     let mut copying = watch_of_two();
     following.on_answer(at(100), StoreAnswer::Failed);
     following.on_answer(at(5_000), rows(vec![removed("a", 3), removed("b", 4)], 4));
-    let copy = following.copy(at(5_300), copying.changed_version());
+    let copy = following.copy_after(at(5_300), copying.changed_version());
     let lapsing = LapsingRow {
         key: Arc::from("a"),
         version: 3,
         remaining: at(1_800),
-        lost_for: at(5_200),
+        outage_age: at(5_200),
     };
     assert_eq!(copy.lapsing.first(), Some(&lapsing));
     assert!(copying.on_copy(at(5_300), copy).is_empty());
 
     following.on_answer(at(6_000), rows(vec![row("b", 5)], 5));
-    copying.on_copy(at(6_050), following.copy(at(6_050), 4));
-    assert!(copying.expired(at(7_000)).is_empty());
-    assert_eq!(copying.expired(at(7_100)), vec![removed("a", 3)]);
-    assert_eq!(following.expired(at(7_100)), vec![removed("a", 3)]);
+    copying.on_copy(at(6_050), following.copy_after(at(6_050), 4));
+    assert!(copying.take_expired(at(7_000)).is_empty());
+    assert_eq!(copying.take_expired(at(7_100)), vec![removed("a", 3)]);
+    assert_eq!(following.take_expired(at(7_100)), vec![removed("a", 3)]);
     assert_eq!(keys(&copying), ["b"]);
 }
 
@@ -231,7 +231,7 @@
     let mut started = RowWatch::new(2);
     started.on_answer(at(0), rows(vec![row("b", 2), row("c", 5)], 5));
     let mut copying = watch_of_two();
-    let copy = started.copy(at(10), copying.changed_version());
+    let copy = started.copy_after(at(10), copying.changed_version());
     assert_eq!(
         copy.rows,
         vec![row("c", 5)],
@@ -241,13 +241,13 @@
     assert_eq!(changed, vec![removed("a", 5), row("c", 5)]);
 
     started.on_answer(at(20), rows(vec![row("d", 6)], 6));
-    let next = started.copy(at(20), copying.changed_version());
+    let next = started.copy_after(at(20), copying.changed_version());
     assert!(next.keys.is_none(), "the copying host lacks nothing since");
 
     // What the copying host passes on has the same gap.
     let mut behind = watch_of_two();
     behind.on_answer(at(0), rows(vec![row("e", 3)], 3));
-    let copy = copying.copy(at(30), behind.changed_version());
+    let copy = copying.copy_after(at(30), behind.changed_version());
     behind.on_copy(at(30), copy);
     assert_eq!(keys(&behind), ["b", "c"]);
 }
@@ -263,7 +263,7 @@
     watch.on_answer(at(4_500), StoreAnswer::Failed);
     let changed = watch.on_answer(at(5_000), rows(vec![removed("a", 3)], 3));
     assert!(changed.is_empty());
-    assert_eq!(watch.expired(at(7_300)), vec![removed("a", 3)]);
+    assert_eq!(watch.take_expired(at(7_300)), vec![removed("a", 3)]);
 }
 
 /// A host that the store turns away right after an outage learns from others' copies that the store is back.
@@ -275,7 +275,7 @@
     watch.on_answer(at(5_000), rows(vec![removed("a", 3)], 3));
     watch.on_answer(at(5_500), StoreAnswer::Failed);
     assert!(
-        watch.expired(at(7_400)).is_empty(),
+        watch.take_expired(at(7_400)).is_empty(),
         "the store may be away for all"
     );
     let newer = TableCopy {
@@ -286,7 +286,7 @@
         keys: None,
     };
     watch.on_copy(at(7_500), newer);
-    assert_eq!(watch.expired(at(7_600)), vec![removed("a", 3)]);
+    assert_eq!(watch.take_expired(at(7_600)), vec![removed("a", 3)]);
 }
 
 /// A host that copies from others calls the store only until it knows the table, and goes on from
@@ -302,7 +302,7 @@
     watch.set_following(true, None);
     let feed = StoreCall::Feed {
         after: 9,
-        is_held: true,
+        is_long_poll: true,
     };
     assert_eq!(watch.step(at(30)), WatchStep::Call(feed));
 }
@@ -325,7 +325,7 @@
             followed.on_answer(at(version), rows(vec![change], version));
         }
         if random.below(60) == 0 {
-            let copy = followed.copy(at(version), copying.changed_version());
+            let copy = followed.copy_after(at(version), copying.changed_version());
             copying.on_copy(at(version), copy);
             assert_eq!(keys(&followed), keys(&copying));
         }
@@ -342,7 +342,7 @@
     assert_eq!(watch.step(at(1_000)), WatchStep::WaitUntil(at(1_700)));
     let feed = StoreCall::Feed {
         after: 3,
-        is_held: true,
+        is_long_poll: true,
     };
     assert_eq!(watch.step(at(1_700)), WatchStep::Call(feed));
 }
--- a/crates/fleet/tests/store_outage.rs
+++ b/crates/fleet/tests/store_outage.rs
@@ -13,12 +13,12 @@
 fn play(
     outage: &mut StoreOutage,
     (from, to): (u64, u64),
-    losses: &[u64],
+    lost_since: &[u64],
     answered_at: impl Fn(u64) -> u64,
 ) {
     for now in (from..to).step_by(50) {
         let reports = StoreReports {
-            losses: losses.iter().copied().map(at).collect(),
+            lost_since: lost_since.iter().copied().map(at).collect(),
             answered_at: Some(at(answered_at(now))),
         };
         outage.tick(at(now), reports);
--- a/crates/fleet/tests/support/table_fleet.rs
+++ b/crates/fleet/tests/support/table_fleet.rs
@@ -17,12 +17,12 @@
 use sedgeridge_fleet::hashing::stable_hash;
 use sedgeridge_fleet::peer_hosts::ListedHost;
 use sedgeridge_fleet::peer_report::PeerReport;
+use sedgeridge_fleet::peer_versions::PeerVersions;
 use sedgeridge_fleet::row_watch::Row;
 use sedgeridge_fleet::row_watch::RowWatch;
 use sedgeridge_fleet::row_watch::StoreAnswer;
 use sedgeridge_fleet::row_watch::StoreCall;
 use sedgeridge_fleet::row_watch::WatchStep;
-use sedgeridge_fleet::table_news::TableNews;
 
 /// Time between two steps of every host.
 pub const STEP_MS: u64 = 10;
@@ -92,7 +92,7 @@
     key: u64,
     host: Host,
     pub watch: RowWatch,
-    news: TableNews,
+    news: PeerVersions,
     pub is_frozen: bool,
     call: Option<(u64, StoreCall)>,
     fetch: Option<Fetch>,
@@ -136,7 +136,7 @@
                 key: key(index),
                 host,
                 watch: RowWatch::new(index as u64),
-                news: TableNews::default(),
+                news: PeerVersions::default(),
                 is_frozen: false,
                 call: None,
                 fetch: None,
@@ -186,7 +186,7 @@
         let is_over = node.watch.next_expiry().is_some_and(|at| at <= now);
         if is_over || self.now.is_multiple_of(200) {
             node.watch.set_outage(node.host.dispatcher.store_outage());
-            node.watch.expired(now);
+            node.watch.take_expired(now);
         }
         let has_news = std::mem::take(&mut node.has_news);
         if has_news {
@@ -203,9 +203,9 @@
         let ago = |at: Option<Duration>| at.map(|at| now.saturating_sub(at));
         let state = HostState {
             endpoints_version: node.watch.changed_version(),
-            store_answers: !node.watch.is_lost(),
-            store_lost_for: ago(node.watch.lost_since()).unwrap_or_default(),
-            store_answered_ago: ago(node.watch.answered_at()),
+            store_answers: !node.watch.is_store_lost(),
+            store_lost_for: ago(node.watch.store_lost_since()).unwrap_or_default(),
+            store_answered_ago: ago(node.watch.store_answered_at()),
             ..HostState::default()
         };
         let due = node.host.dispatcher.reports_due(at(self.now), state);
@@ -242,8 +242,11 @@
         let node = &mut self.nodes[index];
         let role = node.host.dispatcher.store_role(at(now));
         let known = node.watch.changed_version();
-        let is_answered = role.is_following() && !node.watch.is_lost();
-        if !node.news.takes_copy(at(now), known, heard, is_answered) {
+        let is_answered = role.is_following() && !node.watch.is_store_lost();
+        if !node
+            .news
+            .try_start_fetch(at(now), known, heard, is_answered)
+        {
             return;
         }
         let spread = match role {
@@ -273,12 +276,12 @@
         let now = at(self.now);
         let after = self.nodes[index].watch.changed_version();
         if is_answered && !self.nodes[from].is_frozen {
-            let copy = self.nodes[from].watch.copy(now, after);
+            let copy = self.nodes[from].watch.copy_after(now, after);
             let node = &mut self.nodes[index];
             node.watch.set_outage(node.host.dispatcher.store_outage());
             node.watch.on_copy(now, copy);
         }
-        self.nodes[index].news.on_fetched();
+        self.nodes[index].news.on_fetch_ended();
     }
 
     fn call_store(&mut self, index: usize) {
@@ -371,14 +374,17 @@
     if store.is_away || store.refused.contains(&host) {
         return Some(StoreAnswer::Failed);
     }
-    let (rows, is_held) = match call {
+    let (rows, is_long_poll) = match call {
         StoreCall::List { .. } => (store.list(), false),
         StoreCall::Feed { after, .. } if *after < store.forgotten => {
             return Some(StoreAnswer::HistoryGone);
         }
-        StoreCall::Feed { after, is_held } => (store.changes(*after), *is_held),
+        StoreCall::Feed {
+            after,
+            is_long_poll,
+        } => (store.changes(*after), *is_long_poll),
     };
-    let is_over = !rows.is_empty() || !is_held || age_ms >= HOLD_MS;
+    let is_over = !rows.is_empty() || !is_long_poll || age_ms >= HOLD_MS;
     is_over.then_some(StoreAnswer::Rows {
         rows,
         version: store.version,
--- a/crates/gateway/src/table_copies.rs
+++ b/crates/gateway/src/table_copies.rs
@@ -91,7 +91,7 @@
             key: row.key.to_string(),
             version: row.version,
             remaining_ms: to_millis(row.remaining),
-            lost_ms: to_millis(row.lost_for),
+            lost_ms: to_millis(row.outage_age),
         });
         Self {
             version: copy.version,
@@ -116,7 +116,7 @@
             key: Arc::from(row.key),
             version: row.version,
             remaining: Duration::from_millis(row.remaining_ms),
-            lost_for: Duration::from_millis(row.lost_ms),
+            outage_age: Duration::from_millis(row.lost_ms),
         });
         Self {
             version: message.version,
--- a/crates/gateway/src/table_follower.rs
+++ b/crates/gateway/src/table_follower.rs
@@ -10,13 +10,13 @@
 use sedgeridge_fleet::dispatcher::StoreRole;
 use sedgeridge_fleet::endpoint_table::Endpoint;
 use sedgeridge_fleet::hashing::stable_hash;
+use sedgeridge_fleet::peer_versions::PeerVersions;
 use sedgeridge_fleet::route_table::RouteTable;
 use sedgeridge_fleet::row_watch::Row;
 use sedgeridge_fleet::row_watch::RowWatch;
 use sedgeridge_fleet::row_watch::StoreAnswer;
 use sedgeridge_fleet::row_watch::TableCopy;
 use sedgeridge_fleet::row_watch::WatchStep;
-use sedgeridge_fleet::table_news::TableNews;
 use tokio::sync::Notify;
 
 use crate::clock::Clock;
@@ -43,8 +43,8 @@
     core: Rc<Core<W, C>>,
     config: RefCell<RowWatch>,
     endpoints: RefCell<RowWatch>,
-    config_news: RefCell<TableNews>,
-    endpoints_news: RefCell<TableNews>,
+    config_news: RefCell<PeerVersions>,
+    endpoints_news: RefCell<PeerVersions>,
     news: Notify,
 }
 
@@ -93,7 +93,10 @@
             .with_dispatcher(|dispatcher| dispatcher.store_lost_since());
         watch.set_following(role.is_following(), lost_since);
         watch.set_feed_pause(role.feed_pause());
-        if table == Table::Endpoints && watch.is_lost() && self.config.borrow().is_lost() {
+        if table == Table::Endpoints
+            && watch.is_store_lost()
+            && self.config.borrow().is_store_lost()
+        {
             return WatchStep::WaitUntil(now + LOST_INTERVAL);
         }
         watch.step(now)
@@ -103,14 +106,15 @@
     pub fn takes_copy(&self, table: Table, heard: u64) -> bool {
         let now = self.core.now();
         let known = self.changed_version(table);
-        let is_answered = self.role(now).is_following() && !self.watch(table).borrow().is_lost();
+        let is_answered =
+            self.role(now).is_following() && !self.watch(table).borrow().is_store_lost();
         let mut news = self.news_of(table).borrow_mut();
-        news.takes_copy(now, known, heard, is_answered)
+        news.try_start_fetch(now, known, heard, is_answered)
     }
 
     /// Notes that a fetch of another host's copy has ended.
     pub fn on_fetched(&self, table: Table) {
-        self.news_of(table).borrow_mut().on_fetched();
+        self.news_of(table).borrow_mut().on_fetch_ended();
     }
 
     /// Returns the part that this host takes in following the store.
@@ -126,7 +130,7 @@
 
     /// Returns how long ago the store last answered a call.
     pub fn store_answered_ago(&self) -> Option<Duration> {
-        let answered_at = |table| self.watch(table).borrow().answered_at();
+        let answered_at = |table| self.watch(table).borrow().store_answered_at();
         let at = answered_at(Table::Config).into_iter();
         let at = at.chain(answered_at(Table::Endpoints)).max();
         at.map(|at| self.core.now().saturating_sub(at))
@@ -134,7 +138,7 @@
 
     /// Returns for how long the store has not answered a call about one of the tables.
     pub fn store_lost_for(&self) -> Duration {
-        let lost_since = |table| self.watch(table).borrow().lost_since();
+        let lost_since = |table| self.watch(table).borrow().store_lost_since();
         let since = lost_since(Table::Config).into_iter();
         let since = since.chain(lost_since(Table::Endpoints)).min();
         since.map_or(Duration::ZERO, |since| {
@@ -144,7 +148,7 @@
 
     /// Tells whether the store answered the last call about each table.
     pub fn store_answers(&self) -> bool {
-        let is_lost = |table| self.watch(table).borrow().is_lost();
+        let is_lost = |table| self.watch(table).borrow().is_store_lost();
         !is_lost(Table::Config) && !is_lost(Table::Endpoints)
     }
 
@@ -153,7 +157,7 @@
         loop {
             tokio::time::sleep(self.time_to_expiry()).await;
             for table in [Table::Config, Table::Endpoints] {
-                let expired = self.update(table, None, RowWatch::expired);
+                let expired = self.update(table, None, RowWatch::take_expired);
                 self.apply(table, expired);
             }
         }
@@ -176,7 +180,7 @@
     /// Makes a copy for a host that knows everything up to `after`.
     pub fn copy(&self, table: Table, after: u64) -> TableCopy {
         let now = self.core.now();
-        self.watch(table).borrow().copy(now, after)
+        self.watch(table).borrow().copy_after(now, after)
     }
 
     /// Takes in the copy of the host at `from`.
@@ -207,12 +211,12 @@
             .core
             .with_dispatcher(|dispatcher| dispatcher.store_outage());
         watch.set_outage(outage);
-        let before = watch.lapsing();
+        let before = watch.lapsing_count();
         let changed = change(&mut watch, now);
-        if watch.lapsing() > before {
+        if watch.lapsing_count() > before {
             let fields = [
                 ("table", table.as_str().into()),
-                ("missing", watch.lapsing().into()),
+                ("missing", watch.lapsing_count().into()),
                 ("version", watch.changed_version().into()),
                 ("told_by", told_by.map(|from| from.to_string()).into()),
             ];
@@ -229,7 +233,7 @@
             false => "failed",
         };
         meters::store_call(table.as_str(), outcome);
-        let lost_since = self.watch(table).borrow().lost_since();
+        let lost_since = self.watch(table).borrow().store_lost_since();
         match (is_answered, lost_since) {
             (false, None) => {
                 let fields = [("table", table.as_str().into())];
@@ -251,7 +255,7 @@
         }
     }
 
-    fn news_of(&self, table: Table) -> &RefCell<TableNews> {
+    fn news_of(&self, table: Table) -> &RefCell<PeerVersions> {
         match table {
             Table::Config => &self.config_news,
             Table::Endpoints => &self.endpoints_news,
--- a/crates/gateway/tests/table_copies.rs
+++ b/crates/gateway/tests/table_copies.rs
@@ -111,7 +111,7 @@
     let Fetched::Copy(copy) = fetched("200 OK", encoded(&earlier)) else {
         panic!("a copy");
     };
-    assert!(copy.lapsing[0].lost_for.is_zero());
+    assert!(copy.lapsing[0].outage_age.is_zero());
 }
 
 #[test]
