--- a/crates/fleet/src/peer_versions.rs
+++ b/crates/fleet/src/peer_versions.rs
@@ -1,73 +1,75 @@
-//! What reports of other hosts tell about the versions of a table, and when to fetch a copy.
+//! Tracks the table versions that other hosts report, and decides when to fetch a copy.
 
 use std::time::Duration;
 
-/// Time for which a host that the store answers may know less than another before it copies from
-/// there. The store itself tells of a change within some ten milliseconds.
-const ANSWERED_BEHIND_FOR: Duration = Duration::from_millis(250);
+/// Time that a host which the store answers waits for the store before it copies from a host with a
+/// newer version. The store itself delivers a change within some ten milliseconds.
+const STORE_GRACE: Duration = Duration::from_millis(250);
 
-/// Versions of one table that other hosts know.
+/// Newer versions of one table that other hosts know.
 ///
 /// ```
 /// use std::time::Duration;
 /// use sedgeridge_fleet::peer_versions::PeerVersions;
 ///
-/// let mut news = PeerVersions::default();
-/// assert!(news.try_start_fetch(Duration::ZERO, 7, 9, false));
-/// assert!(!news.try_start_fetch(Duration::ZERO, 7, 9, false), "one fetch at a time");
-/// news.on_fetch_ended();
-/// assert!(news.try_start_fetch(Duration::ZERO, 7, 9, false));
+/// let mut versions = PeerVersions::default();
+/// assert!(versions.try_start_fetch(Duration::ZERO, 7, 9, false));
+/// assert!(!versions.try_start_fetch(Duration::ZERO, 7, 9, false), "one fetch at a time");
+/// versions.on_fetch_ended();
+/// assert!(versions.try_start_fetch(Duration::ZERO, 7, 9, false));
 /// ```
 #[derive(Debug, Default)]
 pub struct PeerVersions {
-    ahead: Option<Ahead>,
+    newer: Option<NewerVersion>,
     is_fetching: bool,
 }
 
-/// A version that another host knows and this one does not.
+/// A version that another host knows and this one does not, and when this host learned of it.
 #[derive(Debug)]
-struct Ahead {
+struct NewerVersion {
     version: u64,
     since: Duration,
 }
 
 impl PeerVersions {
-    /// Takes in that another host knows the version `heard`, and tells whether to fetch its copy now.
+    /// Records that another host knows the version `reported`. Returns true, and counts a fetch as
+    /// in progress, if this host should fetch a copy now.
     ///
-    /// The store may turn this host away while it serves the others and the operator. Without the
-    /// copy, callers here would be served by old routes and keys, and endpoints that left. A host that the store
-    /// answers, `is_answered`, leaves it a moment to tell of the change itself.
+    /// The store may refuse this host while it serves the others and the operator. Without the copy
+    /// this host would keep old routes and keys, and endpoints that left. If the store answers this
+    /// host (`store_answers`), the store gets a moment to deliver the change itself.
     pub fn try_start_fetch(
         &mut self,
         now: Duration,
         known: u64,
-        heard: u64,
-        is_answered: bool,
+        reported: u64,
+        store_answers: bool,
     ) -> bool {
-        // A host that has caught up meanwhile waits anew: else it would copy each later change at once.
-        self.ahead.take_if(|ahead| ahead.version <= known);
-        if heard <= known {
+        // After catching up the wait starts anew. Otherwise each later change would be copied at
+        // once.
+        self.newer.take_if(|newer| newer.version <= known);
+        if reported <= known {
             return false;
         }
-        let ahead = self.ahead.get_or_insert(Ahead {
-            version: heard,
+        let newer = self.newer.get_or_insert(NewerVersion {
+            version: reported,
             since: now,
         });
-        let since = ahead.since;
-        let patience = match is_answered {
-            true => ANSWERED_BEHIND_FOR,
+        let since = newer.since;
+        let grace = match store_answers {
+            true => STORE_GRACE,
             false => Duration::ZERO,
         };
-        if self.is_fetching || now.saturating_sub(since) < patience {
+        if self.is_fetching || now.saturating_sub(since) < grace {
             return false;
         }
         self.is_fetching = true;
         true
     }
 
-    /// Notes that a fetch has ended, with a copy or without one.
+    /// Records the end of a fetch, with or without a copy.
     pub fn on_fetch_ended(&mut self) {
         self.is_fetching = false;
-        self.ahead = None;
+        self.newer = None;
     }
 }
--- a/crates/fleet/src/route_table.rs
+++ b/crates/fleet/src/route_table.rs
@@ -10,14 +10,14 @@
 use crate::config::Route;
 use crate::hashing::stable_hash;
 
-/// Why a request is turned away before any endpoint is chosen.
+/// Reason for which a request is refused before an endpoint is chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LookupError {
     /// No configuration is known yet.
     NoConfig,
-    /// No route matches host name and path.
+    /// No route matches the host name and path.
     NoRoute,
-    /// The route needs a key, and this one belongs to no account.
+    /// The route requires a key, and the given key belongs to no account.
     UnknownKey,
 }
 
@@ -32,7 +32,7 @@
     }
 }
 
-/// An index over one configuration.
+/// Lookup tables for one configuration.
 #[derive(Debug, Default)]
 pub struct RouteTable {
     version: Option<u64>,
@@ -45,13 +45,13 @@
     pub fn new(config: &FleetConfig) -> Self {
         let mut routes: HashMap<Arc<str>, Vec<Arc<Route>>> = HashMap::new();
         for route in &config.routes {
-            let of_host = routes.entry(Arc::from(route.host.to_ascii_lowercase()));
-            of_host.or_default().push(Arc::new(route.clone()));
+            let host_routes = routes.entry(Arc::from(route.host.to_ascii_lowercase()));
+            host_routes.or_default().push(Arc::new(route.clone()));
         }
-        for of_host in routes.values_mut() {
-            of_host.sort_by_key(|route| std::cmp::Reverse(route.path_prefix.len()));
+        for host_routes in routes.values_mut() {
+            host_routes.sort_by_key(|route| std::cmp::Reverse(route.path_prefix.len()));
         }
-        let by_key = |accounts: &Vec<crate::config::Account>| {
+        let accounts_by_key = |accounts: &Vec<crate::config::Account>| {
             let pairs = accounts.iter().flat_map(|account| {
                 let keys = account.keys.iter();
                 keys.map(|key| (key.clone(), account.id.clone()))
@@ -61,7 +61,7 @@
         Self {
             version: Some(config.version),
             routes,
-            accounts: config.accounts.as_ref().map(by_key),
+            accounts: config.accounts.as_ref().map(accounts_by_key),
         }
     }
 
@@ -70,8 +70,7 @@
         self.version
     }
 
-    /// Finds the route with the longest prefix that begins `path`. A port after the host name is
-    /// passed over.
+    /// Finds the route with the longest prefix of `path`. A port after the host name is ignored.
     ///
     /// # Errors
     ///
@@ -89,12 +88,12 @@
         found.ok_or(LookupError::NoRoute)
     }
 
-    /// Finds the account that holds `key`. `None` where the route or the configuration asks for no
-    /// key.
+    /// Finds the account that holds `key`. Returns `None` if neither the route nor the
+    /// configuration requires a key.
     ///
     /// # Errors
     ///
-    /// The route needs a key and the caller has none that is known.
+    /// The route requires a key, and the caller has no known one.
     pub fn account(
         &self,
         route: &Route,
--- a/crates/fleet/src/row_watch.rs
+++ b/crates/fleet/src/row_watch.rs
@@ -1,4 +1,4 @@
-//! Follows one table of the platform's store: lists it once, then waits for its changes.
+//! Keeps a local copy of one table of the platform's store: lists it once, then waits for changes.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -11,27 +11,28 @@
 use crate::store_outage::MIN_OUTAGE;
 use crate::store_outage::OutageView;
 
-/// First pause after a failed call. Short, since a change must be in force within two seconds.
+/// First pause after a failed call. It is short because a change must take effect within two
+/// seconds.
 const FIRST_PAUSE: Duration = Duration::from_millis(100);
-/// Longest pause after failed calls. Every call is paid for, also one that is refused; a pause of
-/// this length still finds a store that is back well before entries are judged.
+/// Longest pause after failed calls. Every call is paid for, even one that is refused. With this
+/// pause the store's return is still noticed well before entries are judged.
 const MAX_PAUSE: Duration = Duration::from_millis(800);
-/// Time after the store's return in which rows that lapsed meanwhile are written again. The
-/// platform promises about two seconds.
-const REWRITE_TIME: Duration = Duration::from_millis(2_100);
-/// Time after the store's return in which answers tell of what happened while it was away. What is
-/// removed later was removed on purpose, and counts at once.
-const CATCH_UP_TIME: Duration = Duration::from_millis(400);
-
-/// Time between looks whether a host that copies from others has to follow the store itself.
-const IDLE_INTERVAL: Duration = Duration::from_millis(100);
-/// Removed rows that are remembered, for copies that tell only what changed.
-const MAX_REMOVED: usize = 512;
-/// Gaps that are remembered. A host reads the whole table when it starts and when the store forgets its
-/// history, some times a day.
+/// Time after the store's return in which writers write lapsed rows again. The platform promises
+/// about two seconds.
+const REWRITE_WINDOW: Duration = Duration::from_millis(2_100);
+/// Time after the store's return in which a missing row may have lapsed during the outage. A row
+/// that is removed later was removed on purpose, and its removal takes effect at once.
+const CATCH_UP_WINDOW: Duration = Duration::from_millis(400);
+
+/// Interval at which a host that copies from others checks whether it must follow the store itself.
+const ROLE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Number of removed rows that are remembered, for copies that hold only changes.
+const MAX_REMOVED_ROWS: usize = 512;
+/// Number of remembered gaps. A host reads the whole table when it starts and when the store has
+/// dropped its history, which happens a few times a day.
 const MAX_GAPS: usize = 16;
 
-/// A row as the store holds it.
+/// A row of the table.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Row {
     /// Its key.
@@ -42,72 +43,74 @@
     pub value: Option<Arc<[u8]>>,
 }
 
-/// What one host tells another about a table.
+/// A copy of a table, or of its changes, that one host sends to another.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TableCopy {
-    /// Version of the newest change that it holds.
+    /// Version of the newest change in the copy.
     pub version: u64,
-    /// Whether rows that it lacks are gone; else it holds only what changed.
+    /// Whether the copy holds all rows, so that missing rows are removed; otherwise it holds only
+    /// changes.
     pub is_whole: bool,
-    /// The rows; removed ones have no value.
+    /// The rows; removed rows have no value.
     pub rows: Vec<Row>,
-    /// Rows among those known that may only have lapsed.
+    /// Rows that the sender still uses although they may have lapsed.
     pub lapsing: Vec<LapsingRow>,
-    /// Keys of all rows that there are, where `rows` may lack some that are gone.
+    /// Keys of all existing rows, present if `rows` may lack removals.
     pub keys: Option<Vec<Arc<str>>>,
 }
 
-/// A row that the store lacked when it came back from an outage. Its writer may still write it again.
+/// A row that was missing when the store came back from an outage. Its writer may still write it
+/// again.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LapsingRow {
     /// Its key.
     pub key: Arc<str>,
-    /// Version of the store as of which it was missing.
+    /// Version of the store at which the row was missing.
     pub version: u64,
-    /// Time that its writer has left.
+    /// Time left for its writer to write it again.
     pub remaining: Duration,
-    /// How long ago the outage began in which it may have lapsed.
+    /// Time since the start of the outage in which the row may have lapsed.
     pub outage_age: Duration,
 }
 
 /// The next call to the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StoreCall {
-    /// Read rows from this key on.
+    /// List rows, starting at a key.
     List {
         /// First key to return; `None` for the whole table.
         from: Option<Arc<str>>,
     },
     /// Wait for changes after this version.
     Feed {
-        /// The version up to which everything is known.
+        /// Version up to which all changes are known.
         after: u64,
-        /// Whether the store keeps the call until there is a change. After an outage it must not:
-        /// the answer could come long after the store is back, and what is removed meanwhile would
-        /// look as if it had lapsed in the outage.
+        /// Whether the store holds the call open until there is a change. Right after an outage it
+        /// must not: the answer could come long after the store is back, and a row removed in
+        /// between would look as if it had lapsed in the outage.
         is_long_poll: bool,
     },
 }
 
-/// How a call to the store ended.
+/// Result of a call to the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StoreAnswer {
-    /// Rows, as of `version`.
+    /// Rows as of `version`.
     Rows {
-        /// Listed or changed rows.
+        /// Listed rows, or changed rows.
         rows: Vec<Row>,
-        /// Version of the store at that moment.
+        /// Version of the store when it answered.
         version: u64,
-        /// Whether a list goes on after the last row.
+        /// Whether the list continues after the last row.
         has_more: bool,
     },
-    /// The changes since the asked version are no longer kept.
+    /// The store no longer keeps the requested changes.
     HistoryGone,
     /// No usable answer.
     Failed,
 }
 
-/// What to do now.
+/// What the caller does next.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum WatchStep {
     /// Make a call.
@@ -116,7 +119,7 @@
     WaitUntil(Duration),
 }
 
-/// The known rows of a table, and how to learn of the next change.
+/// The known rows of a table and the calls that keep them up to date.
 ///
 /// ```
 /// use std::time::Duration;
@@ -133,43 +136,43 @@
 pub struct RowWatch {
     rows: BTreeMap<Arc<str>, Row>,
     listing: Option<Listing>,
-    fed_version: u64,
+    feed_version: u64,
     changed_version: u64,
-    failures: u32,
-    not_before: Duration,
-    lost_at: Option<Duration>,
-    answered_at: Option<Duration>,
+    failed_calls: u32,
+    next_call_at: Duration,
+    store_lost_at: Option<Duration>,
+    store_answered_at: Option<Duration>,
     catch_up_until: Duration,
-    outage_ended: Option<Lapse>,
+    last_outage: Option<PastOutage>,
     lapsing: BTreeMap<Arc<str>, Lapsing>,
-    copied_at: Option<Duration>,
+    last_copy_at: Option<Duration>,
     removed: VecDeque<Row>,
-    removed_before: u64,
+    removals_complete_after: u64,
     gaps: VecDeque<Gap>,
     is_following: bool,
     feed_pause: Duration,
-    outage: OutageView,
+    outage_view: OutageView,
     random: SeededRandom,
 }
 
-/// An outage in which rows may have lapsed.
+/// An outage of the store in which rows may have lapsed.
 #[derive(Debug, Clone, Copy)]
-struct Lapse {
-    /// When it began.
+struct PastOutage {
+    /// Start of the outage.
     lost_at: Duration,
-    /// Until when rows are written again.
-    until: Duration,
+    /// End of the time in which writers write their rows again.
+    rewrite_until: Duration,
 }
 
-/// A missing row that stays in use.
+/// A missing row that stays in use until the end of the rewrite window.
 #[derive(Debug, Clone, Copy)]
 struct Lapsing {
     version: u64,
-    lapse: Lapse,
+    outage: PastOutage,
 }
 
-/// Versions that were passed over when the whole table was read: what was written and removed again in
-/// between is not known.
+/// Range of versions that was skipped when the whole table was read. Rows that were written and
+/// removed again within it are unknown.
 #[derive(Debug, Clone, Copy)]
 struct Gap {
     from: u64,
@@ -183,27 +186,27 @@
 }
 
 impl RowWatch {
-    /// Creates a watch that knows nothing.
+    /// Creates a watch without any rows.
     pub fn new(seed: u64) -> Self {
         Self {
             rows: BTreeMap::new(),
             listing: Some(Listing::default()),
-            fed_version: 0,
+            feed_version: 0,
             changed_version: 0,
-            failures: 0,
-            not_before: Duration::ZERO,
-            lost_at: None,
-            answered_at: None,
+            failed_calls: 0,
+            next_call_at: Duration::ZERO,
+            store_lost_at: None,
+            store_answered_at: None,
             catch_up_until: Duration::ZERO,
-            outage_ended: None,
+            last_outage: None,
             lapsing: BTreeMap::new(),
-            copied_at: None,
+            last_copy_at: None,
             removed: VecDeque::new(),
-            removed_before: 0,
+            removals_complete_after: 0,
             gaps: VecDeque::new(),
             is_following: true,
             feed_pause: Duration::ZERO,
-            outage: OutageView::default(),
+            outage_view: OutageView::default(),
             random: SeededRandom::new(seed),
         }
     }
@@ -211,24 +214,24 @@
     /// Returns the next step.
     pub fn step(&self, now: Duration) -> WatchStep {
         if !self.is_following && self.is_known() {
-            return WatchStep::WaitUntil(now + IDLE_INTERVAL);
+            return WatchStep::WaitUntil(now + ROLE_CHECK_INTERVAL);
         }
-        if now < self.not_before {
-            return WatchStep::WaitUntil(self.not_before);
+        if now < self.next_call_at {
+            return WatchStep::WaitUntil(self.next_call_at);
         }
         let call = match &self.listing {
             Some(listing) => StoreCall::List {
                 from: listing.from.clone(),
             },
             None => StoreCall::Feed {
-                after: self.fed_version,
-                is_long_poll: self.lost_at.is_none(),
+                after: self.feed_version,
+                is_long_poll: self.store_lost_at.is_none(),
             },
         };
         WatchStep::Call(call)
     }
 
-    /// Takes the end of a call. Returns rows that changed; removed ones have no value.
+    /// Handles the result of a call. Returns the changed rows; removed rows have no value.
     pub fn on_answer(&mut self, now: Duration, answer: StoreAnswer) -> Vec<Row> {
         match answer {
             StoreAnswer::Rows {
@@ -238,11 +241,11 @@
             } => {
                 self.note_success(now);
                 match self.listing.take() {
-                    Some(listing) => self.take_page(now, listing, rows, version, has_more),
+                    Some(listing) => self.on_list_page(now, listing, rows, version, has_more),
                     None => {
-                        self.fed_version = self.fed_version.max(version);
-                        self.pause_after(now, &rows);
-                        self.take_changes(rows, self.lapse(now))
+                        self.feed_version = self.feed_version.max(version);
+                        self.delay_after_changes(now, &rows);
+                        self.apply_changes(rows, self.recent_outage(now))
                     }
                 }
             }
@@ -258,71 +261,74 @@
         }
     }
 
-    /// Sets whether this host follows the store. One that does not lives on other hosts' copies.
+    /// Sets whether this host follows the store. A host that does not relies on copies from other
+    /// hosts.
     ///
-    /// A host that begins to follow may do so in the middle of an outage, `lost_since`, or right at its end.
-    /// Without that moment it takes the entries that lapsed for removed, tells the others so, and the
-    /// fleet has no endpoint left until they are written again.
+    /// A host may begin to follow in the middle or right at the end of an outage, which began at
+    /// `lost_since`. Without that time it would treat lapsed entries as removed and tell the other
+    /// hosts so, and the fleet would have no endpoints until the entries are written again.
     pub fn set_following(&mut self, is_following: bool, lost_since: Option<Duration>) {
         if self.is_following && !is_following {
-            self.answered_at = None;
-            self.lost_at = None;
-            self.failures = 0;
+            self.store_answered_at = None;
+            self.store_lost_at = None;
+            self.failed_calls = 0;
         }
         if !self.is_following && is_following && self.is_known() {
-            self.lost_at = lost_since;
+            self.store_lost_at = lost_since;
         }
         self.is_following = is_following;
     }
 
-    /// Sets how long to wait after a change before the next one is asked for.
+    /// Sets the pause between a change and the next call.
     pub fn set_feed_pause(&mut self, pause: Duration) {
         self.feed_pause = pause;
     }
 
-    /// Sets what the fleet's reports say of the store. Call it before an answer or a copy is taken.
-    pub fn set_outage(&mut self, outage: OutageView) {
-        self.outage = outage;
+    /// Sets what the fleet's reports say about the store. Call it before handling an answer or a
+    /// copy.
+    pub fn set_outage(&mut self, view: OutageView) {
+        self.outage_view = view;
     }
 
-    /// Takes another host's copy. Returns what changed.
+    /// Applies another host's copy. Returns the changed rows.
     ///
-    /// A removal that it tells counts at once, also while the store turns this host away: the host that
-    /// made the copy has already told what was removed from what may only have lapsed. Held back until
-    /// the store answers here again, a removal comes into force seconds late, and requests go on to endpoints
-    /// that have left.
+    /// A removal in the copy takes effect at once, even while the store refuses this host: the
+    /// sender has already told removed rows from rows that may only have lapsed. If the removal
+    /// waited until the store answers this host again, it would take effect seconds late, and
+    /// requests would still go to endpoints that have left.
     ///
-    /// What it calls lapsing stays in use only if this host cannot refute it. A maker that was cut off from the
-    /// others heard of none that the store answered; the version of its copy is taken for known here, so that
-    /// nobody would tell of the removal again.
+    /// Rows that the sender lists as lapsing stay in use only if this host cannot rule out a
+    /// fleet-wide outage. A sender that was cut off from the other hosts does not know that the
+    /// store answered them. The version of its copy counts as known here, so nobody would report
+    /// the removal again.
     pub fn on_copy(&mut self, now: Duration, copy: TableCopy) -> Vec<Row> {
         if copy.version <= self.changed_version {
             return Vec::new();
         }
-        self.fed_version = self.fed_version.max(copy.version);
+        self.feed_version = self.feed_version.max(copy.version);
         self.listing = None;
-        self.copied_at = Some(now);
+        self.last_copy_at = Some(now);
         let mut changed = match copy.keys {
-            _ if copy.is_whole => self.replace(copy.rows, copy.version, None),
-            Some(keys) => self.take_with_keys(copy.rows, keys, copy.version),
-            None => self.take_changes(copy.rows, None),
+            _ if copy.is_whole => self.replace_rows(copy.rows, copy.version, None),
+            Some(keys) => self.apply_changes_with_keys(copy.rows, keys, copy.version),
+            None => self.apply_changes(copy.rows, None),
         };
         self.changed_version = self.changed_version.max(copy.version);
         for row in copy.lapsing {
-            let lapse = Lapse {
+            let outage = PastOutage {
                 lost_at: now.saturating_sub(row.outage_age),
-                until: now + row.remaining,
+                rewrite_until: now + row.remaining,
             };
-            let lapse = Some(lapse).filter(|it| self.outage.may_be_fleet_wide(it.lost_at));
-            changed.extend(self.miss(row.key, row.version, lapse));
+            let outage = Some(outage).filter(|it| self.outage_view.may_be_fleet_wide(it.lost_at));
+            changed.extend(self.on_missing(row.key, row.version, outage));
         }
         changed
     }
 
-    /// Returns a copy for a host that knows everything up to `after`.
+    /// Returns a copy for a host that knows all changes up to `after`.
     pub fn copy_after(&self, now: Duration, after: u64) -> TableCopy {
         let is_whole = after == 0;
-        let lacks_removals = self.lacks_removals(after);
+        let lacks_removals = self.lacks_removals_after(after);
         let removed = self.removed.iter().filter(|_| !is_whole && !lacks_removals);
         let changed = self.rows.values().chain(removed);
         let changed = changed.filter(|row| row.version > after);
@@ -335,45 +341,45 @@
         }
     }
 
-    /// Tells whether rows were removed after a version that this host has not heard of. A host that has just
-    /// started knows of none before its first list; a copy of only what changed would leave endpoints
-    /// that left in use at whoever takes it, for good. The keys of all rows tell what is gone, in a fraction of the
-    /// memory of whole rows.
-    fn lacks_removals(&self, after: u64) -> bool {
+    /// Returns whether rows that this host does not know of may have been removed after a version.
+    /// A host that has just started knows no removals from before its first list. If it sent only
+    /// changes, the receiver would keep endpoints that have left in use for good. The keys of all
+    /// rows show which rows are gone and take a fraction of the memory of whole rows.
+    fn lacks_removals_after(&self, after: u64) -> bool {
         let is_within = |gap: &Gap| gap.from < after && after < gap.to;
-        after > 0 && (after < self.removed_before || self.gaps.iter().any(is_within))
+        after > 0 && (after < self.removals_complete_after || self.gaps.iter().any(is_within))
     }
 
-    fn note_gap(&mut self, from: u64, to: u64) {
+    fn record_gap(&mut self, from: u64, to: u64) {
         self.gaps.push_back(Gap { from, to });
         if self.gaps.len() > MAX_GAPS {
             let forgotten = self.gaps.pop_front();
             let to = forgotten.map_or(0, |gap| gap.to);
-            self.removed_before = self.removed_before.max(to);
+            self.removals_complete_after = self.removals_complete_after.max(to);
         }
     }
 
-    /// Returns the rows that went missing after a version. Without them a host that lives on copies would
-    /// take their version for known, and never hear that they are gone.
+    /// Returns the lapsing rows that went missing after a version. Without them a host that relies
+    /// on copies would take their version as known and never learn of the removals.
     fn lapsing_after(&self, now: Duration, after: u64) -> Vec<LapsingRow> {
         let lapsing = self.lapsing.iter();
         let lapsing = lapsing.filter(|(_, lapsing)| lapsing.version > after);
         let to_row = |(key, lapsing): (&Arc<str>, &Lapsing)| LapsingRow {
             key: key.clone(),
             version: lapsing.version,
-            remaining: lapsing.lapse.until.saturating_sub(now),
-            outage_age: now.saturating_sub(lapsing.lapse.lost_at),
+            remaining: lapsing.outage.rewrite_until.saturating_sub(now),
+            outage_age: now.saturating_sub(lapsing.outage.lost_at),
         };
         lapsing.map(to_row).collect()
     }
 
-    /// Returns rows that went missing while the store was away and whose time is now over.
+    /// Removes and returns the lapsing rows whose rewrite window is over.
     pub fn take_expired(&mut self, now: Duration) -> Vec<Row> {
         if self.lapsing.is_empty() || self.is_cut_off() {
             return Vec::new();
         }
         let over = self.lapsing.iter();
-        let over = over.filter(|(_, lapsing)| lapsing.lapse.until <= now);
+        let over = over.filter(|(_, lapsing)| lapsing.outage.rewrite_until <= now);
         let over: Vec<_> = over
             .map(|(key, lapsing)| (key.clone(), lapsing.version))
             .collect();
@@ -383,25 +389,28 @@
             .collect()
     }
 
-    /// Returns when the time of a missing row is over next.
+    /// Returns the end of the earliest rewrite window of a lapsing row.
     pub fn next_expiry(&self) -> Option<Duration> {
-        let until = self.lapsing.values().map(|lapsing| lapsing.lapse.until);
+        let until = self
+            .lapsing
+            .values()
+            .map(|lapsing| lapsing.outage.rewrite_until);
         until.min()
     }
 
-    /// Returns how many missing rows stay in use for now.
+    /// Returns the number of missing rows that are still in use.
     pub fn lapsing_count(&self) -> usize {
         self.lapsing.len()
     }
 
-    /// Tells whether nothing was heard of the table since the store fell silent: it may be away for all,
-    /// so that rows could not be written again. A newer copy shows that it serves others, and so do their
-    /// reports: without them a host that the store refuses keeps what lapsed for as long as no row changes.
+    /// Returns whether the store may be unavailable to all hosts, so that writers could not write
+    /// their rows again. A newer copy, or other hosts' reports, show that it serves others. Without
+    /// the reports, a host that the store refuses would keep lapsed rows until another row changes.
     fn is_cut_off(&self) -> bool {
-        let has_copy_since = |lost_at| self.copied_at.is_some_and(|at| at >= lost_at);
+        let has_copy_since = |lost_at| self.last_copy_at.is_some_and(|at| at >= lost_at);
         let may_be_away =
-            |lost_at| !has_copy_since(lost_at) && self.outage.may_be_fleet_wide(lost_at);
-        self.lost_at.is_some_and(may_be_away)
+            |lost_at| !has_copy_since(lost_at) && self.outage_view.may_be_fleet_wide(lost_at);
+        self.store_lost_at.is_some_and(may_be_away)
     }
 
     /// Returns the known rows.
@@ -409,79 +418,85 @@
         self.rows.values()
     }
 
-    /// Returns the version of the newest change that is known.
+    /// Returns the version of the newest known change.
     pub fn changed_version(&self) -> u64 {
         self.changed_version
     }
 
-    /// Tells whether the table has been read at least once.
+    /// Returns whether the table has been read at least once.
     pub fn is_known(&self) -> bool {
         self.changed_version > 0
     }
 
-    /// Returns since when no call has succeeded, if the last one failed.
+    /// Returns when calls began to fail, if the last one failed.
     pub fn store_lost_since(&self) -> Option<Duration> {
-        self.lost_at
+        self.store_lost_at
     }
 
-    /// Returns when a call was last answered.
+    /// Returns when the store last answered.
     pub fn store_answered_at(&self) -> Option<Duration> {
-        self.answered_at
+        self.store_answered_at
     }
 
-    /// Tells whether the last call failed.
+    /// Returns whether the last call failed.
     pub fn is_store_lost(&self) -> bool {
-        self.lost_at.is_some()
+        self.store_lost_at.is_some()
     }
 
-    /// Takes in that the store answers, and after an outage of all begins the time in which rows may have lapsed.
+    /// Records that the store answers. After a fleet-wide outage it also starts the time in which
+    /// missing rows may have lapsed.
     ///
-    /// A host that the store refused alone must not: other hosts saw each removal, and what is gone was removed
-    /// on purpose. It would keep an endpoint that left for [`REWRITE_TIME`], and the hosts that copy from it too.
+    /// This does not apply if the store refused only some hosts: others saw each removal, so a
+    /// missing row was removed on purpose. This host, and the hosts that copy from it, would keep
+    /// an endpoint that has left for [`REWRITE_WINDOW`].
     fn note_success(&mut self, now: Duration) {
-        self.failures = 0;
-        self.not_before = now;
-        self.answered_at = Some(now);
-        let Some(lost_at) = self.lost_at.take() else {
+        self.failed_calls = 0;
+        self.next_call_at = now;
+        self.store_answered_at = Some(now);
+        let Some(lost_at) = self.store_lost_at.take() else {
             return;
         };
-        if now.saturating_sub(lost_at) >= MIN_OUTAGE && self.outage.may_be_fleet_wide(lost_at) {
-            self.catch_up_until = now + CATCH_UP_TIME;
-            self.outage_ended = Some(Lapse {
+        if now.saturating_sub(lost_at) >= MIN_OUTAGE && self.outage_view.may_be_fleet_wide(lost_at)
+        {
+            self.catch_up_until = now + CATCH_UP_WINDOW;
+            self.last_outage = Some(PastOutage {
                 lost_at,
-                until: self.returned_at(now) + REWRITE_TIME,
+                rewrite_until: self.returned_at(now) + REWRITE_WINDOW,
             });
         }
     }
 
-    /// Returns when the store came back, as far as this host can know. Others may have been answered earlier in the
-    /// pause of this one; without them an endpoint that left stays in use for as much longer, and past the moment from
-    /// which hosts have to keep to what the store acknowledged. What others say counts for no more than a pause.
+    /// Returns when the store came back, as far as this host knows. The store may have answered
+    /// other hosts while this one paused. Without their reports an endpoint that left would stay in
+    /// use for that much longer, past the time from which hosts must follow what the store
+    /// acknowledged. The reports can shift the time by one pause at most.
     fn returned_at(&self, now: Duration) -> Duration {
-        let ended_at = self.outage.ended_at().unwrap_or(now);
+        let ended_at = self.outage_view.ended_at().unwrap_or(now);
         ended_at.clamp(now.saturating_sub(MAX_PAUSE), now)
     }
 
-    /// Puts the next call off after a change. Right after an outage there is no pause: what is asked for
-    /// later counts as removed on purpose, and entries that lapsed in the outage would go.
-    fn pause_after(&mut self, now: Duration, changes: &[Row]) {
+    /// Delays the next call after a change. Right after an outage there is no delay: rows found
+    /// missing later count as removed on purpose, so entries that lapsed in the outage would be
+    /// dropped.
+    fn delay_after_changes(&mut self, now: Duration, changes: &[Row]) {
         if !changes.is_empty() && now >= self.catch_up_until {
-            self.not_before = now + self.feed_pause;
+            self.next_call_at = now + self.feed_pause;
         }
     }
 
     fn note_failure(&mut self, now: Duration) {
-        self.lost_at.get_or_insert(now);
-        let doubled = FIRST_PAUSE.saturating_mul(1 << self.failures.min(8));
-        self.failures = self.failures.saturating_add(1);
+        self.store_lost_at.get_or_insert(now);
+        let doubled = FIRST_PAUSE.saturating_mul(1 << self.failed_calls.min(8));
+        self.failed_calls = self.failed_calls.saturating_add(1);
         let pause = doubled.min(MAX_PAUSE);
-        // Spread over the upper half, or all hosts would ask a store that is back in one moment.
+        // The jitter covers the upper half of the pause. Without it all hosts would call a
+        // recovered store at the same moment.
         let half_ms = u64::try_from(pause.as_millis() / 2).unwrap_or_default();
         let jitter = Duration::from_millis(self.random.below(half_ms.max(1)));
-        self.not_before = now + pause / 2 + jitter;
+        self.next_call_at = now + pause / 2 + jitter;
     }
 
-    fn take_page(
+    fn on_list_page(
         &mut self,
         now: Duration,
         mut listing: Listing,
@@ -495,65 +510,75 @@
             self.listing = Some(listing);
             return Vec::new();
         }
-        self.fed_version = version;
-        self.replace(listing.rows, version, self.lapse(now))
+        self.feed_version = version;
+        self.replace_rows(listing.rows, version, self.recent_outage(now))
     }
 
-    /// Returns the outage in which rows may have lapsed that the store lacks now. A row that is missing right after an
-    /// outage may only have lapsed: its writer could not renew it. Without the delay, every endpoint
-    /// would be given up at once when the store returns.
-    fn lapse(&self, now: Duration) -> Option<Lapse> {
-        self.outage_ended.filter(|_| now < self.catch_up_until)
+    /// Returns the outage in which rows that are missing now may have lapsed. A row that is missing
+    /// right after an outage may only have lapsed, because its writer could not renew it. Without
+    /// the delay every endpoint would be dropped when the store returns.
+    fn recent_outage(&self, now: Duration) -> Option<PastOutage> {
+        self.last_outage.filter(|_| now < self.catch_up_until)
     }
 
-    fn take_changes(&mut self, rows: Vec<Row>, lapse: Option<Lapse>) -> Vec<Row> {
+    fn apply_changes(&mut self, rows: Vec<Row>, outage: Option<PastOutage>) -> Vec<Row> {
         let mut changed = Vec::new();
         for row in rows {
             self.changed_version = self.changed_version.max(row.version);
             if row.value.is_some() {
-                changed.extend(self.put(row));
+                changed.extend(self.apply_row(row));
             } else {
-                changed.extend(self.miss(row.key, row.version, lapse));
+                changed.extend(self.on_missing(row.key, row.version, outage));
             }
         }
         changed
     }
 
-    fn replace(&mut self, rows: Vec<Row>, version: u64, lapse: Option<Lapse>) -> Vec<Row> {
-        self.note_gap(self.changed_version, version);
+    fn replace_rows(
+        &mut self,
+        rows: Vec<Row>,
+        version: u64,
+        outage: Option<PastOutage>,
+    ) -> Vec<Row> {
+        self.record_gap(self.changed_version, version);
         self.changed_version = self.changed_version.max(version);
         let listed = rows.iter().map(|row| row.key.clone()).collect();
-        let gone = self.lacking_in(&listed, version);
+        let missing = self.rows_missing_from(&listed, version);
         let mut changed = Vec::new();
         for row in rows {
-            changed.extend(self.put(row));
+            changed.extend(self.apply_row(row));
         }
-        for key in gone {
-            changed.extend(self.miss(key, version, lapse));
+        for key in missing {
+            changed.extend(self.on_missing(key, version, outage));
         }
         changed
     }
 
-    /// Takes changes that may lack removals, and the keys of all rows as of `version`.
-    fn take_with_keys(&mut self, rows: Vec<Row>, keys: Vec<Arc<str>>, version: u64) -> Vec<Row> {
-        self.note_gap(self.changed_version, version);
-        let gone = self.lacking_in(&keys.into_iter().collect(), version);
-        let removed = gone.into_iter();
+    /// Applies changes that may lack removals, with the keys of all rows as of `version`.
+    fn apply_changes_with_keys(
+        &mut self,
+        rows: Vec<Row>,
+        keys: Vec<Arc<str>>,
+        version: u64,
+    ) -> Vec<Row> {
+        self.record_gap(self.changed_version, version);
+        let missing = self.rows_missing_from(&keys.into_iter().collect(), version);
+        let removed = missing.into_iter();
         let mut changed: Vec<_> = removed
             .filter_map(|key| self.remove(key, version))
             .collect();
-        changed.extend(self.take_changes(rows, None));
+        changed.extend(self.apply_changes(rows, None));
         changed
     }
 
-    /// Returns the known rows that a table lacked as of `version`.
-    fn lacking_in(&self, keys: &BTreeSet<Arc<str>>, version: u64) -> Vec<Arc<str>> {
-        let gone = self.rows.values();
-        let gone = gone.filter(|row| row.version <= version && !keys.contains(&row.key));
-        gone.map(|row| row.key.clone()).collect()
+    /// Returns the known rows that are missing from the keys as of `version`.
+    fn rows_missing_from(&self, keys: &BTreeSet<Arc<str>>, version: u64) -> Vec<Arc<str>> {
+        let missing = self.rows.values();
+        let missing = missing.filter(|row| row.version <= version && !keys.contains(&row.key));
+        missing.map(|row| row.key.clone()).collect()
     }
 
-    fn put(&mut self, row: Row) -> Option<Row> {
+    fn apply_row(&mut self, row: Row) -> Option<Row> {
         self.lapsing.remove(&row.key);
         let known = self.rows.get(&row.key);
         if known.is_some_and(|known| known.version >= row.version) {
@@ -563,20 +588,25 @@
         Some(row)
     }
 
-    fn miss(&mut self, key: Arc<str>, version: u64, lapse: Option<Lapse>) -> Option<Row> {
-        match lapse {
-            Some(lapse) => {
-                self.note_lapsing(key, version, lapse);
+    fn on_missing(
+        &mut self,
+        key: Arc<str>,
+        version: u64,
+        outage: Option<PastOutage>,
+    ) -> Option<Row> {
+        match outage {
+            Some(outage) => {
+                self.note_lapsing(key, version, outage);
                 None
             }
             None => self.remove(key, version),
         }
     }
 
-    fn note_lapsing(&mut self, key: Arc<str>, version: u64, lapse: Lapse) {
+    fn note_lapsing(&mut self, key: Arc<str>, version: u64, outage: PastOutage) {
         let known = self.rows.get(&key);
         if known.is_some_and(|known| known.version <= version) {
-            self.lapsing.insert(key, Lapsing { version, lapse });
+            self.lapsing.insert(key, Lapsing { version, outage });
         }
     }
 
@@ -593,10 +623,10 @@
             value: None,
         };
         self.removed.push_back(removed.clone());
-        if self.removed.len() > MAX_REMOVED {
+        if self.removed.len() > MAX_REMOVED_ROWS {
             let forgotten = self.removed.pop_front();
             let before = forgotten.map_or(0, |row| row.version);
-            self.removed_before = self.removed_before.max(before);
+            self.removals_complete_after = self.removals_complete_after.max(before);
         }
         Some(removed)
     }
--- a/crates/fleet/src/store_followers.rs
+++ b/crates/fleet/src/store_followers.rs
@@ -1,51 +1,52 @@
-//! Which hosts of a large fleet call the platform's store.
+//! Chooses the hosts of a large fleet that call the platform's store.
 
 use std::time::Duration;
 
-/// Hosts of a large fleet that follow the store. Calls are paid for; four of them are rarely lost
-/// at once, and others take over when they fall silent.
-const FOLLOWERS: usize = 4;
-/// Hosts that the store turns away and that still call it. A store that turns away a third of the
-/// hosts nearly always leaves one of so many an answer. Without a bound a store that is away is called by
-/// every host in turn.
-const MOST_FAILING: usize = 8;
-/// Time after which one more host tries, as long as so many are turned away: a store may turn away
-/// nearly all hosts, and each of the others then finds it within a part of that time.
-const NEXT_TRY: Duration = Duration::from_millis(500);
+/// Hosts of a large fleet that follow the store. Calls are paid for. Four hosts are rarely lost at
+/// once, and others take over when they fall silent.
+const FOLLOWER_COUNT: usize = 4;
+/// Hosts that still call the store although it refuses them. With so many, a store that refuses a
+/// third of the hosts nearly always answers one of them. Without a bound every host in turn would
+/// call a store that is unavailable.
+const MAX_FAILING_CALLERS: usize = 8;
+/// Interval at which one more host calls the store while it refuses that many. A store may refuse
+/// nearly all hosts; the others then reach it within a fraction of that time.
+const EXTRA_CALLER_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Time that a standby lets pass after a change. The store answers a call at each change, a large fleet sees
-/// several changes a second, and calls are paid for. Should the first follower be killed, what it did not
-/// tell is known this much later, within the second or two that a change may take.
+/// Pause of a standby after a change. The store answers a call at each change, a large fleet sees
+/// several changes a second, and calls are paid for. If the first follower is killed, changes that
+/// it has not reported become known this much later, which is within the one or two seconds that a
+/// change may take.
 const STANDBY_PAUSE: Duration = Duration::from_millis(700);
-/// The same for hosts that all follow the store, or do not know yet that they are many: changes that
-/// come in a burst, as when a fleet starts, take one call in place of three.
+/// Pause after a change for hosts that all follow the store, or do not know yet that the fleet is
+/// large. A burst of changes, such as at the start of a fleet, takes one call instead of three.
 const FOLLOWER_PAUSE: Duration = Duration::from_millis(250);
 
-/// Live hosts that come before this one in the choice of followers.
+/// Number of live hosts that rank before this one in the choice of followers.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct HigherRankedHosts {
-    /// Those that the store answers, as far as they know.
+    /// Hosts that the store answers, as far as they know.
     pub answered_by_store: usize,
-    /// Those that it does not answer.
+    /// Hosts that the store does not answer.
     pub failing_at_store: usize,
 }
 
-/// A host's part in following the platform's store.
+/// Role of a host in following the platform's store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StoreRole {
-    /// It follows the store, and tells the others of a change at once.
+    /// Follows the store and reports a change to the other hosts at once.
     FirstFollower,
-    /// It follows the store.
+    /// Follows the store.
     Follower,
-    /// It follows the store at a distance, so that it can take the first follower's place. It learns of
-    /// most changes from that one's reports.
+    /// Follows the store with pauses, ready to replace the first follower. It learns of most
+    /// changes from the first follower's reports.
     Standby,
-    /// It copies changes from hosts that know them.
+    /// Copies changes from hosts that know them.
     Copier,
 }
 
 impl StoreRole {
-    /// Tells whether the host calls the store.
+    /// Returns whether the host calls the store.
     ///
     /// ```
     /// use sedgeridge_fleet::store_followers::StoreRole;
@@ -57,7 +58,7 @@
         self != Self::Copier
     }
 
-    /// Returns how long the host waits after a change before it asks for the next one.
+    /// Returns the pause between a change and the next call.
     ///
     /// ```
     /// use sedgeridge_fleet::store_followers::StoreRole;
@@ -74,22 +75,24 @@
     }
 }
 
-/// How long the store has turned away as many hosts as may try.
+/// Assigns store roles. It tracks for how long the store has refused at least `MAX_FAILING_CALLERS`
+/// hosts.
 #[derive(Debug, Default)]
 pub struct StoreFollowers {
-    turned_away_since: Option<Duration>,
+    refused_since: Option<Duration>,
 }
 
 impl StoreFollowers {
-    /// Takes in how many live hosts the store does not answer. Call it several times a second.
+    /// Updates the number of live hosts that the store does not answer. Call it several times a
+    /// second.
     pub fn tick(&mut self, now: Duration, failing: usize) {
-        match failing >= MOST_FAILING {
-            true => _ = self.turned_away_since.get_or_insert(now),
-            false => self.turned_away_since = None,
+        match failing >= MAX_FAILING_CALLERS {
+            true => _ = self.refused_since.get_or_insert(now),
+            false => self.refused_since = None,
         }
     }
 
-    /// Returns the part of a host.
+    /// Returns the role of a host.
     ///
     /// ```
     /// use std::time::Duration;
@@ -102,15 +105,15 @@
     /// assert_eq!(followers.role(Duration::ZERO, before), StoreRole::Copier);
     /// ```
     pub fn role(&self, now: Duration, before: HigherRankedHosts) -> StoreRole {
-        let turned_away_for = self
-            .turned_away_since
-            .map(|since| now.saturating_sub(since));
-        let further = turned_away_for.unwrap_or_default().as_millis() / NEXT_TRY.as_millis();
-        let may_try = before.failing_at_store < FOLLOWERS + MOST_FAILING + further as usize;
+        let refused_for = self.refused_since.map(|since| now.saturating_sub(since));
+        let extra_callers =
+            refused_for.unwrap_or_default().as_millis() / EXTRA_CALLER_INTERVAL.as_millis();
+        let may_call =
+            before.failing_at_store < FOLLOWER_COUNT + MAX_FAILING_CALLERS + extra_callers as usize;
         match before.answered_by_store {
-            _ if !may_try => StoreRole::Copier,
+            _ if !may_call => StoreRole::Copier,
             0 => StoreRole::FirstFollower,
-            answered if answered < FOLLOWERS => StoreRole::Standby,
+            answered if answered < FOLLOWER_COUNT => StoreRole::Standby,
             _ => StoreRole::Copier,
         }
     }
--- a/crates/fleet/src/store_outage.rs
+++ b/crates/fleet/src/store_outage.rs
@@ -1,62 +1,65 @@
-//! Tells an outage of the platform's store from one that only some hosts see.
+//! Distinguishes an outage of the platform's store from a failure that only some hosts see.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Time between the failures of two hosts' calls when the store goes away: an answer that one of them still
-/// got within it says nothing of the time after.
-const ONSET: Duration = Duration::from_millis(250);
-/// Longest time between two hosts' first answers when the store is back: a call that goes unanswered, the longest
-/// pause after it, and the way of the report. An answer that is not older may be one of the time after an outage.
+/// Longest time between the first failures of two hosts when the store goes down. An answer that
+/// one of them gets within it says nothing about the time after.
+const ONSET_SPREAD: Duration = Duration::from_millis(250);
+/// Longest time between the first answers of two hosts when the store is back: an unanswered call,
+/// the longest pause after it, and the delay of the report. A more recent answer may have come
+/// after the end of an outage.
 const RETURN_SPREAD: Duration = Duration::from_millis(1_800);
-/// Time after which another answer confirms one. A host whose clock stood still while it was suspended takes its last
-/// answer for a new one.
-const CONFIRMED_AFTER: Duration = Duration::from_millis(100);
-/// Shortest loss in which entries can have lapsed. They lapse after three missed heartbeats at the earliest; half of
-/// that leaves a margin.
+/// Shortest time between an answer and a later one that confirms it. A host whose clock stopped
+/// while it was suspended takes its last answer for a new one.
+const CONFIRMATION_DELAY: Duration = Duration::from_millis(100);
+/// Shortest loss in which entries can have lapsed. They lapse after three missed heartbeats at the
+/// earliest; half of that leaves a margin.
 pub const MIN_OUTAGE: Duration = Duration::from_millis(1_500);
 
-/// What the hosts' reports say of the store.
+/// The hosts' reports about the store.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct StoreReports {
-    /// Since when it does not answer, for each host that calls it in vain.
+    /// Start of the failures of each host whose calls fail.
     pub lost_since: Vec<Duration>,
-    /// When it last answered any host.
+    /// Time of the last answer to any host.
     pub answered_at: Option<Duration>,
 }
 
-/// What a host may conclude from a loss of the store.
+/// Conclusions that a host may draw when it loses the store.
 ///
-/// The default knows of no other host, so that each loss may be one of all.
+/// The default knows of no other host, so any loss may be fleet-wide.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct OutageView {
-    /// When the last long outage of all began.
-    since: Option<Duration>,
-    /// When the store first answered a host after it.
+    /// Start of the last long fleet-wide outage.
+    started_at: Option<Duration>,
+    /// Time of the store's first answer to any host after it.
     ended_at: Option<Duration>,
-    /// An answer that no outage of all can have followed unseen.
+    /// A confirmed answer that no fleet-wide outage can have followed unseen.
     confirmed_answer: Option<Duration>,
 }
 
 impl OutageView {
-    /// Tells whether the store may have been away for all hosts in a loss that began at `lost_at`.
+    /// Returns whether a loss that began at `lost_at` may be fleet-wide.
     pub fn may_be_fleet_wide(&self, lost_at: Duration) -> bool {
-        self.since.is_some() || !self.is_refuted(lost_at)
+        self.started_at.is_some() || !self.is_refuted(lost_at)
     }
 
-    /// Returns when the store first answered any host after the last long outage of all.
+    /// Returns the time of the store's first answer to any host after the last long fleet-wide
+    /// outage.
     pub fn ended_at(&self) -> Option<Duration> {
         self.ended_at
     }
 
-    /// Tells whether the store answered another host after it was lost to one. A host that was refused alone must
-    /// not hide that the store went away for all later, so that each loss is judged by itself.
+    /// Returns whether the store answered another host after this loss began. Each loss is judged
+    /// by itself: a host that was refused alone must not hide a later fleet-wide outage.
     fn is_refuted(&self, lost_at: Duration) -> bool {
-        self.confirmed_answer.is_some_and(|at| at > lost_at + ONSET)
+        self.confirmed_answer
+            .is_some_and(|at| at > lost_at + ONSET_SPREAD)
     }
 }
 
-/// The last outage in which the store answered no host at all.
+/// Tracks the last outage in which the store answered no host at all.
 ///
 /// ```
 /// use std::time::Duration;
@@ -69,66 +72,69 @@
 /// assert_eq!(outage.since(), Some(seconds(5)));
 ///
 /// for now in 6..10 {
-///     let answers_others = StoreReports { lost_since: lost_since.clone(), answered_at: Some(seconds(now)) };
-///     outage.tick(seconds(now), answers_others);
+///     let reports = StoreReports { lost_since: lost_since.clone(), answered_at: Some(seconds(now)) };
+///     outage.tick(seconds(now), reports);
 /// }
 /// assert_eq!(outage.since(), None);
 /// ```
 #[derive(Debug, Default)]
 pub struct StoreOutage {
-    current: Option<Duration>,
+    current_since: Option<Duration>,
     view: OutageView,
-    /// Answers that may be some of the time after an outage.
-    answers: VecDeque<Duration>,
-    /// An older answer that a later one is to confirm.
-    settled: Option<Duration>,
+    /// Answers that may have come after the end of an outage.
+    recent_answers: VecDeque<Duration>,
+    /// An older answer that is not confirmed by a later one yet.
+    older_answer: Option<Duration>,
 }
 
 impl StoreOutage {
-    /// Takes in what hosts report. Call it several times a second.
+    /// Updates the state with the hosts' reports. Call it several times a second.
     pub fn tick(&mut self, now: Duration, reports: StoreReports) {
         self.note_answer(now, reports.answered_at);
         let lost_since = reports.lost_since.into_iter();
-        self.current = lost_since.filter(|at| !self.view.is_refuted(*at)).min();
+        self.current_since = lost_since.filter(|at| !self.view.is_refuted(*at)).min();
         let is_long = |lost_at: &Duration| now.saturating_sub(*lost_at) >= MIN_OUTAGE;
-        let kept = self.view.since.filter(|at| !self.view.is_refuted(*at));
-        self.view.since = kept.or(self.current.filter(is_long));
-        self.view.ended_at = self.view.since.and_then(|at| self.first_answer_after(at));
+        let kept = self.view.started_at.filter(|at| !self.view.is_refuted(*at));
+        self.view.started_at = kept.or(self.current_since.filter(is_long));
+        self.view.ended_at = self
+            .view
+            .started_at
+            .and_then(|at| self.first_answer_after(at));
     }
 
-    /// Returns when the outage began, if it lasts or has just ended.
+    /// Returns the start of the outage, if it is still going on or has just ended.
     pub fn since(&self) -> Option<Duration> {
-        self.view.since.or(self.current)
+        self.view.started_at.or(self.current_since)
     }
 
-    /// Returns what a host may conclude from a loss of its own.
+    /// Returns what a host may conclude when it loses the store itself.
     pub fn view(&self) -> OutageView {
         self.view
     }
 
     fn first_answer_after(&self, lost_at: Duration) -> Option<Duration> {
-        let answers = self.settled.iter().chain(&self.answers);
-        answers.copied().find(|at| *at > lost_at + ONSET)
+        let answers = self.older_answer.iter().chain(&self.recent_answers);
+        answers.copied().find(|at| *at > lost_at + ONSET_SPREAD)
     }
 
     fn note_answer(&mut self, now: Duration, answered_at: Option<Duration>) {
-        if let Some(at) = answered_at.filter(|at| self.answers.back() < Some(at)) {
-            self.answers.push_back(at);
+        if let Some(at) = answered_at.filter(|at| self.recent_answers.back() < Some(at)) {
+            self.recent_answers.push_back(at);
         }
-        let is_settled = |at: &mut Duration| *at + RETURN_SPREAD <= now;
-        while let Some(at) = self.answers.pop_front_if(is_settled) {
-            self.settle(at);
+        let is_old = |at: &mut Duration| *at + RETURN_SPREAD <= now;
+        while let Some(at) = self.recent_answers.pop_front_if(is_old) {
+            self.confirm_with(at);
         }
     }
 
-    fn settle(&mut self, answered_at: Duration) {
-        let Some(earlier) = self.settled else {
-            self.settled = Some(answered_at);
+    fn confirm_with(&mut self, answered_at: Duration) {
+        let Some(earlier) = self.older_answer else {
+            self.older_answer = Some(answered_at);
             return;
         };
-        if earlier + CONFIRMED_AFTER <= answered_at {
+        if earlier + CONFIRMATION_DELAY <= answered_at {
             self.view.confirmed_answer = Some(earlier);
-            self.settled = Some(answered_at);
+            self.older_answer = Some(answered_at);
         }
     }
 }
