--- a/crates/fleet/src/endpoint_pauses.rs
+++ b/crates/fleet/src/endpoint_pauses.rs
@@ -1,19 +1,20 @@
-//! Endpoints that turned a request away and want no further ones from this host for a while.
+//! Tracks endpoints that refused a request and want no further ones from this host for a while.
 
 use std::time::Duration;
 
 use nohash_hasher::IntMap;
 
-/// When each such pause ends, by [`Endpoint::key`](crate::endpoint_table::Endpoint::key).
+/// End of each endpoint's pause, by [`Endpoint::key`](crate::endpoint_table::Endpoint::key).
 ///
-/// Pauses are kept apart from the list of endpoints: an entry that lapses and comes back does not end one.
+/// Pauses are kept apart from the list of endpoints: a pause goes on when the endpoint's entry
+/// lapses and comes back.
 #[derive(Debug, Default)]
 pub struct EndpointPauses {
     until: IntMap<u64, Duration>,
 }
 
 impl EndpointPauses {
-    /// Notes that an endpoint wants no request until `until` at least.
+    /// Records that an endpoint wants no requests until `until` at least.
     ///
     /// ```
     /// use std::time::Duration;
@@ -30,7 +31,7 @@
         *noted = until.max(*noted);
     }
 
-    /// Returns when the endpoint's pause ends, if it has one now.
+    /// Returns the end of the endpoint's pause, if it is paused.
     pub fn until(&self, now: Duration, endpoint: u64) -> Option<Duration> {
         let until = self.until.get(&endpoint).copied();
         until.filter(|until| now < *until)
--- a/crates/fleet/src/endpoint_table.rs
+++ b/crates/fleet/src/endpoint_table.rs
@@ -1,4 +1,4 @@
-//! The endpoints that the platform lists, by service.
+//! Holds the endpoints that the platform lists, by service.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -12,27 +12,27 @@
 use crate::hashing::pair_hash;
 use crate::hashing::stable_hash;
 
-/// One run of an endpoint. A restart may keep the id; it then has a later start.
+/// One run of an endpoint. A restart may keep the id; the new run then has a later start.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Endpoint {
-    /// Its id, which callers of the endpoint can ask it to check.
+    /// Id, which callers of the endpoint can ask it to check.
     pub id: EndpointId,
-    /// Start of this run in Unix milliseconds, where the endpoint states it.
+    /// Start of this run in Unix milliseconds, if the endpoint states it.
     pub started_at_ms: Option<u64>,
-    /// Hash of id and start, by which hosts name the run to one another: what an earlier run had
-    /// cached or in progress says nothing of this one.
+    /// Hash of id and start, by which hosts refer to the run in reports. Cached prompts and work in
+    /// progress of an earlier run do not apply to this one.
     pub key: u64,
-    /// The service it runs.
+    /// Service that it runs.
     pub service: ServiceId,
-    /// Where it listens.
+    /// Address on which it listens.
     pub address: SocketAddr,
-    /// Its data centre.
+    /// Data centre.
     pub data_centre: Arc<str>,
-    /// Requests that it runs at once.
+    /// Number of requests that it runs at once.
     pub slots: u32,
     /// Whether it is about to stop and takes no new work.
     pub is_leaving: bool,
-    /// How long it stays cold, as of its entry.
+    /// Time for which it stays cold, according to its entry.
     pub cold_for: Duration,
 }
 
@@ -51,7 +51,7 @@
         started_at_ms.map_or(id, |started_at_ms| pair_hash(id, started_at_ms))
     }
 
-    /// Returns a name that no other run has, for records of what runs crashed.
+    /// Returns a name that is unique to this run, for records of the runs that crashed.
     pub fn run_name(&self) -> EndpointId {
         match self.started_at_ms {
             Some(started_at_ms) => {
@@ -64,8 +64,9 @@
 
 /// The listed endpoints.
 ///
-/// A change costs a look at the endpoint alone. A host that starts in a large fleet learns thousands at once, and
-/// with a look at all others for each of them answers nobody for seconds.
+/// A change looks at the changed endpoint only. A host that starts in a large fleet learns of
+/// thousands of endpoints at once. If each of them took a look at all others, the host would answer
+/// no request for seconds.
 #[derive(Debug, Default)]
 pub struct EndpointTable {
     by_id: BTreeMap<EndpointId, Arc<Endpoint>>,
@@ -75,9 +76,9 @@
 /// The endpoints of one service.
 #[derive(Debug, Default)]
 struct ServiceEndpoints {
-    /// All of them, those that leave included.
+    /// Number of all endpoints, including those that are leaving.
     count: usize,
-    /// Those that take new work, in order of their ids.
+    /// Endpoints that take new work, in order of their ids.
     usable: Vec<Arc<Endpoint>>,
 }
 
@@ -87,54 +88,55 @@
         if endpoint.is_leaving {
             return;
         }
-        if let Err(at) = self.place_of(&endpoint.id) {
+        if let Err(at) = self.position_of(&endpoint.id) {
             self.usable.insert(at, endpoint.clone());
         }
     }
 
-    fn take_out(&mut self, endpoint: &Endpoint) {
+    fn remove(&mut self, endpoint: &Endpoint) {
         self.count -= 1;
-        if let Ok(at) = self.place_of(&endpoint.id) {
+        if let Ok(at) = self.position_of(&endpoint.id) {
             self.usable.remove(at);
         }
     }
 
-    fn place_of(&self, id: &EndpointId) -> Result<usize, usize> {
+    fn position_of(&self, id: &EndpointId) -> Result<usize, usize> {
         self.usable.binary_search_by(|known| known.id.cmp(id))
     }
 }
 
 impl EndpointTable {
-    /// Takes in a new or changed entry. Returns the earlier run that it replaces.
+    /// Adds a new or changed entry. Returns the earlier run that it replaces.
     ///
-    /// An entry of a run before the known one changes nothing: it was on its way when the endpoint
-    /// restarted. One that states no start counts as earlier than any that does.
+    /// An entry of an earlier run than the known one is ignored: it was on its way when the
+    /// endpoint restarted. An entry without a start counts as earlier than any with one.
     pub fn put(&mut self, mut endpoint: Endpoint) -> Option<Arc<Endpoint>> {
         let known = self.by_id.get(&endpoint.id);
         if known.is_some_and(|known| known.started_at_ms > endpoint.started_at_ms) {
             return None;
         }
         let same_run = known.filter(|known| known.key == endpoint.key);
-        // A run that is leaving does not come back.
+        // A leaving run does not come back.
         endpoint.is_leaving |= same_run.is_some_and(|known| known.is_leaving);
         let endpoint = Arc::new(endpoint);
-        let before = self.remove(&endpoint.id);
-        let of_service = self.by_service.entry(endpoint.service.clone()).or_default();
-        of_service.add(&endpoint);
+        let replaced = self.remove(&endpoint.id);
+        let service_endpoints = self.by_service.entry(endpoint.service.clone()).or_default();
+        service_endpoints.add(&endpoint);
         self.by_id.insert(endpoint.id.clone(), endpoint.clone());
-        before.filter(|before| before.key != endpoint.key)
+        replaced.filter(|replaced| replaced.key != endpoint.key)
     }
 
     /// Removes an entry.
     pub fn remove(&mut self, id: &EndpointId) -> Option<Arc<Endpoint>> {
         let removed = self.by_id.remove(id)?;
-        if let Some(of_service) = self.by_service.get_mut(&removed.service) {
-            of_service.take_out(&removed);
+        if let Some(service_endpoints) = self.by_service.get_mut(&removed.service) {
+            service_endpoints.remove(&removed);
         }
         Some(removed)
     }
 
-    /// Marks a run as leaving; tells whether that was news. A later run under the same id stays.
+    /// Marks a run as leaving. Returns whether it was not marked before. A later run under the same
+    /// id is not changed.
     pub fn set_leaving(&mut self, run: &Endpoint) -> bool {
         let known = self.by_id.get(&run.id);
         let known = known.filter(|known| known.key == run.key && !known.is_leaving);
@@ -159,17 +161,17 @@
 
     /// Returns the endpoints of a service that take new work, in order of their ids.
     pub fn usable(&self, service: &ServiceId) -> &[Arc<Endpoint>] {
-        let of_service = self.by_service.get(service);
-        of_service.map_or(&[], |it| it.usable.as_slice())
+        let service_endpoints = self.by_service.get(service);
+        service_endpoints.map_or(&[], |it| it.usable.as_slice())
     }
 
-    /// Tells whether a run is listed and takes new work.
+    /// Returns whether a run is listed and takes new work.
     pub fn is_usable(&self, run: &Endpoint) -> bool {
         let known = self.by_id.get(&run.id);
         known.is_some_and(|known| known.key == run.key && !known.is_leaving)
     }
 
-    /// Returns the number of a service's entries, those of endpoints that leave included.
+    /// Returns the number of a service's entries, including those of leaving endpoints.
     pub fn count(&self, service: &ServiceId) -> usize {
         self.by_service.get(service).map_or(0, |it| it.count)
     }
@@ -179,7 +181,7 @@
         self.by_id.len()
     }
 
-    /// Tells whether nothing is listed.
+    /// Returns whether nothing is listed.
     pub fn is_empty(&self) -> bool {
         self.by_id.is_empty()
     }
--- a/crates/fleet/src/peer_report.rs
+++ b/crates/fleet/src/peer_report.rs
@@ -1,4 +1,4 @@
-//! What hosts tell each other several times a second, one datagram each.
+//! Reports that hosts send each other several times a second, one datagram each.
 
 use std::time::Duration;
 
@@ -14,33 +14,34 @@
 use crate::endpoint_load::Load;
 
 /// Longest report, a little below the longest datagram. Sums over a fleet with a hundred endpoints
-/// take three kilobytes; the network layer cuts and joins them. A report that loses rows is worse
-/// than a lost one: those who read it take the missing endpoints for idle.
+/// take three kilobytes; the network layer fragments and reassembles them. A report that lacks rows
+/// is worse than a lost one: receivers take the missing endpoints for idle.
 pub const MAX_REPORT_BYTES: usize = 60_000;
-/// First byte of every report; another format gets another one.
+/// First byte of every report. Another format has another first byte.
 const FORMAT: u8 = 2;
-/// Bytes before the body: the format, and what [`PeerReport::included`] holds.
+/// Bytes before the body: the format and [`PeerReport::included`].
 const HEAD_BYTES: usize = 9;
 
-/// Whose work a report sums up.
+/// Scope of the work in a report.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Scope {
-    /// Nobody's: the report tells only that the sender lives and what it knows.
+    /// No work: the report is a heartbeat and tells only what the sender knows.
     #[serde(rename = "p")]
     Heartbeat,
-    /// The sender's own.
+    /// Work of the sender.
     #[default]
     #[serde(rename = "o")]
     Own,
-    /// That of the hosts of the sender's data centre that report to it, its own included.
+    /// Work of the hosts of the sender's data centre that report to it, including its own.
     #[serde(rename = "d")]
     DataCentre,
-    /// That of the whole fleet, as far as the sender knows.
+    /// Work of the whole fleet, as far as the sender knows.
     #[serde(rename = "f")]
     Fleet,
 }
 
-/// Work in progress and recent usage, and how new the sender's copy of the platform's tables is.
+/// Work in progress, recent usage, and the versions of the sender's copies of the platform's
+/// tables.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct PeerReport {
     /// Hash of the host's name.
@@ -52,38 +53,39 @@
     /// Number of the report within the run.
     #[serde(rename = "n")]
     pub number: u64,
-    /// Number of the addressee's report that is part of the sums; 0 if none is. It stands before the
-    /// body, so that the body is encoded once for all addressees.
+    /// Number of the addressee's report that is part of the sums; 0 if none is. It is stored before
+    /// the body, so the body is encoded once for all addressees.
     #[serde(skip)]
     pub included: u64,
     /// Hash of the name of the host's data centre.
     #[serde(rename = "d")]
     pub data_centre: u64,
-    /// Whose work the sums hold.
+    /// Scope of the work in the sums.
     #[serde(rename = "o")]
     pub scope: Scope,
-    /// Number of hosts whose work the sums hold.
+    /// Number of hosts whose work is in the sums.
     #[serde(rename = "m")]
     pub hosts: u32,
-    /// Version of the newest change of the configuration that the host knows.
+    /// Version of the newest change of the configuration known to the host.
     #[serde(rename = "c")]
     pub config_version: u64,
-    /// Version of the newest change of the list of endpoints that the host knows.
+    /// Version of the newest change of the list of endpoints known to the host.
     #[serde(rename = "e")]
     pub endpoints_version: u64,
     /// Whether the host is about to stop.
     #[serde(rename = "s")]
     pub is_stopping: bool,
-    /// Whether the host has more to do than it can.
+    /// Whether the host is overloaded.
     #[serde(rename = "b")]
     pub is_busy: bool,
-    /// Whether the store answered the host when it last called.
+    /// Whether the store answered the host's last call.
     #[serde(rename = "f")]
     pub store_answers: bool,
-    /// For how long the store has not answered the host, in milliseconds; 0 if it does.
+    /// Time for which the store has not answered the host, in milliseconds; 0 if it does.
     #[serde(rename = "g", default)]
     pub store_lost_ms: u64,
-    /// How long ago the store last answered the host, in milliseconds; `None` if it does not call.
+    /// Time since the store last answered the host, in milliseconds; `None` if the host does not
+    /// call it.
     #[serde(rename = "a", default)]
     pub store_answered_ago_ms: Option<u64>,
     /// Work in progress, by hash of the endpoint's id.
@@ -92,12 +94,12 @@
     /// Accounts' usage over the window, by hash of the account's name.
     #[serde(rename = "u", with = "packed_usage")]
     pub usage: Vec<(u64, Usage)>,
-    /// News of requests that crash endpoints.
+    /// Notices of requests that crash endpoints.
     #[serde(rename = "p")]
     pub crashes: Vec<CrashNotice>,
 }
 
-/// News of one request that was in progress when an endpoint crashed.
+/// Notice of a request that was in progress when an endpoint crashed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashNotice {
     high: u64,
@@ -112,19 +114,19 @@
     Finished,
 }
 
-/// Why a datagram is not a report.
+/// Reason for which a datagram is not a report.
 #[derive(Debug, Error)]
 pub enum ReportError {
-    /// It begins with another format's byte.
+    /// The datagram begins with the byte of another format.
     #[error("datagram of an unknown format")]
     UnknownFormat,
-    /// It cannot be decoded.
+    /// The body cannot be decoded.
     #[error("malformed report: {0}")]
     Malformed(String),
 }
 
 impl PeerReport {
-    /// Encodes the report. Entries that do not fit are left out, the last ones first.
+    /// Encodes the report. Entries that do not fit are dropped, starting with the last ones.
     ///
     /// ```
     /// use sedgeridge_fleet::peer_report::PeerReport;
@@ -149,7 +151,7 @@
     ///
     /// # Errors
     ///
-    /// The bytes are no report of this format.
+    /// The bytes are not a report of this format.
     pub fn decode(bytes: &[u8]) -> Result<Self, ReportError> {
         let (head, body) = bytes
             .split_first_chunk::<HEAD_BYTES>()
@@ -173,7 +175,7 @@
     }
 }
 
-/// Changes [`PeerReport::included`] of an encoded report.
+/// Sets [`PeerReport::included`] in an encoded report.
 ///
 /// ```
 /// use sedgeridge_fleet::peer_report::PeerReport;
@@ -184,12 +186,12 @@
 /// assert_eq!(PeerReport::decode(&bytes).unwrap().included, 7);
 /// ```
 pub fn set_included(encoded: &mut [u8], included: u64) {
-    if let Some(place) = encoded.get_mut(1..HEAD_BYTES) {
-        place.copy_from_slice(&included.to_be_bytes());
+    if let Some(bytes) = encoded.get_mut(1..HEAD_BYTES) {
+        bytes.copy_from_slice(&included.to_be_bytes());
     }
 }
 
-/// Loads as rows of numbers: names of fields would fill most of the datagram.
+/// Encodes loads as rows of numbers: field names would fill most of the datagram.
 mod packed_loads {
     use serde::Deserialize;
     use serde::Deserializer;
@@ -221,7 +223,7 @@
     }
 }
 
-/// Usage as rows of numbers.
+/// Encodes usage as rows of numbers.
 mod packed_usage {
     use serde::Deserialize;
     use serde::Deserializer;
@@ -250,7 +252,7 @@
 
 impl From<&PoisonNotice> for CrashNotice {
     fn from(notice: &PoisonNotice) -> Self {
-        let whole = notice.fingerprint.0;
+        let fingerprint = notice.fingerprint.0;
         let kind = match &notice.news {
             PoisonNews::Crashed { endpoint, age } => CrashNoticeKind::Crashed {
                 endpoint: endpoint.to_string(),
@@ -262,17 +264,17 @@
             PoisonNews::Finished => CrashNoticeKind::Finished,
         };
         Self {
-            high: (whole >> 64) as u64,
-            low: whole as u64,
+            high: (fingerprint >> 64) as u64,
+            low: fingerprint as u64,
             kind,
         }
     }
 }
 
 impl From<&CrashNotice> for PoisonNotice {
-    fn from(news: &CrashNotice) -> Self {
-        let fingerprint = Fingerprint(u128::from(news.high) << 64 | u128::from(news.low));
-        let news = match &news.kind {
+    fn from(notice: &CrashNotice) -> Self {
+        let fingerprint = Fingerprint(u128::from(notice.high) << 64 | u128::from(notice.low));
+        let news = match &notice.kind {
             CrashNoticeKind::Crashed { endpoint, age_ms } => PoisonNews::Crashed {
                 endpoint: EndpointId::from(endpoint.as_str()),
                 age: Duration::from_millis(*age_ms),
@@ -286,7 +288,7 @@
     }
 }
 
-/// Returns whole milliseconds, as hosts send them.
+/// Converts a duration to whole milliseconds, the unit in reports.
 ///
 /// ```
 /// use std::time::Duration;
--- a/crates/fleet/src/row_watch.rs
+++ b/crates/fleet/src/row_watch.rs
@@ -516,7 +516,7 @@
 
     /// Returns the outage in which rows that are missing now may have lapsed. A row that is missing
     /// right after an outage may only have lapsed, because its writer could not renew it. Without
-    /// the delay every endpoint would be dropped when the store returns.
+    /// the rewrite window every endpoint would be dropped when the store returns.
     fn recent_outage(&self, now: Duration) -> Option<PastOutage> {
         self.last_outage.filter(|_| now < self.catch_up_until)
     }
