--- a/crates/fleet/tests/peer_versions.rs
+++ b/crates/fleet/tests/peer_versions.rs
@@ -1,4 +1,4 @@
-//! When reports of other hosts lead to the fetch of a copy.
+//! Tests for when reports of other hosts lead to the fetch of a copy.
 
 use std::time::Duration;
 
@@ -8,33 +8,34 @@
     Duration::from_millis(millis)
 }
 
-/// A host that follows the store hears of a change from another host a moment before the store tells it, and has
-/// it from the store. Long after, another change is told the same way. It must give the store its time
-/// again: else it fetches a copy of each change, and takes over what the copy's maker is unsure of.
+/// A follower hears of a change from another host a moment before the store delivers it, and again
+/// much later. It must give the store the same time again. Otherwise it fetches a copy of each
+/// change and adopts the sender's doubts about lapsed rows.
 #[test]
 fn a_follower_gives_the_store_its_time_for_each_change() {
-    let mut news = PeerVersions::default();
-    assert!(!news.try_start_fetch(at(0), 7, 8, true));
-    assert!(!news.try_start_fetch(at(10), 8, 8, true));
-    assert!(!news.try_start_fetch(at(5_000), 8, 9, true));
-    assert!(news.try_start_fetch(at(5_250), 8, 9, true));
+    let mut versions = PeerVersions::default();
+    assert!(!versions.try_start_fetch(at(0), 7, 8, true));
+    assert!(!versions.try_start_fetch(at(10), 8, 8, true));
+    assert!(!versions.try_start_fetch(at(5_000), 8, 9, true));
+    assert!(versions.try_start_fetch(at(5_250), 8, 9, true));
 }
 
-/// Of two hosts that tell of a table one is behind itself. Its reports come between those of the other, and must
-/// not make this host wait anew each time.
+/// Two hosts report the version of a table, and one of them is behind itself. Its reports come
+/// between those of the other one and must not restart the wait.
 #[test]
 fn reports_of_a_host_that_is_behind_too_change_nothing() {
-    let mut news = PeerVersions::default();
+    let mut versions = PeerVersions::default();
     for now in (0..250).step_by(50) {
-        assert!(!news.try_start_fetch(at(now), 7, 9, true));
-        assert!(!news.try_start_fetch(at(now + 10), 7, 7, true));
+        assert!(!versions.try_start_fetch(at(now), 7, 9, true));
+        assert!(!versions.try_start_fetch(at(now + 10), 7, 7, true));
     }
-    assert!(news.try_start_fetch(at(250), 7, 9, true));
+    assert!(versions.try_start_fetch(at(250), 7, 9, true));
 }
 
-/// The store refuses a host that follows it. Changes reach it only by copies, and it must not wait for the store.
+/// The store refuses a host that follows it. Changes reach it only by copies, so it must not wait
+/// for the store.
 #[test]
 fn a_host_that_the_store_refuses_copies_at_once() {
-    let mut news = PeerVersions::default();
-    assert!(news.try_start_fetch(at(0), 7, 8, false));
+    let mut versions = PeerVersions::default();
+    assert!(versions.try_start_fetch(at(0), 7, 8, false));
 }
--- a/crates/fleet/tests/refused_hosts.rs
+++ b/crates/fleet/tests/refused_hosts.rs
@@ -1,4 +1,5 @@
-//! What hosts take for removed and what for lapsed, when the store refused some of them and served the others.
+//! Tests for telling removed entries from lapsed ones when the store refused some hosts and served
+//! the others.
 
 mod support;
 
@@ -8,29 +9,29 @@
 use support::table_fleet::Fleet;
 use support::table_fleet::name;
 
-/// Longest time until all hosts know that an endpoint left, with one fault on the way. Three quarters of the
-/// shortest time in which an endpoint may have to be left alone.
+/// Longest time until all hosts know that an endpoint left, with one fault on the way: three
+/// quarters of the shortest time in which an endpoint may have to be left alone.
 const KNOWN_WITHIN_MS: u64 = 1_500;
-/// Time after an outage from which on hosts are to keep to what the store acknowledged.
+/// Time after an outage from which hosts must follow what the store acknowledged.
 const STABLE_MS: u64 = 3_000;
 const REFUSED_FOR_MS: u64 = 9_000;
-/// Time in which hosts that were refused are answered again, one after the other.
-const RETURN_MS: u64 = 1_000;
-/// Times after the first answer at which an endpoint leaves.
-const LEAVES_EACH_MS: usize = 100;
+/// Time in which the store answers refused hosts again, one after the other.
+const RETURN_WINDOW_MS: u64 = 1_000;
+/// Step between the tested departure times after the first answer.
+const DEPARTURE_STEP_MS: usize = 100;
 
-/// The caller is served by an endpoint that left more than two seconds ago, by a host that the store answered
-/// all the while. The store refuses some hosts for nine seconds and serves the others. It answers them again, and
-/// right then an endpoint leaves. A host that was refused takes the removal for an entry that lapsed
-/// while the store was away, and keeps the endpoint for the time in which it could be written again; the others
-/// take its copy, the doubt with it, and never ask the store for the removal. The logs of such a moment show it: copies
-/// without rows at a risen version, and the endpoint dropped on every host when the time to write it again is over.
+/// Guards against requests to an endpoint that left more than two seconds ago. The store refuses
+/// some hosts for nine seconds, and an endpoint leaves right when it answers them again. A refused
+/// host must not treat the removal as a lapsed entry: it would keep the endpoint for the rewrite
+/// window, and the others would copy its doubt and never ask the store for the removal. In logs
+/// this shows as copies without rows at a newer version, and as the endpoint being dropped on every
+/// host when the rewrite window is over.
 #[parameterized(
     hosts_of_6 = { 6 },
     hosts_of_81 = { 81 },
 )]
-fn a_removal_counts_though_hosts_were_refused_before_it(size: usize) {
-    for leaves_after_ms in (0..RETURN_MS).step_by(LEAVES_EACH_MS) {
+fn a_removal_takes_effect_after_hosts_were_refused(size: usize) {
+    for leaves_after_ms in (0..RETURN_WINDOW_MS).step_by(DEPARTURE_STEP_MS) {
         let mut fleet = Fleet::new(size);
         let first = fleet.first_caller();
         fleet.store.refused.extend((0..size).step_by(3));
@@ -38,7 +39,7 @@
         fleet.run_until(fleet.now + REFUSED_FOR_MS);
         fleet.store.refused.clear();
         fleet.run_until(fleet.now + leaves_after_ms);
-        // Hosts that follow the store pause after a change, and learn of the next one from others.
+        // Followers pause after a change and learn of the next one from others.
         fleet.store.write("another");
         fleet.run_until(fleet.now + 100);
         let took = fleet.time_to_know_of_removal(&name(0), KNOWN_WITHIN_MS);
@@ -46,15 +47,15 @@
     }
 }
 
-/// The caller is served by an endpoint that left more than two seconds ago. One host is cut off from the store and
-/// from all other hosts for nine seconds, and hears nothing of them. It is back on both sides at once, an endpoint
-/// leaves, and the others must not go by the doubt that its copy tells.
+/// Guards against requests to an endpoint that left more than two seconds ago. One host is cut off
+/// from the store and from all other hosts for nine seconds. It reaches both again at once, and an
+/// endpoint leaves. The others must not adopt the doubt in its copy.
 #[parameterized(
     hosts_of_6 = { 6 },
     hosts_of_81 = { 81 },
 )]
-fn a_removal_counts_at_the_others_though_one_was_cut_off(size: usize) {
-    for leaves_after_ms in (0..RETURN_MS).step_by(LEAVES_EACH_MS) {
+fn a_removal_takes_effect_on_the_others_after_one_was_cut_off(size: usize) {
+    for leaves_after_ms in (0..RETURN_WINDOW_MS).step_by(DEPARTURE_STEP_MS) {
         let mut fleet = Fleet::new(size);
         let cut = fleet.first_caller();
         fleet.store.refused.insert(cut);
@@ -71,14 +72,14 @@
     }
 }
 
-/// The caller gets "no endpoint" although all live. The store refuses some hosts at first, and then answers nobody
-/// for longer than entries last; all lapse in that time. That some hosts were served while others were
-/// refused says nothing of the time after.
+/// Guards against dropping live endpoints. The store refuses some hosts, and then answers no host
+/// for longer than entries last, so that all lapse. Answers to the other hosts during the first
+/// period say nothing about the time after it.
 #[parameterized(
     hosts_of_6 = { 6 },
     hosts_of_81 = { 81 },
 )]
-fn what_lapsed_stays_in_use_though_hosts_were_refused_before(size: usize) {
+fn lapsed_entries_stay_in_use_after_hosts_were_refused(size: usize) {
     let mut fleet = Fleet::new(size);
     fleet.store.refused.extend((0..size).step_by(3));
     fleet.run_until(fleet.now + 4_000);
@@ -91,20 +92,20 @@
     fleet.store.refused.clear();
     for endpoint in 0..ENDPOINTS {
         fleet.run_until(fleet.now + 90);
-        let lacking = fleet.nodes.iter().filter(|node| {
+        let incomplete = fleet.nodes.iter().filter(|node| {
             let kept = (0..ENDPOINTS).filter(|it| node.knows(&name(*it)));
             kept.count() < ENDPOINTS
         });
-        assert_eq!(lacking.count(), 0, "after {endpoint} were written again");
+        assert_eq!(incomplete.count(), 0, "after {endpoint} were written again");
         fleet.store.write(&name(endpoint));
     }
 }
 
-/// The caller is served by an endpoint that left long ago. It leaves while the store is away for all. Right after
-/// the outage the store refuses one host and serves the others, and no entry changes. The others drop
-/// the endpoint when its time is over, and the refused host hears from them that the store is back.
+/// Guards against requests to an endpoint that left during an outage. Right after it the store
+/// refuses one host and serves the others, and no entry changes. The refused host must learn from
+/// the others that the store is back, and drop the endpoint when they do.
 #[test]
-fn a_refused_host_drops_what_lapsed_when_the_others_do() {
+fn a_refused_host_drops_lapsed_entries_when_the_others_do() {
     let mut fleet = Fleet::new(6);
     fleet.store.is_away = true;
     fleet.run_until(fleet.now + 4_500);
@@ -117,15 +118,15 @@
     assert_eq!(using.count(), 0);
 }
 
-/// The caller is served by an endpoint that left, three seconds and more after the store is back. The endpoint leaves
-/// right at the store's return. Each host keeps it for the time in which entries are written again, counted from its own
-/// first answer, which comes a pause after the return, and drops it at its next look. The time counts from the
-/// first answer of any host.
+/// Guards against requests to an endpoint three seconds and more after the store's return. The
+/// endpoint leaves right at the return. If each host counted the rewrite window from its own first
+/// answer, which comes up to a pause later, it would drop the endpoint too late; the window counts
+/// from the first answer to any host.
 #[parameterized(
     hosts_of_6 = { 6 },
     hosts_of_81 = { 81 },
 )]
-fn what_left_at_the_stores_return_goes_before_the_fleet_is_stable(size: usize) {
+fn an_endpoint_that_left_at_the_stores_return_is_dropped_before_the_fleet_is_stable(size: usize) {
     for outage_ms in (4_000..5_000).step_by(140) {
         let mut fleet = Fleet::new(size);
         fleet.store.is_away = true;
--- a/crates/fleet/tests/row_watch.rs
+++ b/crates/fleet/tests/row_watch.rs
@@ -1,4 +1,4 @@
-//! Following a table through outages of the store.
+//! Tests for following a table through outages of the store.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_list_is_read_page_by_page_and_put_in_force_as_a_whole() {
+fn a_list_is_read_page_by_page_and_takes_effect_as_a_whole() {
     let mut watch = RowWatch::new(1);
     let page = StoreAnswer::Rows {
         rows: vec![row("a", 1)],
@@ -59,7 +59,7 @@
     };
     assert!(watch.on_answer(at(0), page).is_empty());
     let WatchStep::Call(StoreCall::List { from }) = watch.step(at(0)) else {
-        panic!("the list goes on");
+        panic!("expected a further page of the list");
     };
     assert_eq!(from.as_deref(), Some("a\0"));
     let changed = watch.on_answer(at(1), rows(vec![row("b", 2)], 6));
@@ -72,37 +72,36 @@
 }
 
 #[test]
-fn a_removed_row_goes_at_once_while_the_store_is_well() {
+fn a_removed_row_is_dropped_at_once_while_the_store_answers() {
     let mut watch = watch_of_two();
     let changed = watch.on_answer(at(10), rows(vec![removed("a", 3)], 3));
     assert_eq!(changed, vec![removed("a", 3)]);
     assert_eq!(keys(&watch), ["b"]);
 }
 
-/// The caller gets "no endpoint" although all endpoints live. The store is away for longer than
-/// entries last; when it is back, its first answer lacks every entry, and the endpoints write them
-/// again within two seconds. Until then the entries that were known must stay in use.
+/// Guards against dropping live endpoints after a long outage. The store is unavailable for longer
+/// than entries last. Its first answer lacks every entry, and the endpoints write them again within
+/// two seconds; until then the known entries must stay in use.
 #[test]
-fn entries_that_lapsed_while_the_store_was_away_stay_until_they_could_be_written_again() {
+fn entries_that_lapsed_in_an_outage_stay_until_the_rewrite_window_is_over() {
     let mut watch = watch_of_two();
     watch.on_answer(at(100), StoreAnswer::Failed);
     watch.on_answer(at(5_000), rows(vec![removed("a", 3), removed("b", 4)], 4));
     assert_eq!(keys(&watch), ["a", "b"]);
     watch.on_answer(at(6_000), rows(vec![row("a", 5)], 5));
     assert!(watch.take_expired(at(6_900)).is_empty());
-    let gone = watch.take_expired(at(7_400));
-    assert_eq!(gone, vec![removed("b", 4)]);
+    let expired = watch.take_expired(at(7_400));
+    assert_eq!(expired, vec![removed("b", 4)]);
     assert_eq!(keys(&watch), ["a"]);
 }
 
-/// The caller is served by an endpoint that left seconds ago. A host is cut off from the store and
-/// is back; an endpoint leaves a second later, and its removal is held back as if it had lapsed in
-/// the outage. Only what the first answers after the outage lack can have lapsed in it.
+/// Guards against requests to an endpoint that left a second after the store came back. Only
+/// entries that are missing from the first answers after an outage can have lapsed in it.
 #[test]
-fn an_entry_that_is_removed_after_the_outage_goes_at_once() {
+fn an_entry_that_is_removed_after_the_outage_is_dropped_at_once() {
     let mut watch = watch_of_two();
     watch.on_answer(at(100), StoreAnswer::Failed);
-    // A call that waits for a change would not tell when the store is back.
+    // A held call would not show when the store is back.
     let catch_up = StoreCall::Feed {
         after: 2,
         is_long_poll: false,
@@ -114,7 +113,7 @@
 }
 
 #[test]
-fn a_forgotten_history_is_made_up_for_by_a_list() {
+fn the_table_is_listed_again_when_the_store_has_dropped_its_history() {
     let mut watch = watch_of_two();
     watch.on_answer(at(10), StoreAnswer::HistoryGone);
     assert_eq!(
@@ -132,7 +131,7 @@
     for _ in 0..20 {
         watch.on_answer(now, StoreAnswer::Failed);
         let WatchStep::WaitUntil(next) = watch.step(now) else {
-            panic!("a failed call is followed by a pause");
+            panic!("expected a pause after a failed call");
         };
         assert!(next - now <= at(800));
         now = next;
@@ -149,10 +148,10 @@
     }
 }
 
-/// A host that the store turns away learns of changes from another host's copy, and an older copy
-/// changes nothing: a configuration must never go back.
+/// A host that the store refuses learns of changes from another host's copy. An older copy must
+/// change nothing: a configuration must never go back.
 #[test]
-fn a_copy_of_another_host_counts_only_if_it_is_newer() {
+fn a_copy_of_another_host_is_applied_only_if_it_is_newer() {
     let mut watch = watch_of_two();
     assert!(
         watch
@@ -170,7 +169,7 @@
 }
 
 #[test]
-fn a_copy_tells_only_what_changed_to_a_host_that_knows_the_rest() {
+fn a_copy_holds_only_changes_for_a_host_that_knows_the_rest() {
     let mut followed = watch_of_two();
     followed.on_answer(at(10), rows(vec![removed("a", 3), row("c", 4)], 4));
     let mut behind = watch_of_two();
@@ -181,26 +180,26 @@
     assert_eq!(behind.changed_version(), 4);
 }
 
-/// The caller is served by an endpoint that left long ago. The store turns one host away for eight seconds
-/// and serves the others; an endpoint's entry is removed meanwhile. The host copies the removal from another
-/// one within a tenth of a second, and must not keep the endpoint until the store answers it again.
+/// Guards against requests to an endpoint that left long ago. The store refuses one host for eight
+/// seconds while an entry is removed. The host copies the removal from another one within a tenth
+/// of a second and must not wait for the store.
 #[test]
-fn a_removal_in_a_copy_counts_while_the_store_turns_the_host_away() {
-    let mut turned_away = watch_of_two();
-    turned_away.on_answer(at(100), StoreAnswer::Failed);
+fn a_removal_in_a_copy_takes_effect_while_the_store_refuses_the_host() {
+    let mut refused = watch_of_two();
+    refused.on_answer(at(100), StoreAnswer::Failed);
     let mut served = watch_of_two();
     served.on_answer(at(2_000), rows(vec![removed("a", 3)], 3));
-    let copy = served.copy_after(at(2_050), turned_away.changed_version());
-    let changed = turned_away.on_copy(at(2_050), copy);
+    let copy = served.copy_after(at(2_050), refused.changed_version());
+    let changed = refused.on_copy(at(2_050), copy);
     assert_eq!(changed, vec![removed("a", 3)]);
-    assert_eq!(keys(&turned_away), ["b"]);
+    assert_eq!(keys(&refused), ["b"]);
 }
 
-/// The caller is served by an endpoint that left. It leaves while the store is away; the followers keep its
-/// entry for the time in which it could be written again. A host that copies from them takes their version
-/// for known, so that a copy must tell it which entries are about to go.
+/// Guards against requests to an endpoint that left during an outage. The followers keep its entry
+/// for the rewrite window. A host that copies from them takes their version as known, so the copy
+/// must list the entries that are about to be dropped.
 #[test]
-fn a_copy_tells_of_entries_that_may_have_lapsed() {
+fn a_copy_lists_entries_that_may_have_lapsed() {
     let mut following = watch_of_two();
     let mut copying = watch_of_two();
     following.on_answer(at(100), StoreAnswer::Failed);
@@ -223,11 +222,11 @@
     assert_eq!(keys(&copying), ["b"]);
 }
 
-/// The caller is served by an endpoint that left. A host has just started and read the whole table, an
-/// endpoint's removal in it; the others hear of its newer version and copy from it. It never knew of the
-/// endpoint, so that a copy of only what changed would leave it in use at them.
+/// Guards against requests to an endpoint whose removal the sender of a copy never knew. A host
+/// that has just started reads the whole table without the removed entry, and the others copy from
+/// it. A copy with changes only would leave the endpoint in use on them.
 #[test]
-fn a_host_that_has_just_started_tells_all_keys() {
+fn a_host_that_has_just_started_sends_all_keys() {
     let mut started = RowWatch::new(2);
     started.on_answer(at(0), rows(vec![row("b", 2), row("c", 5)], 5));
     let mut copying = watch_of_two();
@@ -235,16 +234,19 @@
     assert_eq!(
         copy.rows,
         vec![row("c", 5)],
-        "what is known is not sent again"
+        "known rows are not sent again"
     );
     let changed = copying.on_copy(at(10), copy);
     assert_eq!(changed, vec![removed("a", 5), row("c", 5)]);
 
     started.on_answer(at(20), rows(vec![row("d", 6)], 6));
     let next = started.copy_after(at(20), copying.changed_version());
-    assert!(next.keys.is_none(), "the copying host lacks nothing since");
+    assert!(
+        next.keys.is_none(),
+        "the copying host has lacked nothing since"
+    );
 
-    // What the copying host passes on has the same gap.
+    // The copy that the copying host passes on has the same gap.
     let mut behind = watch_of_two();
     behind.on_answer(at(0), rows(vec![row("e", 3)], 3));
     let copy = copying.copy_after(at(30), behind.changed_version());
@@ -252,9 +254,9 @@
     assert_eq!(keys(&behind), ["b", "c"]);
 }
 
-/// All endpoints vanish though all live. A host begins to follow the store in the middle of an outage, less
-/// than a second before its end, since those before it got no answer. What it lacks then may have lapsed in
-/// the whole outage, not only in the part in which it asked.
+/// Guards against dropping live endpoints. A host begins to follow the store less than a second
+/// before the end of an outage, after the hosts before it got no answer. Missing entries may have
+/// lapsed in the whole outage, not only in the part in which this host called.
 #[test]
 fn a_host_that_begins_to_follow_in_an_outage_waits_for_lapsed_entries() {
     let mut watch = watch_of_two();
@@ -266,17 +268,18 @@
     assert_eq!(watch.take_expired(at(7_300)), vec![removed("a", 3)]);
 }
 
-/// A host that the store turns away right after an outage learns from others' copies that the store is back.
-/// What may have lapsed goes when its time is over, also if the store still turns this host away.
+/// A host that the store refuses right after an outage learns from others' copies that the store is
+/// back. Lapsed entries must be dropped when their time is over, even if the store still refuses
+/// this host.
 #[test]
-fn an_entry_that_lapsed_goes_in_time_on_a_host_that_is_turned_away_again() {
+fn a_lapsed_entry_is_dropped_in_time_on_a_host_that_is_refused_again() {
     let mut watch = watch_of_two();
     watch.on_answer(at(100), StoreAnswer::Failed);
     watch.on_answer(at(5_000), rows(vec![removed("a", 3)], 3));
     watch.on_answer(at(5_500), StoreAnswer::Failed);
     assert!(
         watch.take_expired(at(7_400)).is_empty(),
-        "the store may be away for all"
+        "the store may be unavailable to all hosts"
     );
     let newer = TableCopy {
         version: 4,
@@ -289,8 +292,8 @@
     assert_eq!(watch.take_expired(at(7_600)), vec![removed("a", 3)]);
 }
 
-/// A host that copies from others calls the store only until it knows the table, and goes on from
-/// the last copy when it has to follow the store itself.
+/// A host that copies from others calls the store only until it knows the table. When it has to
+/// follow the store itself, it continues from the last copy.
 #[test]
 fn a_host_that_does_not_follow_makes_no_calls() {
     let mut watch = RowWatch::new(1);
@@ -307,7 +310,7 @@
     assert_eq!(watch.step(at(30)), WatchStep::Call(feed));
 }
 
-/// However often rows are written and removed, a host that only copies ends with the same rows.
+/// A host that only copies must end with the same rows, however often rows are written and removed.
 #[test]
 fn copies_keep_two_hosts_equal_through_many_changes() {
     let mut followed = RowWatch::new(1);
@@ -332,8 +335,8 @@
     }
 }
 
-/// The platform charges for calls. Several endpoints change within a second, and every host that waits for
-/// changes calls once for each; one that pauses after a change gets the rest with one call.
+/// Calls are paid for. If several endpoints change within a second, a host without a pause makes a
+/// call for each change; one that pauses after a change gets the rest with one call.
 #[test]
 fn changes_within_a_pause_take_one_call() {
     let mut watch = watch_of_two();
@@ -347,8 +350,8 @@
     assert_eq!(watch.step(at(1_700)), WatchStep::Call(feed));
 }
 
-/// Callers get "no endpoint" although all endpoints live. After an outage the first answer comes in parts;
-/// a host that paused between them would take entries that lapsed in the outage for removed on purpose.
+/// Guards against dropping live endpoints when the first answer after an outage comes in parts. A
+/// host that paused between them would take lapsed entries for removed on purpose.
 #[test]
 fn there_is_no_pause_right_after_an_outage() {
     let mut watch = watch_of_two();
--- a/crates/fleet/tests/store_roles.rs
+++ b/crates/fleet/tests/store_roles.rs
@@ -1,4 +1,4 @@
-//! Which hosts of a fleet follow the platform's store, and when they report.
+//! Tests for which hosts of a fleet follow the platform's store, and when they report.
 
 mod support;
 
@@ -19,7 +19,7 @@
         .collect()
 }
 
-/// The entries of hosts in the platform's store.
+/// Returns the entries of hosts in the platform's store.
 fn listed(hosts: std::ops::Range<u64>) -> Vec<ListedHost> {
     let listed = hosts.map(|host| ListedHost {
         host: stable_hash(&host.to_string()),
@@ -28,7 +28,7 @@
     listed.collect()
 }
 
-/// Every host in `from` reports to every host.
+/// Sends a report of every host in `from` to every host.
 fn report(fleet: &mut [Host], now: u64, from: std::ops::Range<usize>) {
     let reports: Vec<PeerReport> = from
         .map(|host| fleet[host].dispatcher.report(support::live()))
@@ -73,24 +73,23 @@
     assert_eq!(standbys.count(), 3);
 }
 
-/// Callers must be served by a new configuration within seconds, also when most of the fleet, all
-/// its followers among them, is killed at one moment: others follow the store as soon as the
-/// followers' silence is noticed.
+/// Guards against an old configuration after most of a fleet, including all its followers, is
+/// killed at once. Other hosts must follow the store as soon as the followers' silence is noticed.
 #[test]
 fn others_follow_the_store_when_the_followers_fall_silent() {
     let mut fleet = fleet(81);
     report(&mut fleet, 0, 0..81);
     fleet.sort_by_key(|host| host.dispatcher.store_role(at(0)) == StoreRole::Copier);
-    let mut left: Vec<Host> = fleet.drain(4..).collect();
-    assert_eq!(followers(&roles(&left, 0)), 0);
+    let mut remaining: Vec<Host> = fleet.drain(4..).collect();
+    assert_eq!(followers(&roles(&remaining, 0)), 0);
     for now in [1_000, 2_000, 2_400] {
-        let all = 0..left.len();
-        report(&mut left, now, all);
+        let all = 0..remaining.len();
+        report(&mut remaining, now, all);
     }
-    assert_eq!(followers(&roles(&left, 2_400)), 4);
+    assert_eq!(followers(&roles(&remaining, 2_400)), 4);
 }
 
-/// A follower that the store turns away says so, and another one takes its place.
+/// A follower that the store refuses reports this, and another host takes its place.
 #[test]
 fn a_host_without_the_store_is_no_follower() {
     let mut fleet = fleet(81);
@@ -100,19 +99,19 @@
         .iter()
         .position(|role| *role == StoreRole::FirstFollower)
         .expect("a first follower");
-    let mut told = fleet[lost].dispatcher.report(support::live());
-    told.store_answers = false;
+    let mut failing_report = fleet[lost].dispatcher.report(support::live());
+    failing_report.store_answers = false;
     for host in &mut fleet {
-        host.send(100, DispatchEvent::Reported(told.clone()));
+        host.send(100, DispatchEvent::Reported(failing_report.clone()));
     }
     let mut after = roles(&fleet, 100);
     after.remove(lost);
     assert_eq!(followers(&after), 4);
 }
 
-/// While the store answers nobody, each host that took a follower's place would be turned away in
-/// turn and go on asking: all hosts would call a store that is away. Twelve do, and one more each half
-/// second, so that a store that turned nearly all away would still be found.
+/// Guards against calls from all hosts to an unavailable store. If each host that takes a
+/// follower's place were refused and went on calling, all would call in the end. Twelve call, and
+/// one more each half second, so that a store that refuses nearly all hosts is still reached.
 #[test]
 fn few_hosts_call_a_store_that_answers_nobody() {
     let mut fleet = fleet(73);
@@ -157,9 +156,10 @@
     assert_eq!(host.dispatcher.unreported(), 0);
 }
 
-/// All hosts of a large fleet start together, and each knows of no other yet. The store's calls are bounded a
-/// second and paid for: a host must not take its fleet for small, nor itself for the first follower, before
-/// it has read the list of hosts and the others have had the time to tell of themselves.
+/// Guards against too many calls when all hosts of a large fleet start together, each without
+/// knowing the others. Calls are limited in number a second and paid for. A host must not take its
+/// fleet for small, or itself for the first follower, before it has read the list of hosts and the
+/// others have had time to report.
 #[test]
 fn hosts_that_start_together_do_not_all_follow_the_store() {
     let mut fleet = fleet(300);
@@ -170,8 +170,8 @@
     assert_eq!(followers(&roles(&fleet, 30)), 4);
 }
 
-/// The store turns a host away from its start on, so that it never reads the list, and nobody tells it of
-/// changes. It must ask the store itself before long.
+/// The store refuses a host from its start on, so the host never reads the list and nobody reports
+/// changes to it. It must soon call the store itself.
 #[test]
 fn a_host_without_a_list_follows_the_store_after_a_while() {
     let fleet = fleet(1);
@@ -179,7 +179,7 @@
     assert_eq!(followers(&roles(&fleet, 1_500)), 1);
 }
 
-/// Rows of hosts that were killed stay in the list for a while. A host that starts among them, alone alive, must
+/// Rows of killed hosts stay in the list for a while. A host that starts as the only live one must
 /// not wait for them for long.
 #[test]
 fn listed_hosts_that_are_silent_are_passed_over() {
--- a/crates/fleet/tests/table_spread.rs
+++ b/crates/fleet/tests/table_spread.rs
@@ -1,8 +1,8 @@
-//! How soon every host of a large fleet knows that an endpoint has left.
+//! Tests for how soon every host of a large fleet knows that an endpoint has left.
 //!
-//! The store acknowledges that an endpoint leaves, and from the bound of the site on, two seconds at the
-//! least, no request may reach it. On the way lie the store, the first follower, its report, the fetch of a
-//! copy, and the host; each test takes one of them away.
+//! The store acknowledges that an endpoint leaves. From the limit of the site on, two seconds at
+//! the least, no request may reach it. The news passes through the store, the first follower, its
+//! report, the fetch of a copy, and the host; each test makes one of them fail.
 
 mod support;
 
@@ -13,11 +13,12 @@
 use support::table_fleet::STEP_MS;
 use support::table_fleet::name;
 
-/// Longest time until all hosts know, with one fault on the way. Three quarters of the shortest time in
-/// which an endpoint may have to be left alone.
+/// Longest time until all hosts know, with one fault on the way: three quarters of the shortest
+/// time in which an endpoint may have to be left alone.
 const KNOWN_WITHIN_MS: u64 = 1_500;
 /// Time in which an endpoint may write its entry again after an outage of the store.
 const REWRITE_MS: u64 = 2_300;
+
 #[parameterized(
     hosts_of_81 = { 81 },
     hosts_of_300 = { 300 },
@@ -28,14 +29,14 @@
     println!("{size} hosts: {took} ms");
 }
 
-/// The caller is served by an endpoint that left seconds ago. The store turns a third of the hosts away, the
-/// first follower among them, and serves the others; then an endpoint leaves. Hosts that are turned away
-/// copy the change, and have to go by it although the store does not answer them.
+/// Guards against requests to an endpoint that left seconds ago. The store refuses a third of the
+/// hosts, including the first follower, and serves the others; then an endpoint leaves. The refused
+/// hosts must copy the change and apply it although the store does not answer them.
 #[parameterized(
     hosts_of_81 = { 81 },
     hosts_of_300 = { 300 },
 )]
-fn hosts_that_the_store_turns_away_know_too(size: usize) {
+fn hosts_that_the_store_refuses_know_too(size: usize) {
     let mut fleet = Fleet::new(size);
     let first = fleet.first_follower();
     fleet.store.refused.extend((0..size).step_by(3));
@@ -45,8 +46,8 @@
     println!("{size} hosts: {took} ms");
 }
 
-/// The host that tells all others of changes freezes right before one. A standby, which looks at the store
-/// in longer intervals, hears of the change, and its regular reports tell the others.
+/// The first follower freezes right before a change. A standby, which calls the store at longer
+/// intervals, learns of the change, and its regular reports reach the others.
 #[parameterized(
     hosts_of_81 = { 81 },
     hosts_of_300 = { 300 },
@@ -54,7 +55,7 @@
 fn hosts_know_though_the_first_follower_is_frozen(size: usize) {
     let mut fleet = Fleet::new(size);
     let first = fleet.first_follower();
-    // A change right before has the standbys pause.
+    // A change right before makes the standbys pause.
     fleet.store.write("another");
     fleet.run_until(fleet.now + 100);
     fleet.nodes[first].is_frozen = true;
@@ -62,8 +63,8 @@
     println!("{size} hosts: {took} ms");
 }
 
-/// The first follower freezes right after it told of a change. The others ask it for a copy, and get no
-/// answer until their time is over; they have to get the copy from another host.
+/// The first follower freezes right after it reported a change. The others ask it for a copy until
+/// the fetch times out, and must then get the copy from another host.
 #[parameterized(
     hosts_of_81 = { 81 },
     hosts_of_300 = { 300 },
@@ -88,8 +89,8 @@
     println!("{size} hosts: {} ms", fleet.now - removed_at);
 }
 
-/// The first follower's connection to the store goes silent without a reset, so that its call is never
-/// answered. It does not know yet; the others must not wait until it does.
+/// The first follower's connection to the store goes silent without a reset, so its call is never
+/// answered. It does not know this yet; the others must not wait until it does.
 #[parameterized(
     hosts_of_81 = { 81 },
     hosts_of_300 = { 300 },
@@ -116,14 +117,15 @@
     println!("{size} hosts: {took} ms");
 }
 
-/// The caller gets "no endpoint", or is served by one that left. The store is away for longer than entries
-/// last; all lapse in it, and all endpoints but one write theirs again within two seconds of its return.
-/// None of these may go on any host, and the one that left has to go on every host.
+/// Guards against dropping live endpoints, and against requests to one that left. The store is
+/// unavailable for longer than entries last, and all lapse. All endpoints but one write theirs
+/// again within two seconds of its return. No host may drop these, and every host must drop the one
+/// that left.
 #[parameterized(
     hosts_of_81 = { 81 },
     hosts_of_300 = { 300 },
 )]
-fn what_lapsed_in_an_outage_is_told_from_what_left(size: usize) {
+fn lapsed_entries_are_told_from_removed_ones_after_an_outage(size: usize) {
     let mut fleet = Fleet::new(size);
     fleet.store.is_away = true;
     fleet.run_until(fleet.now + 4_500);
@@ -134,11 +136,11 @@
     let returned_at = fleet.now;
     for endpoint in 1..ENDPOINTS {
         fleet.run_until(fleet.now + 90);
-        let lacking = fleet.nodes.iter().filter(|node| {
+        let incomplete = fleet.nodes.iter().filter(|node| {
             let kept = (1..ENDPOINTS).filter(|it| node.knows(&name(*it)));
             kept.count() < ENDPOINTS - 1
         });
-        assert_eq!(lacking.count(), 0, "{} ms", fleet.now - returned_at);
+        assert_eq!(incomplete.count(), 0, "{} ms", fleet.now - returned_at);
         fleet.store.write(&name(endpoint));
     }
     fleet.run_until(returned_at + REWRITE_MS + KNOWN_WITHIN_MS);
