--- a/crates/fleet/tests/endpoint_runs.rs
+++ b/crates/fleet/tests/endpoint_runs.rs
@@ -1,4 +1,4 @@
-//! Endpoints that start again under the id that they had.
+//! Tests for endpoints that restart under the same id.
 
 mod support;
 
@@ -29,7 +29,7 @@
     }
 }
 
-fn only(service: &str, name: &str, started_at_ms: Option<u64>) -> Host {
+fn host_with_only(service: &str, name: &str, started_at_ms: Option<u64>) -> Host {
     let mut host = Host::new(1);
     for known in ["desk-1", "desk-2", "booking-1", "booking-2"] {
         let kind = match known.starts_with("desk") {
@@ -44,11 +44,11 @@
     host
 }
 
-/// Callers are served by an endpoint again after its restart. Its earlier run had announced that it
-/// leaves; the next one has the same id and a later start, and takes requests.
+/// Guards against a restarted endpoint that gets no requests because its earlier run announced that
+/// it leaves. The new run has the same id and a later start.
 #[test]
-fn a_restart_under_the_same_id_ends_the_leaving() {
-    let mut host = only(PLAIN, "booking-1", Some(1_000));
+fn a_restart_under_the_same_id_takes_requests_again() {
+    let mut host = host_with_only(PLAIN, "booking-1", Some(1_000));
     let mut leaving = run(PLAIN, "booking-1", Some(1_000));
     leaving.is_leaving = true;
     host.send(10, DispatchEvent::EndpointListed(leaving));
@@ -58,7 +58,7 @@
     assert!(matches!(verdict, Some(Verdict::Send(_))), "{verdict:?}");
 }
 
-/// Callers are not sent to a run that is over. An entry of the earlier run, written before the
+/// Guards against requests to a run that is over. An entry of the earlier run, written before the
 /// restart, arrives after that of the later run, from the store or from another host.
 #[test]
 fn a_late_entry_of_an_earlier_run_changes_nothing() {
@@ -73,11 +73,11 @@
     assert_eq!(usable[0].started_at_ms, Some(2_000));
 }
 
-/// Callers are sent to the restarted endpoint although an answer of the earlier run comes late: a
-/// request that had been sent to that run is told that the run is gone.
+/// Guards against a restarted endpoint that is dropped because of a late answer to the earlier
+/// run's request: the answer says that the run is gone.
 #[test]
-fn news_of_an_earlier_run_does_not_end_the_later_one() {
-    let mut host = only(PLAIN, "booking-1", Some(1_000));
+fn a_failure_of_an_earlier_run_does_not_remove_the_later_one() {
+    let mut host = host_with_only(PLAIN, "booking-1", Some(1_000));
     let (id, verdict) = host.arrive(0, plain_request(0, Repeat::Idempotent));
     assert!(matches!(verdict, Some(Verdict::Send(_))), "{verdict:?}");
     let restarted = run(PLAIN, "booking-1", Some(2_000));
@@ -87,11 +87,11 @@
     assert!(matches!(verdict, Some(Verdict::Send(_))), "{verdict:?}");
 }
 
-/// The caller's prompt is counted as unread at the restarted engine. Its cache is empty, and work
-/// that was sent to the earlier run says nothing of its backlog.
+/// Guards against treating a restarted engine like its earlier run. Its cache is empty, and work
+/// sent to the earlier run is not part of its backlog.
 #[test]
 fn a_restarted_engine_has_nothing_cached_and_nothing_in_progress() {
-    let mut host = only(ENGINES, "desk-1", Some(1_000));
+    let mut host = host_with_only(ENGINES, "desk-1", Some(1_000));
     host.arrive(0, engine_request(0, 1, prompt(7, 100)));
     let before = run(ENGINES, "desk-1", Some(1_000));
     let after = run(ENGINES, "desk-1", Some(2_000));
@@ -100,8 +100,8 @@
     assert!(host.dispatcher.endpoint_load(after.key).is_idle());
 }
 
-/// A caller's request that crashes every engine is stopped although one engine keeps its id: each
-/// crash is one of another run.
+/// Guards against a request that crashes every engine and is not stopped because one engine keeps
+/// its id. Each crash must count as one of another run.
 #[test]
 fn crashes_of_two_runs_have_two_names() {
     let before = run(ENGINES, "desk-1", Some(1_000));
@@ -114,10 +114,11 @@
     matches!(verdict, Some(Verdict::Send(_)))
 }
 
-/// Guards against requests to a leaving endpoint whose entry lapsed and came back as it was before the leaving.
+/// Guards against requests to a leaving endpoint whose entry lapsed and came back in its earlier
+/// state.
 #[test]
-fn a_run_that_said_it_leaves_stays_out_of_use_when_it_is_listed_again() {
-    let mut host = only(PLAIN, "booking-1", Some(1_000));
+fn a_leaving_run_stays_out_of_use_when_it_is_listed_again() {
+    let mut host = host_with_only(PLAIN, "booking-1", Some(1_000));
     assert!(serves(&mut host, 0));
     let left = Arc::new(run(PLAIN, "booking-1", Some(1_000)));
     host.send(10, DispatchEvent::EndpointLeaving(left.clone()));
@@ -134,8 +135,8 @@
 
 /// Guards against an answer of an earlier run that takes its successor out of use.
 #[test]
-fn the_last_words_of_an_earlier_run_do_not_count_for_a_later_one() {
-    let mut host = only(PLAIN, "booking-1", Some(2_000));
+fn a_departure_of_an_earlier_run_does_not_affect_a_later_one() {
+    let mut host = host_with_only(PLAIN, "booking-1", Some(2_000));
     let earlier = Arc::new(run(PLAIN, "booking-1", Some(1_000)));
     host.send(10, DispatchEvent::EndpointLeaving(earlier));
     assert!(serves(&mut host, 20));
--- a/crates/fleet/tests/listing_size.rs
+++ b/crates/fleet/tests/listing_size.rs
@@ -1,4 +1,4 @@
-//! What it costs a host to learn a long list of endpoints.
+//! Tests for the cost of learning a long list of endpoints.
 
 mod support;
 
@@ -17,9 +17,9 @@
 
 const FEW: usize = 500;
 const MANY: usize = 8_000;
-/// Times that a proportional cost may be exceeded, for caches and a busy machine.
-const MOST_TIMES: f64 = 3.0;
-const TRIES: usize = 3;
+/// Factor by which a proportional cost may be exceeded, for caches and a busy machine.
+const MAX_FACTOR: f64 = 3.0;
+const REPETITIONS: usize = 3;
 
 fn list(endpoints: usize) {
     let mut host = Host::new(1);
@@ -30,31 +30,31 @@
     }
 }
 
-/// Returns the time in which `MANY` endpoints are listed, by hosts that know `endpoints` each. Both
-/// lengths then take about as long, and a busy machine slows them alike.
+/// Returns the time in which hosts with `endpoints` endpoints each list `MANY` endpoints. Both
+/// lengths then take about the same time, and a busy machine slows them alike.
 fn time_to_list(endpoints: usize) -> Duration {
-    let begun = Instant::now();
+    let started = Instant::now();
     for _ in 0..MANY / endpoints {
         list(endpoints);
     }
-    begun.elapsed()
+    started.elapsed()
 }
 
-/// Callers get no answer for a long time after all hosts of a large fleet were killed. Each host that starts reads the
-/// whole list of endpoints; when each entry costs a look at all the others, a small host is busy with the list
-/// for seconds, answers nobody meanwhile, and its own calls run out of time.
+/// Guards against a long time without answers after all hosts of a large fleet were killed. Each
+/// starting host reads the whole list of endpoints. If each entry takes a look at all others, a
+/// small host is busy for seconds, answers no request, and its own calls time out.
 #[test]
 fn a_list_takes_time_in_proportion_to_its_length() {
-    let fastest = |endpoints| (0..TRIES).map(|_| time_to_list(endpoints)).min();
-    let few = fastest(FEW).expect("tries");
-    let many = fastest(MANY).expect("tries");
+    let fastest = |endpoints| (0..REPETITIONS).map(|_| time_to_list(endpoints)).min();
+    let few = fastest(FEW).expect("repetitions");
+    let many = fastest(MANY).expect("repetitions");
     let times = many.as_secs_f64() / few.as_secs_f64();
     println!("{FEW} endpoints a host {few:?}, {MANY} a host {many:?}: {times:.1} times");
-    assert!(times < MOST_TIMES, "{times:.1} times");
+    assert!(times < MAX_FACTOR, "{times:.1} times");
 }
 
-/// However entries come, change and go, the table knows by service which take work, in order of their ids, and
-/// how many there are.
+/// The table must know for each service which endpoints take work, in order of their ids, and how
+/// many there are, however entries are added, changed and removed.
 #[test]
 fn services_list_their_endpoints_through_changes() {
     let mut table = EndpointTable::default();
@@ -67,14 +67,14 @@
     }
     assert_eq!(names(&table, ENGINES), ["a", "b", "c"]);
 
-    // It drains.
+    // Draining.
     let mut leaving = endpoint(ENGINES, "b");
     leaving.is_leaving = true;
     table.put(leaving);
     assert_eq!(names(&table, ENGINES), ["a", "c"]);
     assert_eq!(table.count(&ServiceId::from(ENGINES)), 3);
 
-    // An address is used again by another service under the same id.
+    // Another service uses the address again under the same id.
     table.put(endpoint(PLAIN, "c"));
     assert_eq!(names(&table, ENGINES), ["a"]);
     assert_eq!(names(&table, PLAIN), ["c"]);
--- a/crates/fleet/tests/paused_endpoints.rs
+++ b/crates/fleet/tests/paused_endpoints.rs
@@ -1,4 +1,4 @@
-//! Endpoints that turn requests away and ask for a pause.
+//! Tests for endpoints that refuse requests and ask for a pause.
 
 mod support;
 
@@ -31,8 +31,8 @@
 
 const PAUSE_MS: u64 = 3_000;
 /// Requests that may reach an endpoint in a pause, and the time for those that are on their way when it asks.
-const MOST_IN_PAUSE: usize = 2;
-const ON_THE_WAY_MS: u64 = 500;
+const MAX_REQUESTS_IN_PAUSE: usize = 2;
+const MAX_DELIVERY_MS: u64 = 500;
 
 fn pause(host: &mut Host, now_ms: u64, service: &str, name: &str, pause_ms: u64) {
     let endpoint = Arc::new(endpoint(service, name));
@@ -64,7 +64,7 @@
     }
 }
 
-const AWAY: TurningAway = TurningAway {
+const REFUSING: TurningAway = TurningAway {
     engines: 3,
     from_ms: 3_000,
     to_ms: 12_000,
@@ -80,13 +80,16 @@
 fn a_fleet_keeps_pauses_and_serves_its_callers(hosts: usize) {
     for seed in 1..=3 {
         let calm = total(&play(load(hosts, seed)));
-        let (got, away) = play_turned_away(load(hosts, seed), AWAY);
+        let (got, away) = play_turned_away(load(hosts, seed), REFUSING);
         let got = total(&got);
         for (who, arrived) in &away.arrived {
             for asked_at in arrived {
-                let pause = asked_at + ON_THE_WAY_MS..asked_at + PAUSE_MS;
+                let pause = asked_at + MAX_DELIVERY_MS..asked_at + PAUSE_MS;
                 let count = arrived.iter().filter(|at| pause.contains(at)).count();
-                assert!(count <= MOST_IN_PAUSE, "{who:?}: {count} after {asked_at}");
+                assert!(
+                    count <= MAX_REQUESTS_IN_PAUSE,
+                    "{who:?}: {count} after {asked_at}"
+                );
             }
         }
         println!("seed {seed}: calm {calm:?}, away {got:?}");
@@ -120,7 +123,7 @@
 
 /// Guards against callers that are held, or told to come back too soon, while no endpoint takes requests.
 #[test]
-fn while_all_endpoints_pause_callers_are_refused_at_once_and_told_when_the_first_one_ends() {
+fn callers_are_refused_until_the_first_pause_ends_while_all_endpoints_pause() {
     let mut host = Host::new(1);
     pause(&mut host, 0, PLAIN, "booking-1", 1_500);
     pause(&mut host, 0, PLAIN, "booking-2", 900);
@@ -169,13 +172,13 @@
     });
     let returns: Vec<_> = returns.collect();
     assert!(returns.iter().all(|at| *at >= 1_000), "{returns:?}");
-    let tenth = |from| {
+    let count_from = |from| {
         returns
             .iter()
             .filter(|at| (from..from + 50).contains(*at))
             .count()
     };
-    let most = (1_000..1_500).map(tenth).max();
+    let most = (1_000..1_500).map(count_from).max();
     assert!(most < Some(50), "{most:?} of 100 within 50 ms");
 }
 
--- a/crates/fleet/tests/relays.rs
+++ b/crates/fleet/tests/relays.rs
@@ -1,4 +1,4 @@
-//! What hosts of a large fleet know of each other's work, through relays.
+//! Tests for what hosts of a large fleet know of each other's work through relays.
 
 mod support;
 
@@ -38,8 +38,8 @@
 struct Fleet {
     now: u64,
     hosts: Vec<(u64, Host)>,
-    lost: BTreeSet<u64>,
-    /// Part of the datagrams that is lost, in percent.
+    unreachable: BTreeSet<u64>,
+    /// Share of the datagrams that is dropped, in percent.
     loss_percent: u64,
     random: SeededRandom,
     bytes_sent: usize,
@@ -71,7 +71,7 @@
         Self {
             now: 0,
             hosts: hosts.collect(),
-            lost: BTreeSet::new(),
+            unreachable: BTreeSet::new(),
             loss_percent: 0,
             random: SeededRandom::new(seed),
             bytes_sent: 0,
@@ -91,7 +91,7 @@
     fn send_all(&mut self) -> Vec<Datagram> {
         let mut datagrams = Vec::new();
         for (key, host) in &mut self.hosts {
-            if self.lost.contains(key) {
+            if self.unreachable.contains(key) {
                 continue;
             }
             host.send(self.now, DispatchEvent::Tick);
@@ -116,7 +116,7 @@
     fn deliver(&mut self, datagrams: Vec<Datagram>) {
         for datagram in datagrams {
             let is_dropped = self.random.below(100) < self.loss_percent;
-            if is_dropped || self.lost.contains(&datagram.to) {
+            if is_dropped || self.unreachable.contains(&datagram.to) {
                 continue;
             }
             let report = PeerReport::decode(&datagram.bytes).expect("a report");
@@ -130,7 +130,7 @@
     fn start(&mut self, host: usize) -> RequestId {
         let request = plain_request(self.now, Repeat::Idempotent);
         let (id, verdict) = self.hosts[host].1.arrive(self.now, request);
-        assert!(verdict.is_some(), "it was not sent");
+        assert!(verdict.is_some(), "the request was not sent");
         id
     }
 
@@ -139,13 +139,13 @@
         self.hosts[host].1.send(self.now, event);
     }
 
-    /// What each live host takes for the fleet's requests in progress.
-    fn known(&self) -> Vec<u32> {
+    /// Returns the requests in progress in the fleet, as each live host counts them.
+    fn known_requests(&self) -> Vec<u32> {
         let key = endpoint(PLAIN, "large").key;
         let live = self
             .hosts
             .iter()
-            .filter(|(key, _)| !self.lost.contains(key));
+            .filter(|(key, _)| !self.unreachable.contains(key));
         let known = live.map(|(_, host)| host.dispatcher.endpoint_load(key).requests);
         known.collect()
     }
@@ -163,13 +163,13 @@
         fleet.start(host);
     }
     fleet.run(1_000);
-    assert_eq!(fleet.known(), vec![81; 81]);
+    assert_eq!(fleet.known_requests(), vec![81; 81]);
 }
 
-/// Callers' first events come late although most engines are idle: for as long as hosts do not know of
-/// each other's new work, they send theirs to the same engine. Each piece of work is known everywhere,
-/// also in other data centres, a moment after it has begun; with reports each 150 ms and sums each
-/// 300 ms it took 750 ms.
+/// Guards against slow first events although most engines are idle: hosts that do not know of each
+/// other's new work send theirs to the same engine. Each request must be known everywhere, also in
+/// other data centres, a moment after its start; with reports each 150 ms and sums each 300 ms it
+/// took 750 ms.
 #[test]
 fn new_work_is_known_everywhere_within_300_ms() {
     let mut fleet = Fleet::new(81, 1);
@@ -177,13 +177,13 @@
     for started in 1..=40 {
         fleet.start(started as usize);
         fleet.run(300);
-        assert_eq!(fleet.known(), vec![started; 81]);
+        assert_eq!(fleet.known_requests(), vec![started; 81]);
         fleet.run(STEP_MS);
     }
 }
 
-/// Each host counts its own new work at once, and what it finished no more: sums that a relay made
-/// a moment ago hold the host's work as it was then, and must not bring it back.
+/// A host counts its own new work at once and stops counting finished work at once. Sums that a
+/// relay made a moment ago hold the host's earlier work and must not bring it back.
 #[test]
 fn own_work_in_old_sums_is_not_counted_twice() {
     let mut fleet = Fleet::new(24, 1);
@@ -191,16 +191,16 @@
     for _ in 0..40 {
         let request = fleet.start(5);
         fleet.run(STEP_MS);
-        let known = fleet.known()[5];
+        let known = fleet.known_requests()[5];
         assert_eq!(known, 1, "own work counted {known} times");
         fleet.finish(5, request);
         fleet.run(STEP_MS);
-        assert_eq!(fleet.known()[5], 0);
+        assert_eq!(fleet.known_requests()[5], 0);
     }
 }
 
-/// The relays of a data centre are killed. Their hosts get no sums; a while later the relays are
-/// suspected and others are chosen, so that everybody knows the fleet's work again. The work of the
+/// The relays of a data centre are killed, and its hosts get no sums. After a while the relays are
+/// suspected and others are chosen, so that all hosts know the fleet's work again. The work of the
 /// killed hosts is forgotten.
 #[test]
 fn other_hosts_become_relays_when_the_relays_are_lost() {
@@ -211,34 +211,34 @@
     }
     fleet.run(1_000);
     let relays = fleet.sums_sent.clone();
-    fleet.lost = relays.clone();
+    fleet.unreachable = relays.clone();
     fleet.run(5_000);
-    let left = 81 - relays.len();
-    assert_eq!(fleet.known(), vec![left as u32; left]);
+    let remaining = 81 - relays.len();
+    assert_eq!(fleet.known_requests(), vec![remaining as u32; remaining]);
 }
 
-/// Most of the fleet is killed at one moment, relays among them. The others know each other's work
-/// again within seconds.
+/// Most of the fleet is killed at once, including relays. The other hosts must know each other's
+/// work again within seconds.
 #[test]
-fn a_fleet_that_lost_most_of_its_hosts_sums_up_what_is_left() {
+fn a_fleet_that_lost_most_of_its_hosts_sums_up_the_remaining_work() {
     let mut fleet = Fleet::new(81, 1);
     fleet.run(3_000);
     for host in 0..81 {
         fleet.start(host);
     }
     let mut random = SeededRandom::new(7);
-    while fleet.lost.len() < 60 {
+    while fleet.unreachable.len() < 60 {
         let victim = random.below(81) as usize;
-        fleet.lost.insert(fleet.hosts[victim].0);
+        fleet.unreachable.insert(fleet.hosts[victim].0);
     }
     fleet.run(8_000);
-    assert_eq!(fleet.known(), vec![21; 21]);
+    assert_eq!(fleet.known_requests(), vec![21; 21]);
 }
 
-/// A data centre is cut off and comes back. Meanwhile each side knows its own work; after the cut
-/// all know all again.
+/// A data centre is cut off and comes back. During the cut each side knows its own work; afterwards
+/// all hosts know all work.
 #[test]
-fn sums_hold_the_reachable_part_during_a_cut() {
+fn sums_cover_the_reachable_part_during_a_cut() {
     let mut fleet = Fleet::new(30, 1);
     fleet.run(3_000);
     for host in 0..30 {
@@ -249,17 +249,17 @@
         .filter(|host| fleet.data_centre(*host) == 0)
         .map(|host| fleet.hosts[host].0)
         .collect();
-    fleet.lost = cut.into_iter().collect();
+    fleet.unreachable = cut.into_iter().collect();
     fleet.run(5_000);
-    assert_eq!(fleet.known(), vec![20; 20]);
-    fleet.lost.clear();
+    assert_eq!(fleet.known_requests(), vec![20; 20]);
+    fleet.unreachable.clear();
     fleet.run(3_000);
-    assert_eq!(fleet.known(), vec![30; 30]);
+    assert_eq!(fleet.known_requests(), vec![30; 30]);
 }
 
-/// A host is frozen for some seconds. It finds that no relay has sent it a sum for long, and suspects
-/// them all. They are sent its report once more before, answer, and are heard: it knows the fleet's
-/// work again within a second.
+/// A host is frozen for some seconds. It finds that no relay has sent it a sum for long and
+/// suspects them all. Its report still goes to them once, and they answer, so it must know the
+/// fleet's work again within a second.
 #[test]
 fn a_host_that_was_frozen_is_back_within_a_second() {
     let mut fleet = Fleet::new(81, 1);
@@ -269,17 +269,17 @@
     }
     fleet.run(1_000);
     let frozen = fleet.hosts[5].0;
-    fleet.lost.insert(frozen);
+    fleet.unreachable.insert(frozen);
     fleet.run(4_000);
-    fleet.lost.clear();
+    fleet.unreachable.clear();
     fleet.run(1_000);
-    assert_eq!(fleet.known()[5], 81);
+    assert_eq!(fleet.known_requests()[5], 81);
 }
 
-/// Datagrams are lost. What a host believes differs from the truth by less than a twentieth at any
-/// moment once work has been steady for a while.
+/// With lost datagrams, a host's count must differ from the truth by less than a twentieth at any
+/// moment once the work has been steady for a while.
 #[test]
-fn lost_datagrams_change_little() {
+fn lost_datagrams_have_little_effect() {
     for seed in 0..4 {
         let mut fleet = Fleet::new(40, seed);
         fleet.run(3_000);
@@ -290,15 +290,15 @@
         fleet.run(1_500);
         for _ in 0..40 {
             fleet.run(STEP_MS);
-            for known in fleet.known() {
+            for known in fleet.known_requests() {
                 assert!((38..=42).contains(&known), "seed {seed}: {known} of 40");
             }
         }
     }
 }
 
-/// Reports from every host to every other one cost a host of this fleet 80 KB/s on the same day.
-/// Measured here: datagram payload of idle hosts with a few requests each.
+/// Guards against the cost of reports from every host to every other one, 80 KB/s for a host of
+/// this fleet. The test counts datagram payload of idle hosts with a few requests each.
 #[test]
 fn reports_of_a_large_fleet_stay_small() {
     let mut fleet = Fleet::new(81, 1);
@@ -309,6 +309,9 @@
     fleet.run(1_000);
     let before = fleet.bytes_sent;
     fleet.run(10_000);
-    let a_second_and_host = (fleet.bytes_sent - before) / 10 / 81;
-    assert!(a_second_and_host < 10_000, "{a_second_and_host} bytes");
+    let bytes_per_second_and_host = (fleet.bytes_sent - before) / 10 / 81;
+    assert!(
+        bytes_per_second_and_host < 10_000,
+        "{bytes_per_second_and_host} bytes"
+    );
 }
