--- a/crates/fleet/examples/report_bytes.rs
+++ b/crates/fleet/examples/report_bytes.rs
@@ -1,4 +1,4 @@
-//! Prints what reports between hosts cost by the size of the fleet, payload only.
+//! Prints the cost of reports between hosts by the size of the fleet, payload only.
 //!
 //! Hosts in three data centres, seven engines for five hosts, 30 accounts; each host has
 //! 25 requests in progress. Datagrams arrive within the step in which they are sent.
@@ -29,26 +29,26 @@
 
 const SIZES: [u64; 6] = [9, 12, 27, 81, 160, 400];
 const STEP: Duration = Duration::from_millis(50);
-/// Steps before and while bytes are counted.
+/// Steps before bytes are counted, and steps in which they are counted.
 const STEPS: (u32, u32) = (80, 100);
 const REQUESTS: u64 = 25;
 const ACCOUNTS: u64 = 30;
 const SERVICE: &str = "desk";
 
-/// What one size costs, a second and host.
+/// Cost for one size, for each second and host.
 #[derive(Debug, Default)]
 struct Cost {
     sent_bytes: usize,
     datagrams: usize,
-    /// Bytes that the host with most of them sent and received.
-    most_bytes: usize,
+    /// Bytes sent and received by the host with the most traffic.
+    busiest_host_bytes: usize,
 }
 
 fn main() {
     println!("hosts  datagrams/s  sent B/s  busiest host B/s sent and received");
     for hosts in SIZES {
         let cost = measure(hosts);
-        let (datagrams, sent, most) = (cost.datagrams, cost.sent_bytes, cost.most_bytes);
+        let (datagrams, sent, most) = (cost.datagrams, cost.sent_bytes, cost.busiest_host_bytes);
         println!("{hosts:5}  {datagrams:11}  {sent:8}  {most:8}");
     }
 }
@@ -64,7 +64,7 @@
     for step in 0..STEPS.0 + STEPS.1 {
         let now = STEP * (step + 1);
         let is_counted = step >= STEPS.0;
-        let mut arriving = Vec::new();
+        let mut datagrams_in_flight = Vec::new();
         for (number, host) in hosts.iter_mut().enumerate() {
             host.handle(now, DispatchEvent::Tick, &mut Vec::new());
             let state = HostState {
@@ -78,7 +78,7 @@
                 for addressee in outgoing.to {
                     set_included(&mut encoded, addressee.included);
                     let to: usize = index[&addressee.host];
-                    arriving.push((to, PeerReport::decode(&encoded).expect("a report")));
+                    datagrams_in_flight.push((to, PeerReport::decode(&encoded).expect("a report")));
                     if is_counted {
                         bytes[number].0 += encoded.len();
                         bytes[to].1 += encoded.len();
@@ -87,7 +87,7 @@
                 }
             }
         }
-        for (to, report) in arriving {
+        for (to, report) in datagrams_in_flight {
             hosts[to].handle(now, DispatchEvent::Reported(report), &mut Vec::new());
         }
     }
@@ -97,7 +97,7 @@
     Cost {
         sent_bytes: sent / seconds / hosts.len(),
         datagrams: datagrams / seconds / hosts.len(),
-        most_bytes: most.unwrap_or(0) / seconds,
+        busiest_host_bytes: most.unwrap_or(0) / seconds,
     }
 }
 
--- a/crates/fleet/tests/paused_endpoints.rs
+++ b/crates/fleet/tests/paused_endpoints.rs
@@ -30,8 +30,9 @@
 use support::prompt;
 
 const PAUSE_MS: u64 = 3_000;
-/// Requests that may reach an endpoint in a pause, and the time for those that are on their way when it asks.
+/// Requests that may reach an endpoint during a pause.
 const MAX_REQUESTS_IN_PAUSE: usize = 2;
+/// Time in which requests still arrive that were on their way when the endpoint asked for a pause.
 const MAX_DELIVERY_MS: u64 = 500;
 
 fn pause(host: &mut Host, now_ms: u64, service: &str, name: &str, pause_ms: u64) {
@@ -47,7 +48,7 @@
     }
 }
 
-/// Nine engines, a third of which may turn away what they get, and a load that the other six can take.
+/// Nine engines, a third of which may refuse requests, and a load that the other six can take.
 fn load(hosts: usize, seed: u64) -> Load {
     Load {
         hosts,
@@ -71,8 +72,8 @@
     pause_ms: PAUSE_MS,
 };
 
-/// Guards against requests to endpoints in the pauses that they asked for, and against callers who are refused though
-/// other endpoints have room.
+/// Guards against requests to endpoints during the pauses that they asked for, and against refused
+/// callers although other endpoints have room.
 #[parameterized(
     hosts_of_6 = { 6 },
     hosts_of_30 = { 30 },
@@ -100,7 +101,8 @@
     }
 }
 
-/// Guards against a pause that ends with the endpoint's entry, which lapses and comes back while the store is away.
+/// Guards against a pause that ends when the endpoint's entry lapses and comes back while the store
+/// is unavailable.
 #[test]
 fn a_pause_outlives_the_entry() {
     let mut host = Host::new(1);
@@ -121,7 +123,8 @@
     assert_eq!(sent_to(verdict).key, paused.key);
 }
 
-/// Guards against callers that are held, or told to come back too soon, while no endpoint takes requests.
+/// Guards against callers that wait, or are told to come back too soon, while no endpoint takes
+/// requests.
 #[test]
 fn callers_are_refused_until_the_first_pause_ends_while_all_endpoints_pause() {
     let mut host = Host::new(1);
@@ -140,7 +143,8 @@
     }
 }
 
-/// Guards against callers that are refused though an endpoint's short pause ends while they may still wait.
+/// Guards against refused callers although an endpoint's short pause ends while they may still
+/// wait.
 #[test]
 fn a_caller_waits_for_a_pause_that_ends_in_its_time() {
     let mut host = Host::new(1);
@@ -153,7 +157,7 @@
     assert!((50..=75).contains(&sent_at), "{sent_at}");
 }
 
-/// Guards against callers who all come back at the moment at which the endpoints take requests again.
+/// Guards against callers who all come back at the moment when the endpoints take requests again.
 #[test]
 fn callers_who_are_refused_in_a_pause_come_back_spread_out() {
     let mut host = Host::new(1);
@@ -182,7 +186,7 @@
     assert!(most < Some(50), "{most:?} of 100 within 50 ms");
 }
 
-/// Guards against a turned away caller that is told to come back before any endpoint takes requests.
+/// Guards against a refused caller that is told to come back before any endpoint takes requests.
 #[test]
 fn the_last_refusal_of_an_endpoint_tells_when_to_come_back() {
     let mut host = Host::new(1);
@@ -197,7 +201,7 @@
     }
 }
 
-/// Guards against prompts that nobody serves since all engines that usually read them pause.
+/// Guards against unserved prompts because all engines that usually read them pause.
 #[test]
 fn a_prompt_is_read_elsewhere_while_its_usual_engine_pauses() {
     let mut host = Host::new(1);
--- a/crates/fleet/tests/refused_hosts.rs
+++ b/crates/fleet/tests/refused_hosts.rs
@@ -83,12 +83,12 @@
     let mut fleet = Fleet::new(size);
     fleet.store.refused.extend((0..size).step_by(3));
     fleet.run_until(fleet.now + 4_000);
-    fleet.store.is_away = true;
+    fleet.store.is_unavailable = true;
     fleet.run_until(fleet.now + 4_500);
     for endpoint in 0..ENDPOINTS {
         fleet.store.remove(&name(endpoint));
     }
-    fleet.store.is_away = false;
+    fleet.store.is_unavailable = false;
     fleet.store.refused.clear();
     for endpoint in 0..ENDPOINTS {
         fleet.run_until(fleet.now + 90);
@@ -107,10 +107,10 @@
 #[test]
 fn a_refused_host_drops_lapsed_entries_when_the_others_do() {
     let mut fleet = Fleet::new(6);
-    fleet.store.is_away = true;
+    fleet.store.is_unavailable = true;
     fleet.run_until(fleet.now + 4_500);
     fleet.store.remove(&name(0));
-    fleet.store.is_away = false;
+    fleet.store.is_unavailable = false;
     fleet.run_until(fleet.now + 1_500);
     fleet.store.refused.insert(0);
     fleet.run_until(fleet.now + 4_000);
@@ -129,9 +129,9 @@
 fn an_endpoint_that_left_at_the_stores_return_is_dropped_before_the_fleet_is_stable(size: usize) {
     for outage_ms in (4_000..5_000).step_by(140) {
         let mut fleet = Fleet::new(size);
-        fleet.store.is_away = true;
+        fleet.store.is_unavailable = true;
         fleet.run_until(fleet.now + outage_ms);
-        fleet.store.is_away = false;
+        fleet.store.is_unavailable = false;
         let took = fleet.time_to_know_of_removal(&name(0), STABLE_MS);
         println!("{size} hosts, an outage of {outage_ms} ms: {took} ms");
     }
--- a/crates/fleet/tests/support/table_fleet.rs
+++ b/crates/fleet/tests/support/table_fleet.rs
@@ -1,4 +1,5 @@
-//! A fleet that follows a table of the store: hosts, their reports with loss, copies, and the store.
+//! Simulates a fleet that follows a table of the store: hosts, their reports with loss, copies, and
+//! the store.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -26,15 +27,15 @@
 
 /// Time between two steps of every host.
 pub const STEP_MS: u64 = 10;
-const HOLD_MS: u64 = 2_500;
+const LONG_POLL_MS: u64 = 2_500;
 const CALL_TIMEOUT_MS: u64 = 3_200;
-const FETCH_SPREAD_MS: u64 = 120;
+const MAX_FETCH_DELAY_MS: u64 = 120;
 const FETCH_TIMEOUT_MS: u64 = 800;
 const FETCH_MS: u64 = 20;
-/// Endpoints that are listed at the start.
+/// Number of endpoints listed at the start.
 pub const ENDPOINTS: usize = 20;
-/// Time that the fleet has to find itself before a test begins.
-const START_MS: u64 = 4_000;
+/// Time in which the hosts learn of each other before a test begins.
+const SETTLING_MS: u64 = 4_000;
 
 /// A table in the platform's store.
 #[derive(Default)]
@@ -43,10 +44,10 @@
     rows: BTreeMap<String, u64>,
     /// Removed rows, by the version that removed them.
     removed: VecDeque<(u64, String)>,
-    /// Changes up to this version are forgotten.
+    /// Changes up to this version are no longer kept.
     pub forgotten: u64,
-    pub is_away: bool,
-    /// Hosts that are turned away.
+    pub is_unavailable: bool,
+    /// Hosts that the store refuses.
     pub refused: BTreeSet<usize>,
     /// Hosts whose calls get no answer.
     pub silent: BTreeSet<usize>,
@@ -92,11 +93,11 @@
     key: u64,
     host: Host,
     pub watch: RowWatch,
-    news: PeerVersions,
+    peer_versions: PeerVersions,
     pub is_frozen: bool,
     call: Option<(u64, StoreCall)>,
     fetch: Option<Fetch>,
-    has_news: bool,
+    has_new_change: bool,
     inbox: VecDeque<(u64, usize, PeerReport)>,
 }
 
@@ -111,7 +112,7 @@
     pub nodes: Vec<Node>,
     index: BTreeMap<u64, usize>,
     pub store: StoreTable,
-    /// A host that no other reaches.
+    /// Host that no other host reaches.
     pub cut_off: Option<usize>,
     random: SeededRandom,
     loss_percent: u64,
@@ -136,11 +137,11 @@
                 key: key(index),
                 host,
                 watch: RowWatch::new(index as u64),
-                news: PeerVersions::default(),
+                peer_versions: PeerVersions::default(),
                 is_frozen: false,
                 call: None,
                 fetch: None,
-                has_news: false,
+                has_new_change: false,
                 inbox: VecDeque::new(),
             }
         });
@@ -159,7 +160,7 @@
             random: SeededRandom::new(7),
             loss_percent: 2,
         };
-        fleet.run_until(START_MS);
+        fleet.run_until(SETTLING_MS);
         fleet
     }
 
@@ -175,7 +176,7 @@
     }
 
     fn step(&mut self, index: usize) {
-        self.hear(index);
+        self.receive_reports(index);
         self.call_store(index);
         self.end_fetch(index);
         let now = at(self.now);
@@ -188,11 +189,11 @@
             node.watch.set_outage(node.host.dispatcher.store_outage());
             node.watch.take_expired(now);
         }
-        let has_news = std::mem::take(&mut node.has_news);
-        if has_news {
+        let has_new_change = std::mem::take(&mut node.has_new_change);
+        if has_new_change {
             node.host.dispatcher.hasten_reports();
         }
-        if has_news || (self.now + 10 * index as u64).is_multiple_of(50) {
+        if has_new_change || (self.now + 10 * index as u64).is_multiple_of(50) {
             self.report(index);
         }
     }
@@ -228,39 +229,39 @@
         }
     }
 
-    fn hear(&mut self, index: usize) {
+    fn receive_reports(&mut self, index: usize) {
         while let Some((from, report)) = self.nodes[index].next_report(self.now) {
-            self.compare(index, from, report.endpoints_version);
+            self.fetch_if_newer(index, from, report.endpoints_version);
             let node = &mut self.nodes[index];
             node.host.send(self.now, DispatchEvent::Reported(report));
         }
     }
 
-    /// Begins to fetch a copy if the sender knows more.
-    fn compare(&mut self, index: usize, from: usize, heard: u64) {
+    /// Starts to fetch a copy if the sender knows a newer version.
+    fn fetch_if_newer(&mut self, index: usize, from: usize, reported_version: u64) {
         let now = self.now;
         let node = &mut self.nodes[index];
         let role = node.host.dispatcher.store_role(at(now));
         let known = node.watch.changed_version();
         let is_answered = role.is_following() && !node.watch.is_store_lost();
         if !node
-            .news
-            .try_start_fetch(at(now), known, heard, is_answered)
+            .peer_versions
+            .try_start_fetch(at(now), known, reported_version, is_answered)
         {
             return;
         }
-        let spread = match role {
-            StoreRole::Copier => self.random.below(FETCH_SPREAD_MS),
+        let delay = match role {
+            StoreRole::Copier => self.random.below(MAX_FETCH_DELAY_MS),
             _ => 0,
         };
-        let takes = match self.nodes[from].is_frozen || self.is_cut(from) || self.is_cut(index) {
+        let fetch_ms = match self.nodes[from].is_frozen || self.is_cut(from) || self.is_cut(index) {
             true => FETCH_TIMEOUT_MS,
             false => FETCH_MS,
         };
         self.nodes[index].fetch = Some(Fetch {
             from,
-            starts_at: now + spread,
-            ends_at: now + spread + takes,
+            starts_at: now + delay,
+            ends_at: now + delay + fetch_ms,
         });
     }
 
@@ -281,7 +282,7 @@
             node.watch.set_outage(node.host.dispatcher.store_outage());
             node.watch.on_copy(now, copy);
         }
-        self.nodes[index].news.on_fetch_ended();
+        self.nodes[index].peer_versions.on_fetch_ended();
     }
 
     fn call_store(&mut self, index: usize) {
@@ -297,7 +298,7 @@
             let changed = node.watch.on_answer(now, answer);
             let role = node.host.dispatcher.store_role(now);
             if !changed.is_empty() && role == StoreRole::FirstFollower {
-                node.has_news = true;
+                node.has_new_change = true;
             }
         }
         let role = node.host.dispatcher.store_role(now);
@@ -313,7 +314,7 @@
         self.cut_off == Some(host)
     }
 
-    /// Returns the first host that calls the store. In a small fleet all do.
+    /// Returns the first host that calls the store. In a small fleet all hosts do.
     pub fn first_caller(&self) -> usize {
         let calls = |node: &Node| node.host.dispatcher.store_role(at(self.now)).is_following();
         self.nodes.iter().position(calls).expect("a caller")
@@ -325,13 +326,13 @@
         self.nodes.iter().position(is_first).expect("a follower")
     }
 
-    /// Removes an endpoint's entry, and returns after how many milliseconds every host knows.
+    /// Removes an endpoint's entry. Returns the milliseconds until every host knows.
     pub fn time_to_know_of_removal(&mut self, key: &str, limit_ms: u64) -> u64 {
         let all: Vec<_> = (0..self.nodes.len()).collect();
         self.time_for_hosts_to_know(&all, key, limit_ms)
     }
 
-    /// Removes an endpoint's entry, and returns after how many milliseconds these hosts know.
+    /// Removes an endpoint's entry. Returns the milliseconds until these hosts know.
     pub fn time_for_hosts_to_know(&mut self, hosts: &[usize], key: &str, limit_ms: u64) -> u64 {
         self.store.remove(key);
         let removed_at = self.now;
@@ -371,7 +372,7 @@
     if store.silent.contains(&host) {
         return (age_ms >= CALL_TIMEOUT_MS).then_some(StoreAnswer::Failed);
     }
-    if store.is_away || store.refused.contains(&host) {
+    if store.is_unavailable || store.refused.contains(&host) {
         return Some(StoreAnswer::Failed);
     }
     let (rows, is_long_poll) = match call {
@@ -384,7 +385,7 @@
             is_long_poll,
         } => (store.changes(*after), *is_long_poll),
     };
-    let is_over = !rows.is_empty() || !is_long_poll || age_ms >= HOLD_MS;
+    let is_over = !rows.is_empty() || !is_long_poll || age_ms >= LONG_POLL_MS;
     is_over.then_some(StoreAnswer::Rows {
         rows,
         version: store.version,
--- a/crates/fleet/tests/table_spread.rs
+++ b/crates/fleet/tests/table_spread.rs
@@ -127,12 +127,12 @@
 )]
 fn lapsed_entries_are_told_from_removed_ones_after_an_outage(size: usize) {
     let mut fleet = Fleet::new(size);
-    fleet.store.is_away = true;
+    fleet.store.is_unavailable = true;
     fleet.run_until(fleet.now + 4_500);
     for endpoint in 0..ENDPOINTS {
         fleet.store.remove(&name(endpoint));
     }
-    fleet.store.is_away = false;
+    fleet.store.is_unavailable = false;
     let returned_at = fleet.now;
     for endpoint in 1..ENDPOINTS {
         fleet.run_until(fleet.now + 90);
