--- a/crates/fleet/src/cold_start.rs
+++ b/crates/fleet/src/cold_start.rs
@@ -84,7 +84,7 @@
 
 #[derive(Debug, Default)]
 struct ColdEndpoint {
-    until: Duration,
+    cold_until: Duration,
     /// Requests that this host may send in any second; 0 if it is not a sender.
     max_requests_per_window: usize,
     sent_at: VecDeque<Duration>,
@@ -129,7 +129,7 @@
             false => 0,
         };
         let cold = self.endpoints.entry(endpoint).or_default();
-        cold.until = cold.until.max(until);
+        cold.cold_until = cold.cold_until.max(until);
         cold.max_requests_per_window = max_requests_per_window;
     }
 
@@ -146,27 +146,27 @@
     /// Returns whether this host may send a request to the endpoint now.
     pub fn may_send(&self, now: Duration, endpoint: u64) -> bool {
         let cold = self.endpoints.get(&endpoint);
-        cold.is_none_or(|cold| now >= cold.until || cold.has_room(now))
+        cold.is_none_or(|cold| now >= cold.cold_until || cold.has_room(now))
     }
 
     /// Returns when the endpoint becomes warm, if it is cold and this host sends it nothing before.
     pub fn closed_until(&self, now: Duration, endpoint: u64) -> Option<Duration> {
         let cold = self.endpoints.get(&endpoint);
-        let cold = cold.filter(|cold| now < cold.until && cold.max_requests_per_window == 0);
-        cold.map(|cold| cold.until)
+        let cold = cold.filter(|cold| now < cold.cold_until && cold.max_requests_per_window == 0);
+        cold.map(|cold| cold.cold_until)
     }
 
     /// Returns the cold endpoints to which this host may send a request now.
     pub fn open_endpoints(&self, now: Duration) -> impl Iterator<Item = u64> + '_ {
         let open = self.endpoints.iter();
-        let open = open.filter(move |(_, cold)| now < cold.until && cold.has_room(now));
+        let open = open.filter(move |(_, cold)| now < cold.cold_until && cold.has_room(now));
         open.map(|(endpoint, _)| *endpoint)
     }
 
     /// Returns the number of cold endpoints.
     pub fn cold_count(&self, now: Duration) -> usize {
         let cold = self.endpoints.values();
-        cold.filter(|cold| now < cold.until).count()
+        cold.filter(|cold| now < cold.cold_until).count()
     }
 
     /// Forgets an endpoint that is gone.
@@ -178,7 +178,7 @@
     /// more.
     pub fn tick(&mut self, now: Duration) {
         self.endpoints
-            .retain(|_, cold| now < cold.until.saturating_add(RATE_WINDOW));
+            .retain(|_, cold| now < cold.cold_until.saturating_add(RATE_WINDOW));
     }
 
     fn is_sender(&self, endpoint: u64) -> bool {
--- a/crates/fleet/src/peer_report.rs
+++ b/crates/fleet/src/peer_report.rs
@@ -170,7 +170,7 @@
     fn to_bytes(&self) -> Vec<u8> {
         let mut bytes = vec![FORMAT];
         bytes.extend(self.included.to_be_bytes());
-        ciborium::into_writer(self, &mut bytes).expect("a vector takes every byte");
+        ciborium::into_writer(self, &mut bytes).expect("writing to a vector cannot fail");
         bytes
     }
 }
--- a/crates/fleet/src/peer_versions.rs
+++ b/crates/fleet/src/peer_versions.rs
@@ -45,8 +45,8 @@
         reported: u64,
         store_answers: bool,
     ) -> bool {
-        // After catching up the wait starts anew. Otherwise each later change would be copied at
-        // once.
+        // The wait restarts after the host has caught up. Otherwise each later change would be
+        // copied at once.
         self.newer.take_if(|newer| newer.version <= known);
         if reported <= known {
             return false;
--- a/crates/fleet/src/relay.rs
+++ b/crates/fleet/src/relay.rs
@@ -31,14 +31,14 @@
 #[derive(Debug)]
 struct Member {
     report_number: u64,
-    heard_at: Duration,
+    received_at: Duration,
     work: WorkSums,
 }
 
 /// Latest sum of another data centre.
 #[derive(Debug)]
 struct DataCentreSum {
-    heard_at: Duration,
+    received_at: Duration,
     hosts: u32,
     work: WorkSums,
 }
@@ -57,7 +57,7 @@
     pub fn on_member(&mut self, now: Duration, report: &PeerReport) {
         let member = Member {
             report_number: report.number,
-            heard_at: now,
+            received_at: now,
             work: work_of(report),
         };
         self.members.insert(report.host, member);
@@ -68,12 +68,12 @@
     pub fn on_data_centre(&mut self, now: Duration, report: &PeerReport) {
         let known = self.data_centres.get(&report.data_centre);
         let replaces = known.is_none_or(|known| {
-            let age = now.saturating_sub(known.heard_at);
+            let age = now.saturating_sub(known.received_at);
             covers_about_as_many(report.hosts, known.hosts) || age > REPLACEABLE_AGE
         });
         if replaces {
             let sum = DataCentreSum {
-                heard_at: now,
+                received_at: now,
                 hosts: report.hosts,
                 work: work_of(report),
             };
@@ -84,8 +84,10 @@
     /// Drops reports and sums that are too old.
     pub fn tick(&mut self, now: Duration) {
         let is_recent = |at: Duration| now.saturating_sub(at) <= MAX_REPORT_AGE;
-        self.members.retain(|_, member| is_recent(member.heard_at));
-        self.data_centres.retain(|_, sum| is_recent(sum.heard_at));
+        self.members
+            .retain(|_, member| is_recent(member.received_at));
+        self.data_centres
+            .retain(|_, sum| is_recent(sum.received_at));
     }
 
     /// Returns the hosts that report to this one, each with the number of its latest report.
@@ -121,7 +123,7 @@
 /// The latest sum over the fleet that this host uses.
 #[derive(Debug, Default)]
 pub struct FleetView {
-    heard_at: Option<Duration>,
+    accepted_at: Option<Duration>,
     hosts: u32,
 }
 
@@ -130,11 +132,11 @@
     /// know different parts of the fleet, for example while links between data centres are cut.
     pub fn accepts(&mut self, now: Duration, hosts: u32) -> bool {
         let is_old = self
-            .heard_at
+            .accepted_at
             .is_none_or(|at| now.saturating_sub(at) > REPLACEABLE_AGE);
         let is_accepted = is_old || covers_about_as_many(hosts, self.hosts);
         if is_accepted {
-            self.heard_at = Some(now);
+            self.accepted_at = Some(now);
             self.hosts = hosts;
         }
         is_accepted
--- a/crates/fleet/src/row_watch.rs
+++ b/crates/fleet/src/row_watch.rs
@@ -148,7 +148,7 @@
     last_copy_at: Option<Duration>,
     removed: VecDeque<Row>,
     removals_complete_after: u64,
-    gaps: VecDeque<Gap>,
+    gaps: VecDeque<VersionGap>,
     is_following: bool,
     feed_pause: Duration,
     outage_view: OutageView,
@@ -174,7 +174,7 @@
 /// Range of versions that was skipped when the whole table was read. Rows that were written and
 /// removed again within it are unknown.
 #[derive(Debug, Clone, Copy)]
-struct Gap {
+struct VersionGap {
     from: u64,
     to: u64,
 }
@@ -293,7 +293,7 @@
     /// Applies another host's copy. Returns the changed rows.
     ///
     /// A removal in the copy takes effect at once, even while the store refuses this host: the
-    /// sender has already told removed rows from rows that may only have lapsed. If the removal
+    /// sender has already separated removed rows from rows that may only have lapsed. If the removal
     /// waited until the store answers this host again, it would take effect seconds late, and
     /// requests would still go to endpoints that have left.
     ///
@@ -346,12 +346,12 @@
     /// changes, the receiver would keep endpoints that have left in use for good. The keys of all
     /// rows show which rows are gone and take a fraction of the memory of whole rows.
     fn lacks_removals_after(&self, after: u64) -> bool {
-        let is_within = |gap: &Gap| gap.from < after && after < gap.to;
+        let is_within = |gap: &VersionGap| gap.from < after && after < gap.to;
         after > 0 && (after < self.removals_complete_after || self.gaps.iter().any(is_within))
     }
 
     fn record_gap(&mut self, from: u64, to: u64) {
-        self.gaps.push_back(Gap { from, to });
+        self.gaps.push_back(VersionGap { from, to });
         if self.gaps.len() > MAX_GAPS {
             let forgotten = self.gaps.pop_front();
             let to = forgotten.map_or(0, |gap| gap.to);
@@ -378,12 +378,12 @@
         if self.lapsing.is_empty() || self.is_cut_off() {
             return Vec::new();
         }
-        let over = self.lapsing.iter();
-        let over = over.filter(|(_, lapsing)| lapsing.outage.rewrite_until <= now);
-        let over: Vec<_> = over
+        let expired = self.lapsing.iter();
+        let expired = expired.filter(|(_, lapsing)| lapsing.outage.rewrite_until <= now);
+        let expired: Vec<_> = expired
             .map(|(key, lapsing)| (key.clone(), lapsing.version))
             .collect();
-        let removed = over.into_iter();
+        let removed = expired.into_iter();
         removed
             .filter_map(|(key, version)| self.remove(key, version))
             .collect()
--- a/crates/fleet/tests/peer_versions.rs
+++ b/crates/fleet/tests/peer_versions.rs
@@ -20,7 +20,7 @@
     assert!(versions.try_start_fetch(at(5_250), 8, 9, true));
 }
 
-/// Two hosts report the version of a table, and one of them is behind itself. Its reports come
+/// Two hosts report the version of a table, and one of them is outdated itself. Its reports come
 /// between those of the other one and must not restart the wait.
 #[test]
 fn reports_of_a_host_that_is_behind_too_change_nothing() {
