--- a/crates/fleet/src/peer_hosts.rs
+++ b/crates/fleet/src/peer_hosts.rs
@@ -313,9 +313,9 @@
 
     /// Returns whether it was listed a moment ago and has not had time to report.
     ///
-    /// A host that starts first learns of the others from the list. Without this check it would
-    /// take its fleet for small, or itself for the first follower, until it hears from them, and
-    /// all hosts that start together would ask the store for changes. A listed host that is dead is
+    /// A starting host learns of the others from the list first. Without this check it would take
+    /// its fleet for small, or itself for the first follower, until it hears from them, and all
+    /// hosts that start together would ask the store for changes. A listed host that is dead is
     /// skipped after this time.
     fn is_newly_listed(&self, now: Duration) -> bool {
         let is_recent = now.saturating_sub(self.first_listed_at) <= MAX_FOLLOWER_SILENCE;
