--- a/crates/fleet/examples/decision_time.rs
+++ b/crates/fleet/examples/decision_time.rs
@@ -84,7 +84,7 @@
         );
     }
     let arrival_us = begun.elapsed().as_secs_f64() * 1e6 / ARRIVALS as f64;
-    let queued = host.queued();
+    let queued = host.queued_requests();
     let begun = Instant::now();
     const LOOKS: u32 = 10;
     for look in 0..LOOKS {
--- a/crates/fleet/src/account_shares.rs
+++ b/crates/fleet/src/account_shares.rs
@@ -4,9 +4,9 @@
 
 use nohash_hasher::IntMap;
 
-use crate::unseen_begins::Begin;
-use crate::unseen_begins::UNSEEN_SPAN;
-use crate::unseen_begins::UnseenBegins;
+use crate::unreported_starts::REPORT_DELAY;
+use crate::unreported_starts::StartedRequest;
+use crate::unreported_starts::UnreportedStarts;
 
 /// Parts into which the window is cut. Use fades in as many steps.
 ///
@@ -35,42 +35,42 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Lead {
     /// No account is backlogged, or the difference is small.
-    Even,
+    Small,
     /// So much that only idle engines should take its requests.
-    Far,
+    Large,
     /// So much that it has to wait for the other one.
-    TooFar,
+    TooLarge,
 }
 
 /// What one account asked for and was given in the window, in tokens.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Usage {
     /// Tokens of requests that arrived.
-    pub asked: u32,
+    pub requested_tokens: u32,
     /// Tokens of requests that were sent to an engine.
-    pub started: u32,
+    pub started_tokens: u32,
 }
 
 impl Usage {
     /// Adds other usage.
     pub fn add(&mut self, other: Self) {
-        self.asked = self.asked.saturating_add(other.asked);
-        self.started = self.started.saturating_add(other.started);
+        self.requested_tokens = self.requested_tokens.saturating_add(other.requested_tokens);
+        self.started_tokens = self.started_tokens.saturating_add(other.started_tokens);
     }
 
     /// Returns the usage times a fraction.
     fn part(self, parts: u64, of: u64) -> Self {
         let of_tokens = |tokens: u32| (u64::from(tokens) * parts / of) as u32;
         Self {
-            asked: of_tokens(self.asked),
-            started: of_tokens(self.started),
+            requested_tokens: of_tokens(self.requested_tokens),
+            started_tokens: of_tokens(self.started_tokens),
         }
     }
 
     /// Takes away usage that was added before.
     pub fn subtract(&mut self, other: Self) {
-        self.asked = self.asked.saturating_sub(other.asked);
-        self.started = self.started.saturating_sub(other.started);
+        self.requested_tokens = self.requested_tokens.saturating_sub(other.requested_tokens);
+        self.started_tokens = self.started_tokens.saturating_sub(other.started_tokens);
     }
 }
 
@@ -84,8 +84,8 @@
     bucket: u64,
     reported: IntMap<u64, (Duration, Vec<(u64, Usage)>)>,
     totals: IntMap<u64, Usage>,
-    unseen: UnseenBegins,
-    level: f64,
+    unseen: UnreportedStarts,
+    fair_share: f64,
     /// What the backlogged account that was given least has; infinite if none is backlogged.
     least: f64,
 }
@@ -100,8 +100,8 @@
             bucket: 0,
             reported: IntMap::default(),
             totals: IntMap::default(),
-            unseen: UnseenBegins::default(),
-            level: f64::INFINITY,
+            unseen: UnreportedStarts::default(),
+            fair_share: f64::INFINITY,
             least: f64::INFINITY,
         }
     }
@@ -117,17 +117,31 @@
     }
 
     /// Counts a request that arrived.
-    pub fn on_asked(&mut self, now: Duration, account: u64, tokens: f64) {
-        let asked = tokens as u32;
-        self.count(now, account, Usage { asked, started: 0 });
+    pub fn on_arrived(&mut self, now: Duration, account: u64, tokens: f64) {
+        let requested_tokens = tokens as u32;
+        self.count(
+            now,
+            account,
+            Usage {
+                requested_tokens,
+                started_tokens: 0,
+            },
+        );
     }
 
     /// Counts a request that was sent to an engine.
     pub fn on_started(&mut self, now: Duration, account: u64, tokens: f64) {
-        let started = tokens as u32;
-        self.count(now, account, Usage { asked: 0, started });
+        let started_tokens = tokens as u32;
+        self.count(
+            now,
+            account,
+            Usage {
+                requested_tokens: 0,
+                started_tokens,
+            },
+        );
         let at = now;
-        self.unseen.begin(Begin {
+        self.unseen.begin(StartedRequest {
             at,
             account,
             tokens,
@@ -145,11 +159,14 @@
         let bucket = self.bucket_at(started_at);
         let has_left = bucket + BUCKETS <= self.bucket;
         if let Some(buckets) = self.own.get_mut(&account).filter(|_| !has_left) {
-            let started = tokens as u32;
-            buckets[(bucket % BUCKETS) as usize].subtract(Usage { asked: 0, started });
+            let started_tokens = tokens as u32;
+            buckets[(bucket % BUCKETS) as usize].subtract(Usage {
+                requested_tokens: 0,
+                started_tokens,
+            });
         }
         let at = started_at;
-        self.unseen.take_back(Begin {
+        self.unseen.take_back(StartedRequest {
             at,
             account,
             tokens,
@@ -185,7 +202,7 @@
                 self.totals.entry(*account).or_default().add(*usage);
             }
         }
-        self.level = self.fair_level();
+        self.fair_share = self.compute_fair_share();
         self.least = self.least_backlogged();
         for account in self.unseen.tick(now) {
             self.guess_unseen(account);
@@ -196,33 +213,33 @@
     ///
     /// What other hosts probably began besides does not count here: it would refuse accounts about at
     /// their share while engines have room.
-    pub fn standing(&self, account: u64) -> f64 {
-        if !self.level.is_finite() {
+    pub fn share_used(&self, account: u64) -> f64 {
+        if !self.fair_share.is_finite() {
             return 0.0;
         }
         let used = self.totals.get(&account).copied().unwrap_or_default();
-        f64::from(used.started) / self.level.max(1.0)
+        f64::from(used.started_tokens) / self.fair_share.max(1.0)
     }
 
     /// Returns what all accounts asked of this host and of the whole fleet, in tokens.
-    pub fn asked_here_and_in_all(&self) -> (f64, f64) {
+    pub fn requested_here_and_in_fleet(&self) -> (f64, f64) {
         let here = self.own().into_iter().map(|(_, usage)| usage);
         let in_all = self.totals.values().copied();
-        let asked = |usage: Usage| f64::from(usage.asked);
+        let asked = |usage: Usage| f64::from(usage.requested_tokens);
         (here.map(asked).sum(), in_all.map(asked).sum())
     }
 
     /// Returns what the account asked for, as a multiple of its fair share.
-    pub fn asked(&self, account: u64) -> f64 {
+    pub fn share_requested(&self, account: u64) -> f64 {
         let used = self.totals.get(&account).copied().unwrap_or_default();
-        f64::from(used.asked) / self.level.max(1.0)
+        f64::from(used.requested_tokens) / self.fair_share.max(1.0)
     }
 
     /// Returns what the backlogged account that holds others back was given, as a multiple of its
     /// fair share; infinite if no account is backlogged.
-    pub fn least_standing(&self) -> f64 {
-        match self.level.is_finite() {
-            true => self.least / self.level.max(1.0),
+    pub fn least_share_used(&self) -> f64 {
+        match self.fair_share.is_finite() {
+            true => self.least / self.fair_share.max(1.0),
             false => f64::INFINITY,
         }
     }
@@ -234,17 +251,17 @@
     pub fn lead(&self, account: u64) -> Lead {
         let given = self.given(account);
         if given > self.least * LARGEST_LEAD {
-            Lead::TooFar
+            Lead::TooLarge
         } else if given > self.least * MOST_AHEAD {
-            Lead::Far
+            Lead::Large
         } else {
-            Lead::Even
+            Lead::Small
         }
     }
 
     /// Returns the share at which accounts are cut, in tokens a window; infinite when all fit.
-    pub fn level(&self) -> f64 {
-        self.level
+    pub fn fair_share(&self) -> f64 {
+        self.fair_share
     }
 
     fn count(&mut self, now: Duration, account: u64, usage: Usage) {
@@ -289,47 +306,56 @@
     /// Returns what the account was given by all hosts, as far as this one knows or guesses.
     fn given(&self, account: u64) -> f64 {
         let known = self.totals.get(&account).copied().unwrap_or_default();
-        f64::from(known.started) + self.unseen.tokens(account)
+        f64::from(known.started_tokens) + self.unseen.tokens(account)
     }
 
     /// Guesses what other hosts began for the account: as much as this one by what they are asked
     /// for, and no more than that.
     fn guess_unseen(&mut self, account: u64) {
         let own = self.own.get(&account);
-        let own_asked = own.map_or(0, |buckets| self.faded(buckets).asked);
+        let own_asked = own.map_or(0, |buckets| self.faded(buckets).requested_tokens);
         let total = self.totals.get(&account).copied().unwrap_or_default();
-        let others_asked = f64::from(total.asked.saturating_sub(own_asked));
+        let others_asked = f64::from(total.requested_tokens.saturating_sub(own_asked));
         let ratio = others_asked / f64::from(own_asked.max(1));
-        let asked_meanwhile = others_asked * UNSEEN_SPAN.as_secs_f64() / self.window.as_secs_f64();
+        let asked_meanwhile = others_asked * REPORT_DELAY.as_secs_f64() / self.window.as_secs_f64();
         self.unseen.guess(account, ratio, asked_meanwhile);
     }
 
     /// Returns what the backlogged account that was given least has, or part of the share if that is
     /// more.
     fn least_backlogged(&self) -> f64 {
-        if !self.level.is_finite() {
+        if !self.fair_share.is_finite() {
             return f64::INFINITY;
         }
         let backlogged = self.totals.values().filter(|usage| {
-            let (asked, started) = (f64::from(usage.asked), f64::from(usage.started));
-            asked > self.level && asked > started * BACKLOGGED_RATIO
+            let (asked, started) = (
+                f64::from(usage.requested_tokens),
+                f64::from(usage.started_tokens),
+            );
+            asked > self.fair_share && asked > started * BACKLOGGED_RATIO
         });
-        let least = backlogged.map(|usage| f64::from(usage.started));
+        let least = backlogged.map(|usage| f64::from(usage.started_tokens));
         let least = least.fold(f64::INFINITY, f64::min);
-        least.max(self.level * LEAST_PART)
+        least.max(self.fair_share * LEAST_PART)
     }
 
     /// Fills accounts evenly until the capacity is given out: the max-min share.
-    fn fair_level(&self) -> f64 {
+    fn compute_fair_share(&self) -> f64 {
         let Some(capacity) = self.capacity_per_s else {
             return f64::INFINITY;
         };
         // What was really given counts if it is more: cached prompts cost engines less than their
         // length. Accounts that still ask for more are then cut at one level, not at none.
-        let given = self.totals.values().map(|usage| f64::from(usage.started));
+        let given = self
+            .totals
+            .values()
+            .map(|usage| f64::from(usage.started_tokens));
         let capacity = (capacity * self.window.as_secs_f64()).max(given.sum());
-        let asked = self.totals.values().map(|usage| f64::from(usage.asked));
-        max_min_level(asked.collect(), capacity)
+        let asked = self
+            .totals
+            .values()
+            .map(|usage| f64::from(usage.requested_tokens));
+        max_min_share(asked.collect(), capacity)
     }
 }
 
@@ -337,12 +363,12 @@
 /// sum fits into `capacity`; infinite when everything fits.
 ///
 /// ```
-/// use sedgeridge_fleet::account_shares::max_min_level;
+/// use sedgeridge_fleet::account_shares::max_min_share;
 ///
-/// assert_eq!(max_min_level(vec![10.0, 50.0, 90.0], 90.0), 40.0);
-/// assert_eq!(max_min_level(vec![10.0, 20.0], 90.0), f64::INFINITY);
+/// assert_eq!(max_min_share(vec![10.0, 50.0, 90.0], 90.0), 40.0);
+/// assert_eq!(max_min_share(vec![10.0, 20.0], 90.0), f64::INFINITY);
 /// ```
-pub fn max_min_level(mut asked: Vec<f64>, capacity: f64) -> f64 {
+pub fn max_min_share(mut asked: Vec<f64>, capacity: f64) -> f64 {
     asked.sort_by(f64::total_cmp);
     let mut left = capacity;
     let mut others = asked.len();
--- a/crates/fleet/src/arrival.rs
+++ b/crates/fleet/src/arrival.rs
@@ -37,12 +37,12 @@
 
 impl Arrival {
     /// Returns what the request takes from its account's share.
-    pub fn charge(&self) -> f64 {
-        self.prompt.as_ref().map_or(1.0, Prompt::charge)
+    pub fn charged_tokens(&self) -> f64 {
+        self.prompt.as_ref().map_or(1.0, Prompt::charged_tokens)
     }
 
     /// Returns the time at which the answer's first piece stops being in time.
-    pub fn target_at(&self) -> Duration {
+    pub fn first_piece_deadline(&self) -> Duration {
         self.received_at + self.route.latency_target
     }
 }
--- a/crates/fleet/src/dispatcher.rs
+++ b/crates/fleet/src/dispatcher.rs
@@ -39,15 +39,15 @@
 use crate::placement::CachedParts;
 use crate::resend_window::ResendLimits;
 use crate::resend_window::ResendWindow;
-use crate::return_time::ReturnTimes;
+use crate::retry_delay::RetryDelays;
 use crate::verdict::Decision;
 use crate::verdict::Failure;
 
 pub use crate::store_followers::StoreRole;
 pub use admission::AdmissionSettings;
-pub use peers::Addressee;
 pub use peers::HostState;
 pub use peers::OutgoingReport;
+pub use peers::ReportRecipient;
 
 /// Reading speed of an engine against the tokens that it processes in a second with reading and
 /// generating mixed. Engines read in large batches and generate one token a step.
@@ -107,7 +107,7 @@
     /// A request's answer came whole.
     Completed(RequestId),
     /// The fingerprint of a request that had none was worked out.
-    Identified(RequestId, Fingerprint),
+    FingerprintComputed(RequestId, Fingerprint),
     /// An attempt failed.
     AttemptFailed(RequestId, Failure),
     /// The caller left, or the request ended without an answer in full.
@@ -139,7 +139,7 @@
     cached: CachedParts,
     shares: AccountShares,
     resends: ResendWindow,
-    returns: ReturnTimes,
+    returns: RetryDelays,
     quarantine: Quarantine,
     requests: HashMap<RequestId, Pending>,
     queue: Vec<RequestId>,
@@ -208,7 +208,7 @@
             cached: CachedParts::default(),
             shares: AccountShares::new(settings.share_window),
             resends: ResendWindow::new(settings.resends),
-            returns: ReturnTimes::default(),
+            returns: RetryDelays::default(),
             quarantine: Quarantine::new(HealthSettings::default()),
             requests: HashMap::new(),
             queue: Vec::new(),
@@ -241,7 +241,7 @@
             DispatchEvent::Arrived(arrival) => self.on_arrival(now, *arrival, decisions),
             DispatchEvent::FirstPiece(request) => self.on_first_piece(now, request),
             DispatchEvent::Completed(request) => self.on_completed(now, request),
-            DispatchEvent::Identified(request, fingerprint) => {
+            DispatchEvent::FingerprintComputed(request, fingerprint) => {
                 if let Some(pending) = self.requests.get_mut(&request) {
                     pending.arrival.fingerprint = Some(fingerprint);
                 }
@@ -319,8 +319,8 @@
     }
 
     /// Returns what an account was given by the fleet, as a multiple of its fair share.
-    pub fn account_standing(&self, account: u64) -> f64 {
-        self.shares.standing(account)
+    pub fn account_share_used(&self, account: u64) -> f64 {
+        self.shares.share_used(account)
     }
 
     /// Tells whether this host's callers ask for much more than those of other hosts do, so that others have the time
@@ -328,24 +328,24 @@
     ///
     /// A host that has just started says no. After a restart of the whole fleet all hosts are late, and requests that
     /// each of them leaves to the others are served by nobody.
-    pub fn is_flooded(&self, now: Duration) -> bool {
+    pub fn has_excess_demand(&self, now: Duration) -> bool {
         if now < self.settings.recovery {
             return false;
         }
         let others = self.hosts(now).saturating_sub(1) as f64;
-        let (here, in_all) = self.shares.asked_here_and_in_all();
+        let (here, in_all) = self.shares.requested_here_and_in_fleet();
         let elsewhere = in_all - here;
         elsewhere > 0.0 && here * others > elsewhere * FLOODED_RATIO
     }
 
     /// Counts a prompt that was left to another host.
     pub fn on_shed(&mut self, now: Duration, account: u64, tokens: f64) {
-        self.shares.on_asked(now, account, tokens);
+        self.shares.on_arrived(now, account, tokens);
     }
 
     /// Tells whether an account has had more than its share of the fleet.
     pub fn is_over_share(&self, account: u64) -> bool {
-        self.account_standing(account) > 1.0
+        self.account_share_used(account) > 1.0
     }
 
     /// Tells whether engines had nothing left for accounts over their share a moment ago.
@@ -354,17 +354,17 @@
     }
 
     /// Tells whether a new prompt of an account is refused at once, whatever it asks for.
-    pub fn refuses(&self, now: Duration, account: u64) -> bool {
+    pub fn refuses_at_once(&self, now: Duration, account: u64) -> bool {
         self.has_no_room(now) && self.is_over_share(account)
     }
 
     /// Returns how many requests wait for an endpoint.
-    pub fn queued(&self) -> usize {
+    pub fn queued_requests(&self) -> usize {
         self.queue.len()
     }
 
     /// Returns how many requests have no final answer yet.
-    pub fn unfinished(&self) -> usize {
+    pub fn unfinished_requests(&self) -> usize {
         self.requests.len()
     }
 
--- a/crates/fleet/src/dispatcher/admission.rs
+++ b/crates/fleet/src/dispatcher/admission.rs
@@ -13,7 +13,7 @@
 use crate::endpoint_load::Load;
 use crate::endpoint_table::Endpoint;
 use crate::prompt::Prompt;
-use crate::return_time::Outlook;
+use crate::retry_delay::RefusedRequest;
 use crate::verdict::Decision;
 use crate::verdict::RefusalReason;
 
@@ -22,25 +22,25 @@
 pub struct AdmissionSettings {
     /// Backlog of an engine, as a part of the shortest latency target of its routes, up to which it
     /// is given more to read.
-    pub backlog_part: f64,
+    pub backlog_ratio: f64,
     /// The same for accounts that have had their share, and for requests that are late anyway. They
     /// get what engines have left: with more they take so much reading time that the others' first
     /// events come late.
-    pub low_backlog_part: f64,
+    pub low_backlog_ratio: f64,
     /// Part of an engine's slots up to which it counts as idle. Only idle engines take requests of
     /// accounts that are far ahead of a backlogged one. Without it such accounts are refused on calm days too.
-    pub spare_part: f64,
+    pub idle_slots_ratio: f64,
     /// Part of the latency target that a request may wait for an endpoint.
-    pub hold_part: f64,
+    pub queue_time_ratio: f64,
     /// Part of the latency target by which the first event is expected, or the request counts as
     /// late. The rest is for the way to the caller and the error of the estimate.
-    pub target_part: f64,
+    pub target_ratio: f64,
     /// Part of an engine's memory that requests in progress may take. Beyond it the engine puts a
     /// running request back and reads it again; the rest covers answers longer than expected.
-    pub memory_part: f64,
+    pub memory_ratio: f64,
     /// Requests on a plain endpoint, as a multiple of its slots. With two, a request waits there for
     /// one other at most on the average.
-    pub plain_depth: f64,
+    pub plain_requests_per_slot: f64,
     /// Time that a request to another data centre costs in the comparison of endpoints: the way
     /// there and back at a millisecond each, twice, since bytes between data centres are paid for.
     pub distance: Duration,
@@ -49,13 +49,13 @@
 impl Default for AdmissionSettings {
     fn default() -> Self {
         Self {
-            backlog_part: 0.4,
-            low_backlog_part: 0.01,
-            spare_part: 0.1,
-            hold_part: 0.3,
-            target_part: 0.9,
-            memory_part: 0.9,
-            plain_depth: 2.0,
+            backlog_ratio: 0.4,
+            low_backlog_ratio: 0.01,
+            idle_slots_ratio: 0.1,
+            queue_time_ratio: 0.3,
+            target_ratio: 0.9,
+            memory_ratio: 0.9,
+            plain_requests_per_slot: 2.0,
             distance: Duration::from_millis(4),
         }
     }
@@ -185,12 +185,12 @@
 
     fn rank(&self, id: RequestId) -> Option<f64> {
         let arrival = &self.requests.get(&id)?.arrival;
-        Some(self.standing(arrival))
+        Some(self.share_used(arrival))
     }
 
-    pub(super) fn standing(&self, arrival: &Arrival) -> f64 {
+    pub(super) fn share_used(&self, arrival: &Arrival) -> f64 {
         let account = arrival.account;
-        account.map_or(0.0, |account| self.shares.standing(account))
+        account.map_or(0.0, |account| self.shares.share_used(account))
     }
 
     fn place(&self, now: Duration, pending: &Pending) -> Placing {
@@ -198,7 +198,7 @@
         if now >= arrival.deadline {
             return Placing::Refuse(RefusalReason::OutOfTime, None);
         }
-        let is_over_share = self.standing(arrival) > 1.0;
+        let is_over_share = self.share_used(arrival) > 1.0;
         let is_fresh = arrival.prompt.is_some() && pending.sends == 0;
         if is_over_share && is_fresh && self.has_no_room(now) {
             return Placing::Refuse(RefusalReason::OverShare, None);
@@ -206,7 +206,7 @@
         let hold = arrival
             .route
             .latency_target
-            .mul_f64(self.settings.admission.hold_part);
+            .mul_f64(self.settings.admission.queue_time_ratio);
         let held_until = arrival.received_at + hold;
         let is_held_long = now >= held_until;
         let Some(best) = self.best_candidate(now, pending) else {
@@ -240,10 +240,10 @@
             return true;
         }
         let lead = arrival.account.map(|account| self.shares.lead(account));
-        match lead.unwrap_or(Lead::Even) {
-            Lead::TooFar => return false,
-            Lead::Far if best.busy_part > settings.spare_part => return false,
-            Lead::Far | Lead::Even => {}
+        match lead.unwrap_or(Lead::Small) {
+            Lead::TooLarge => return false,
+            Lead::Large if best.busy_part > settings.idle_slots_ratio => return false,
+            Lead::Large | Lead::Small => {}
         }
         best.backlog_ms <= self.allowed_backlog_ms(now, arrival, best.first_event_ms)
     }
@@ -253,12 +253,12 @@
     /// caller has used up, so that the time left does not tell who has tried before.
     fn allowed_backlog_ms(&self, now: Duration, arrival: &Arrival, first_event_ms: f64) -> f64 {
         let settings = &self.settings.admission;
-        let left = arrival.target_at().saturating_sub(now);
-        let left_ms = left.as_secs_f64() * 1_000.0 * settings.target_part;
+        let left = arrival.first_piece_deadline().saturating_sub(now);
+        let left_ms = left.as_secs_f64() * 1_000.0 * settings.target_ratio;
         let is_in_time = first_event_ms <= left_ms;
-        let part = match is_in_time && self.standing(arrival) <= 1.0 {
-            true => settings.backlog_part,
-            false => settings.low_backlog_part,
+        let part = match is_in_time && self.share_used(arrival) <= 1.0 {
+            true => settings.backlog_ratio,
+            false => settings.low_backlog_ratio,
         };
         let target = self.shortest_target.get(&arrival.service);
         let target = target.copied().unwrap_or(arrival.route.latency_target);
@@ -332,7 +332,7 @@
             memory_tokens: (own + shared * SHARED_MEMORY_PART + answer) as u32,
         };
         let memory = f64::from(total.memory_tokens) + f64::from(load.memory_tokens);
-        let has_memory = memory <= engine.memory_tokens as f64 * settings.memory_part;
+        let has_memory = memory <= engine.memory_tokens as f64 * settings.memory_ratio;
         let has_slot = total.requests < endpoint.slots.min(engine.slots);
         // An idle engine takes any request: it may be larger than the estimate allows.
         if total.requests > 0 && !(has_memory && has_slot) {
@@ -361,7 +361,7 @@
         let total = self.loads.total(key);
         let slots = f64::from(endpoint.slots.max(1));
         let depth = (f64::from(total.requests) + 1.0) / slots;
-        if total.requests > 0 && depth > self.settings.admission.plain_depth {
+        if total.requests > 0 && depth > self.settings.admission.plain_requests_per_slot {
             return None;
         }
         let answer_ms = self.records.answer_ms(key) * depth.max(1.0 / slots);
@@ -405,7 +405,7 @@
             RefusalReason::NoEndpoint | RefusalReason::TurnedAway => {
                 let closed_until = self.closed_until(now, &arrival.service);
                 closed_until.map_or(OUTAGE_RETRY, |until| {
-                    self.returns.after_closure(until.saturating_sub(now))
+                    self.returns.while_closed(until.saturating_sub(now))
                 })
             }
             RefusalReason::OutOfTime | RefusalReason::HostBusy => OUTAGE_RETRY,
@@ -414,17 +414,17 @@
         wait.min(arrival.deadline.saturating_sub(now))
     }
 
-    fn outlook(&self, now: Duration, arrival: &Arrival, best: Option<&Compared>) -> Outlook {
+    fn outlook(&self, now: Duration, arrival: &Arrival, best: Option<&Compared>) -> RefusedRequest {
         let (backlog_ms, first_event_ms) =
             best.map_or((0.0, 0.0), |best| (best.backlog_ms, best.first_event_ms));
         let allowed_ms = self.allowed_backlog_ms(now, arrival, first_event_ms);
-        let room_in_ms = (backlog_ms - allowed_ms).max(0.0);
+        let backlog_wait_ms = (backlog_ms - allowed_ms).max(0.0);
         let first_piece_ms = (first_event_ms - backlog_ms).max(0.0);
-        Outlook {
+        RefusedRequest {
             latency_target: arrival.route.latency_target,
             waited: now.saturating_sub(arrival.received_at),
-            room_in: Duration::from_secs_f64(room_in_ms / 1_000.0),
-            first_piece: Duration::from_secs_f64(first_piece_ms / 1_000.0),
+            backlog_wait: Duration::from_secs_f64(backlog_wait_ms / 1_000.0),
+            first_piece_delay: Duration::from_secs_f64(first_piece_ms / 1_000.0),
         }
     }
 }
--- a/crates/fleet/src/dispatcher/attempts.rs
+++ b/crates/fleet/src/dispatcher/attempts.rs
@@ -37,7 +37,8 @@
     ) {
         let id = arrival.id;
         if let Some(account) = arrival.account.filter(|_| arrival.prompt.is_some()) {
-            self.shares.on_asked(now, account, arrival.charge());
+            self.shares
+                .on_arrived(now, account, arrival.charged_tokens());
         }
         let quarantined = arrival.fingerprint;
         let quarantined = quarantined.and_then(|it| self.quarantine.refused_for(now, it));
@@ -103,7 +104,8 @@
         if let Some(prompt) = &arrival.prompt {
             self.cached.note(now, endpoint.key, prompt);
             if let Some(account) = arrival.account.filter(|_| !pending.is_charged) {
-                self.shares.on_started(now, account, arrival.charge());
+                self.shares
+                    .on_started(now, account, arrival.charged_tokens());
                 pending.is_charged = true;
             }
         }
@@ -204,7 +206,7 @@
         if !pending.may_have_run && std::mem::take(&mut pending.is_charged) {
             let arrival = &pending.arrival;
             if let Some(account) = arrival.account {
-                let tokens = arrival.charge();
+                let tokens = arrival.charged_tokens();
                 self.shares
                     .on_not_run(now, attempt.sent_at, account, tokens);
             }
@@ -307,12 +309,12 @@
     fn basis(&self, now: Duration, pending: &Pending, best: Option<Compared>) -> Basis {
         let account = pending.arrival.account;
         Basis {
-            standing: self.standing(&pending.arrival),
-            asked: account.map_or(0.0, |account| self.shares.asked(account)),
-            least_standing: self.shares.least_standing(),
+            share_used: self.share_used(&pending.arrival),
+            share_requested: account.map_or(0.0, |account| self.shares.share_requested(account)),
+            least_share_used: self.shares.least_share_used(),
             queued: self.queue.len(),
             hosts: self.hosts(now),
-            oldest_report: self.loads.oldest_report(now),
+            oldest_report_age: self.loads.oldest_report_age(now),
             backlog_ms: best.as_ref().map_or(0.0, |best| best.backlog_ms),
             first_piece_ms: best.as_ref().map_or(0.0, |best| best.first_event_ms),
             endpoint: best.map(|best| best.endpoint),
--- a/crates/fleet/src/dispatcher/peers.rs
+++ b/crates/fleet/src/dispatcher/peers.rs
@@ -74,19 +74,19 @@
     /// The report.
     pub report: PeerReport,
     /// Those who should get it.
-    pub to: Vec<Addressee>,
+    pub to: Vec<ReportRecipient>,
 }
 
 /// One of the hosts that should get a report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Addressee {
+pub struct ReportRecipient {
     /// Hash of its name.
     pub host: u64,
     /// Its [`PeerReport::included`].
     pub included: u64,
 }
 
-impl From<u64> for Addressee {
+impl From<u64> for ReportRecipient {
     fn from(host: u64) -> Self {
         Self { host, included: 0 }
     }
@@ -318,7 +318,7 @@
         state: HostState,
         due: &mut Vec<OutgoingReport>,
     ) {
-        let to: Vec<Addressee> = self.peers.hosts.all().map(Addressee::from).collect();
+        let to: Vec<ReportRecipient> = self.peers.hosts.all().map(ReportRecipient::from).collect();
         if self.peers.schedule.takes_report(now, to.len()) {
             let report = self.report(state);
             due.push(OutgoingReport { report, to });
@@ -335,7 +335,7 @@
         {
             return;
         }
-        let to = self.peers.hosts.all().map(Addressee::from).collect();
+        let to = self.peers.hosts.all().map(ReportRecipient::from).collect();
         let mut report = self.blank_report(state, Scope::Presence);
         report.crashes = self.peers.take_news();
         due.push(OutgoingReport { report, to });
@@ -354,7 +354,7 @@
         let own = self.settings.host;
         let mut relays = self.peers.hosts.relays(now, self.own_data_centre());
         relays.retain(|relay| *relay != own);
-        let to = relays.iter().copied().map(Addressee::from).collect();
+        let to = relays.iter().copied().map(ReportRecipient::from).collect();
         let report = self.report(state);
         due.push(OutgoingReport { report, to });
     }
@@ -403,7 +403,7 @@
             report.loads = of_data_centre.loads();
             report.usage = of_data_centre.usage();
             let to = relays_elsewhere.iter().copied();
-            let to = to.map(Addressee::from).collect();
+            let to = to.map(ReportRecipient::from).collect();
             due.push(OutgoingReport { report, to });
         }
 
@@ -417,7 +417,7 @@
         report.loads = sum.work.loads();
         report.usage = sum.work.usage();
         let members = self.peers.relay.members();
-        let to = members.map(|(host, included)| Addressee { host, included });
+        let to = members.map(|(host, included)| ReportRecipient { host, included });
         let to = to.collect();
         due.push(OutgoingReport { report, to });
     }
--- a/crates/fleet/src/dispatcher/places.rs
+++ b/crates/fleet/src/dispatcher/places.rs
@@ -5,7 +5,7 @@
 use super::Dispatcher;
 use super::Pending;
 use crate::hashing::pair_hash;
-use crate::placement::HOMES;
+use crate::placement::HOMES_PER_PROMPT;
 use crate::placement::home_endpoints;
 
 /// Shared tokens above which a prompt is read only at its homes. When all engines are about full,
@@ -17,7 +17,7 @@
     /// Any that has room.
     Anywhere,
     /// The homes of its prompt and no other.
-    Homes([Option<u64>; HOMES]),
+    Homes([Option<u64>; HOMES_PER_PROMPT]),
     /// The homes of its prompt and two that are drawn for this request, or any other if these have no
     /// room.
     ///
@@ -25,8 +25,8 @@
     /// choose the one that had seemed idle, whose first events then come late. Two engines by chance are
     /// enough to pass over a busy one, and differ from request to request.
     Preferred {
-        homes: [Option<u64>; HOMES],
-        drawn: [Option<u64>; HOMES],
+        homes: [Option<u64>; HOMES_PER_PROMPT],
+        drawn: [Option<u64>; HOMES_PER_PROMPT],
         /// A cold endpoint to which this host is one of the few that send.
         cold: Option<u64>,
     },
--- a/crates/fleet/src/endpoint_load.rs
+++ b/crates/fleet/src/endpoint_load.rs
@@ -102,7 +102,7 @@
     }
 
     /// Returns the age of the oldest report that counts.
-    pub fn oldest_report(&self, now: Duration) -> Duration {
+    pub fn oldest_report_age(&self, now: Duration) -> Duration {
         let ages = self
             .reported
             .values()
--- a/crates/fleet/src/load_shedding.rs
+++ b/crates/fleet/src/load_shedding.rs
@@ -11,7 +11,7 @@
 
 use nohash_hasher::IntMap;
 
-use crate::account_shares::max_min_level;
+use crate::account_shares::max_min_share;
 
 /// Lateness of the event loop's timers from which on requests are shed.
 const LATE: Duration = Duration::from_millis(20);
@@ -41,11 +41,11 @@
 /// use sedgeridge_fleet::load_shedding::LoadShedding;
 ///
 /// let mut shedding = LoadShedding::default();
-/// assert!(!shedding.takes_turn(1, 2.0));
+/// assert!(!shedding.try_shed(1, 2.0));
 /// for tick in 0..40 {
 ///     shedding.on_timer(Duration::from_millis(120 * tick), Duration::from_millis(100));
 /// }
-/// let shed = (0..100).filter(|_| shedding.takes_turn(1, 2.0)).count();
+/// let shed = (0..100).filter(|_| shedding.try_shed(1, 2.0)).count();
 /// assert!(shed > 90);
 /// ```
 #[derive(Debug, Default)]
@@ -72,7 +72,7 @@
 struct AccountTurns {
     requests: f64,
     /// What the account was given, as a multiple of its fair share.
-    standing: f64,
+    share_used: f64,
     /// Part of its requests that is shed.
     part: f64,
     due: f64,
@@ -80,7 +80,7 @@
 
 impl AccountTurns {
     fn is_over_share(&self) -> bool {
-        self.standing > 1.0
+        self.share_used > 1.0
     }
 
     fn set_shed(&mut self, requests: f64) {
@@ -175,17 +175,17 @@
         self.accounts.retain(|_, turns| turns.requests > FEWEST);
     }
 
-    /// Counts a request that is not shed. `standing` is what its account was given, as a multiple of its fair share.
-    pub fn note_kept(&mut self, account: u64, standing: f64) {
-        self.turns(account, standing).requests += 1.0;
+    /// Counts a request that is not shed. `share_used` is what its account was given, as a multiple of its fair share.
+    pub fn count_kept(&mut self, account: u64, share_used: f64) {
+        self.turns(account, share_used).requests += 1.0;
     }
 
     /// Tells whether the next request, which is one of `account`, is shed, and counts it if it is.
-    pub fn takes_turn(&mut self, account: u64, standing: f64) -> bool {
+    pub fn try_shed(&mut self, account: u64, share_used: f64) -> bool {
         if !self.is_active() {
             return false;
         }
-        let turns = self.turns(account, standing);
+        let turns = self.turns(account, share_used);
         turns.due += turns.part;
         let is_due = turns.due >= 1.0;
         if is_due {
@@ -195,8 +195,8 @@
         is_due
     }
 
-    fn turns(&mut self, account: u64, standing: f64) -> &mut AccountTurns {
-        let part = match standing > 1.0 {
+    fn turns(&mut self, account: u64, share_used: f64) -> &mut AccountTurns {
+        let part = match share_used > 1.0 {
             true => self.over_part,
             false => self.within_part,
         };
@@ -204,7 +204,7 @@
             part,
             ..AccountTurns::default()
         });
-        turns.standing = standing;
+        turns.share_used = share_used;
         turns
     }
 
@@ -212,7 +212,7 @@
     /// those with most requests here.
     fn divide(&mut self) {
         let mut accounts: Vec<_> = self.accounts.values_mut().collect();
-        accounts.sort_by(|one, other| other.standing.total_cmp(&one.standing));
+        accounts.sort_by(|one, other| other.share_used.total_cmp(&one.share_used));
         let over = accounts.partition_point(|turns| turns.is_over_share());
         let (over, within) = accounts.split_at_mut(over);
         let mut to_shed = sum_of_requests(over) * self.over_part;
@@ -223,7 +223,7 @@
         }
         let kept = sum_of_requests(within) * (1.0 - self.within_part);
         let requests = within.iter().map(|turns| turns.requests);
-        let most_kept = max_min_level(requests.collect(), kept);
+        let most_kept = max_min_share(requests.collect(), kept);
         for turns in within {
             let shed = (turns.requests - most_kept).max(0.0);
             turns.set_shed(shed);
--- a/crates/fleet/src/memory_budget.rs
+++ b/crates/fleet/src/memory_budget.rs
@@ -18,11 +18,11 @@
 const HALF_HEAD_BYTES: u64 = 28 * 1_024;
 /// Memory of a request without its body: connections of its caller and to an endpoint with two buffers
 /// each, headers and tasks.
-pub const REQUEST_BYTES: u64 = 60 * 1_024;
+pub const REQUEST_OVERHEAD_BYTES: u64 = 60 * 1_024;
 
 /// Who asks for memory.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Asker {
+pub enum Requester {
     /// An account that has had its share of the fleet, and more than that.
     OverShare,
     /// Any other account.
@@ -36,13 +36,13 @@
 /// length of bodies. Counting bytes before they are read is enough: what is refused was not read.
 ///
 /// ```
-/// use sedgeridge_fleet::memory_budget::{Asker, MemoryBudget};
+/// use sedgeridge_fleet::memory_budget::{MemoryBudget, Requester};
 ///
 /// let mut budget = MemoryBudget::new(88_000_000);
-/// assert!(budget.take(40_000_000, Asker::WithinShare));
-/// assert!(!budget.take(10_000_000, Asker::WithinShare));
-/// budget.give_back(40_000_000);
-/// assert!(budget.take(10_000_000, Asker::WithinShare));
+/// assert!(budget.try_reserve(40_000_000, Requester::WithinShare));
+/// assert!(!budget.try_reserve(10_000_000, Requester::WithinShare));
+/// budget.release(40_000_000);
+/// assert!(budget.try_reserve(10_000_000, Requester::WithinShare));
 /// ```
 #[derive(Debug)]
 pub struct MemoryBudget {
@@ -60,11 +60,11 @@
     }
 
     /// Takes memory if there is room; tells whether it was taken.
-    pub fn take(&mut self, bytes: u64, asker: Asker) -> bool {
+    pub fn try_reserve(&mut self, bytes: u64, asker: Requester) -> bool {
         let held_bytes = self.held_bytes.saturating_add(bytes);
         let most_bytes = match asker {
-            Asker::OverShare => self.requests_bytes(OVER_SHARE_PART),
-            Asker::WithinShare => self.requests_bytes(1.0),
+            Requester::OverShare => self.requests_bytes(OVER_SHARE_PART),
+            Requester::WithinShare => self.requests_bytes(1.0),
         };
         let fits = held_bytes <= most_bytes;
         if fits {
@@ -74,12 +74,12 @@
     }
 
     /// Counts memory that is taken whether or not there is room. New requests find less.
-    pub fn add(&mut self, bytes: u64) {
+    pub fn reserve(&mut self, bytes: u64) {
         self.held_bytes = self.held_bytes.saturating_add(bytes);
     }
 
     /// Gives memory back that was taken.
-    pub fn give_back(&mut self, bytes: u64) {
+    pub fn release(&mut self, bytes: u64) {
         self.held_bytes = self.held_bytes.saturating_sub(bytes);
     }
 
@@ -94,13 +94,13 @@
     }
 
     /// Returns how many idle connections to endpoints are kept at most.
-    pub fn most_idle_connections(&self) -> usize {
+    pub fn max_idle_connections(&self) -> usize {
         let bytes = self.process_bytes as f64 * IDLE_PART;
         (bytes / CONNECTION_BYTES as f64) as usize
     }
 
     /// Returns how many heads of requests may be read in part at a time.
-    pub fn most_half_heads(&self) -> usize {
+    pub fn max_partial_heads(&self) -> usize {
         let bytes = self.process_bytes as f64 * HALF_HEADS_PART;
         (bytes / HALF_HEAD_BYTES as f64) as usize
     }
--- a/crates/fleet/src/peer_report.rs
+++ b/crates/fleet/src/peer_report.rs
@@ -233,9 +233,9 @@
 
     pub fn serialize<S: Serializer>(usage: &[(u64, Usage)], to: S) -> Result<S::Ok, S::Error> {
         to.collect_seq(
-            usage
-                .iter()
-                .map(|(key, usage)| -> Packed { (*key, usage.asked, usage.started) }),
+            usage.iter().map(|(key, usage)| -> Packed {
+                (*key, usage.requested_tokens, usage.started_tokens)
+            }),
         )
     }
 
@@ -243,7 +243,15 @@
         let packed = Vec::<Packed>::deserialize(from)?;
         let usage = packed
             .into_iter()
-            .map(|(key, asked, started)| (key, Usage { asked, started }));
+            .map(|(key, requested_tokens, started_tokens)| {
+                (
+                    key,
+                    Usage {
+                        requested_tokens,
+                        started_tokens,
+                    },
+                )
+            });
         Ok(usage.collect())
     }
 }
--- a/crates/fleet/src/placement.rs
+++ b/crates/fleet/src/placement.rs
@@ -11,7 +11,7 @@
 const CACHED_FOR: Duration = Duration::from_secs(15);
 /// Most parts that are remembered, some megabytes. A host that sends 200 requests a second with three
 /// parts each notes 9,000 in the time above.
-pub const MAX_PARTS: usize = 20_000;
+pub const MAX_REMEMBERED_PARTS: usize = 20_000;
 
 /// Parts that this host's requests have brought to endpoints.
 ///
@@ -28,7 +28,7 @@
     /// Notes that an endpoint has read a prompt.
     pub fn note(&mut self, now: Duration, endpoint: u64, prompt: &Prompt) {
         for part in &prompt.parts {
-            if self.younger.len() >= MAX_PARTS / 2 {
+            if self.younger.len() >= MAX_REMEMBERED_PARTS / 2 {
                 self.older = std::mem::take(&mut self.younger);
             }
             self.younger.insert((endpoint, part.id), now);
@@ -83,7 +83,7 @@
 
 /// Endpoints on which the fleet places each prompt. With one, a burst of one prompt has to leave
 /// it and is read again elsewhere; with more, each copy is used too rarely to stay cached.
-pub const HOMES: usize = 2;
+pub const HOMES_PER_PROMPT: usize = 2;
 
 /// Returns the endpoints on which the fleet places prompts with this key: the same on every host
 /// that knows the same endpoints, and unchanged when another endpoint comes or goes.
@@ -94,8 +94,11 @@
 /// let homes = home_endpoints(7, [1, 2, 3]);
 /// assert_eq!(homes, home_endpoints(7, [3, 2, 1]));
 /// ```
-pub fn home_endpoints(key: u64, endpoints: impl IntoIterator<Item = u64>) -> [Option<u64>; HOMES] {
-    let mut best: [Option<(u64, u64)>; HOMES] = [None; HOMES];
+pub fn home_endpoints(
+    key: u64,
+    endpoints: impl IntoIterator<Item = u64>,
+) -> [Option<u64>; HOMES_PER_PROMPT] {
+    let mut best: [Option<(u64, u64)>; HOMES_PER_PROMPT] = [None; HOMES_PER_PROMPT];
     for endpoint in endpoints {
         let mut scored = Some((pair_hash(key, endpoint), endpoint));
         for place in &mut best {
--- a/crates/fleet/src/prompt.rs
+++ b/crates/fleet/src/prompt.rs
@@ -49,7 +49,7 @@
     }
 
     /// Returns what the request takes from its account's share: tokens read and generated.
-    pub fn charge(&self) -> f64 {
+    pub fn charged_tokens(&self) -> f64 {
         let generated = f64::from(self.max_output_tokens) * GENERATED_TOKEN_COST;
         f64::from(self.prompt_tokens) + generated
     }
--- a/crates/fleet/src/return_time.rs
+++ b/crates/fleet/src/retry_delay.rs
@@ -19,15 +19,15 @@
 
 /// What is known of a request when it is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Outlook {
+pub struct RefusedRequest {
     /// Latency target of its route.
     pub latency_target: Duration,
     /// Time that it has waited here.
     pub waited: Duration,
     /// Time until the best endpoint has worked off enough of its backlog.
-    pub room_in: Duration,
+    pub backlog_wait: Duration,
     /// Expected time from then on to the first piece of its answer.
-    pub first_piece: Duration,
+    pub first_piece_delay: Duration,
 }
 
 /// Return times of the callers that one host refuses.
@@ -37,35 +37,35 @@
 /// sent away for two seconds is late for certain, and takes engine time from a request that would
 /// still be in time.
 #[derive(Debug, Default)]
-pub struct ReturnTimes {
+pub struct RetryDelays {
     refusals: u64,
 }
 
-impl ReturnTimes {
+impl RetryDelays {
     /// Returns how long the caller should wait.
     ///
     /// ```
     /// use std::time::Duration;
-    /// use sedgeridge_fleet::return_time::{Outlook, ReturnTimes};
+    /// use sedgeridge_fleet::retry_delay::{RefusedRequest, RetryDelays};
     ///
-    /// let outlook = Outlook {
+    /// let outlook = RefusedRequest {
     ///     latency_target: Duration::from_millis(500),
     ///     waited: Duration::ZERO,
-    ///     room_in: Duration::from_millis(100),
-    ///     first_piece: Duration::from_millis(80),
+    ///     backlog_wait: Duration::from_millis(100),
+    ///     first_piece_delay: Duration::from_millis(80),
     /// };
-    /// let wait = ReturnTimes::default().after_refusal(outlook);
-    /// assert!(wait >= outlook.room_in);
-    /// assert!(wait + outlook.first_piece <= outlook.latency_target);
+    /// let wait = RetryDelays::default().after_refusal(outlook);
+    /// assert!(wait >= outlook.backlog_wait);
+    /// assert!(wait + outlook.first_piece_delay <= outlook.latency_target);
     /// ```
-    pub fn after_refusal(&mut self, outlook: Outlook) -> Duration {
+    pub fn after_refusal(&mut self, outlook: RefusedRequest) -> Duration {
         let fraction = self.next_fraction();
         let target = outlook.latency_target;
-        let earliest = outlook.room_in.max(target.mul_f64(EARLIEST_PART));
-        let latest = target.saturating_sub(outlook.waited + outlook.first_piece);
+        let earliest = outlook.backlog_wait.max(target.mul_f64(EARLIEST_PART));
+        let latest = target.saturating_sub(outlook.waited + outlook.first_piece_delay);
         if earliest > latest {
             let spread = LATE_RETURN.mul_f64(LATE_SPREAD * fraction);
-            return outlook.room_in.max(LATE_RETURN) + spread;
+            return outlook.backlog_wait.max(LATE_RETURN) + spread;
         }
         let spread = target.mul_f64(SPREAD_PART).min(latest - earliest);
         earliest + spread.mul_f64(fraction)
@@ -76,15 +76,15 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use sedgeridge_fleet::return_time::ReturnTimes;
+    /// use sedgeridge_fleet::retry_delay::RetryDelays;
     ///
     /// let opens_in = Duration::from_secs(2);
-    /// let mut returns = ReturnTimes::default();
-    /// let [one, other] = [(); 2].map(|()| returns.after_closure(opens_in));
+    /// let mut returns = RetryDelays::default();
+    /// let [one, other] = [(); 2].map(|()| returns.while_closed(opens_in));
     /// assert!(one >= opens_in && other >= opens_in);
     /// assert_ne!(one, other);
     /// ```
-    pub fn after_closure(&mut self, opens_in: Duration) -> Duration {
+    pub fn while_closed(&mut self, opens_in: Duration) -> Duration {
         let spread = opens_in.mul_f64(LATE_SPREAD * self.next_fraction());
         opens_in.saturating_add(spread)
     }
--- a/crates/fleet/src/copy_load.rs
+++ b/crates/fleet/src/table_copy_budget.rs
@@ -11,22 +11,22 @@
 /// nobody learns of the endpoints.
 ///
 /// ```
-/// use sedgeridge_fleet::copy_load::CopyLoad;
+/// use sedgeridge_fleet::table_copy_budget::TableCopyBudget;
 ///
-/// let mut load = CopyLoad::default();
-/// assert!(load.takes(4_000_000));
-/// assert!(!load.takes(1_000_000));
-/// load.on_given(4_000_000);
-/// assert!(load.takes(1_000_000));
+/// let mut load = TableCopyBudget::default();
+/// assert!(load.try_start(4_000_000));
+/// assert!(!load.try_start(1_000_000));
+/// load.finish(4_000_000);
+/// assert!(load.try_start(1_000_000));
 /// ```
 #[derive(Debug, Default)]
-pub struct CopyLoad {
+pub struct TableCopyBudget {
     bytes: u64,
 }
 
-impl CopyLoad {
+impl TableCopyBudget {
     /// Takes a copy of that length, or tells that whoever asks for it should come again.
-    pub fn takes(&mut self, bytes: u64) -> bool {
+    pub fn try_start(&mut self, bytes: u64) -> bool {
         if self.bytes > 0 && self.bytes + bytes > MOST_BYTES {
             return false;
         }
@@ -35,7 +35,7 @@
     }
 
     /// Notes that a copy has been given, or was given up.
-    pub fn on_given(&mut self, bytes: u64) {
+    pub fn finish(&mut self, bytes: u64) {
         self.bytes = self.bytes.saturating_sub(bytes);
     }
 }
--- a/crates/fleet/src/unseen_begins.rs
+++ b/crates/fleet/src/unreported_starts.rs
@@ -7,11 +7,11 @@
 
 /// Time for which what this host began stands for what others began besides: about the time until
 /// they have heard of it by way of the relays.
-pub const UNSEEN_SPAN: Duration = Duration::from_millis(400);
+pub const REPORT_DELAY: Duration = Duration::from_millis(400);
 
 /// A request that this host sent to an engine.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Begin {
+pub struct StartedRequest {
     /// When it was sent.
     pub at: Duration,
     /// The account that pays for it.
@@ -29,29 +29,29 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use sedgeridge_fleet::unseen_begins::{Begin, UnseenBegins};
+/// use sedgeridge_fleet::unreported_starts::{StartedRequest, UnreportedStarts};
 ///
-/// let mut unseen = UnseenBegins::default();
-/// unseen.begin(Begin { at: Duration::ZERO, account: 7, tokens: 100.0 });
+/// let mut unseen = UnreportedStarts::default();
+/// unseen.begin(StartedRequest { at: Duration::ZERO, account: 7, tokens: 100.0 });
 /// // Others are asked for three times as much as this host.
 /// unseen.guess(7, 3.0, 1_000.0);
 /// assert_eq!(unseen.tokens(7), 300.0);
 /// ```
 #[derive(Debug, Default)]
-pub struct UnseenBegins {
-    /// What this host began within [`UNSEEN_SPAN`], oldest first.
-    recent: VecDeque<Begin>,
+pub struct UnreportedStarts {
+    /// What this host began within [`REPORT_DELAY`], oldest first.
+    recent: VecDeque<StartedRequest>,
     guesses: IntMap<u64, f64>,
 }
 
-impl UnseenBegins {
+impl UnreportedStarts {
     /// Notes what this host begins.
-    pub fn begin(&mut self, begin: Begin) {
+    pub fn begin(&mut self, begin: StartedRequest) {
         self.recent.push_back(begin);
     }
 
     /// Forgets what did not run after all.
-    pub fn take_back(&mut self, begin: Begin) {
+    pub fn take_back(&mut self, begin: StartedRequest) {
         if let Some(index) = self.recent.iter().position(|it| *it == begin) {
             self.recent.remove(index);
         }
@@ -60,7 +60,7 @@
     /// Forgets what the others have answered with theirs, and all guesses. Returns the accounts
     /// that need new ones.
     pub fn tick(&mut self, now: Duration) -> Vec<u64> {
-        let is_old = |begin: &Begin| now.saturating_sub(begin.at) > UNSEEN_SPAN;
+        let is_old = |begin: &StartedRequest| now.saturating_sub(begin.at) > REPORT_DELAY;
         while self.recent.front().is_some_and(is_old) {
             self.recent.pop_front();
         }
--- a/crates/fleet/src/verdict.rs
+++ b/crates/fleet/src/verdict.rs
@@ -37,18 +37,18 @@
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Basis {
     /// What the account was given, as a multiple of its fair share.
-    pub standing: f64,
+    pub share_used: f64,
     /// What the account asked for, as a multiple of its fair share.
-    pub asked: f64,
+    pub share_requested: f64,
     /// What the backlogged account that holds others back was given, as a multiple of its fair
     /// share; infinite if no account is backlogged.
-    pub least_standing: f64,
+    pub least_share_used: f64,
     /// Requests that waited on this host.
     pub queued: usize,
     /// Hosts whose reports counted, this one included.
     pub hosts: usize,
     /// Age of the oldest report that counted.
-    pub oldest_report: Duration,
+    pub oldest_report_age: Duration,
     /// The endpoint that would have been best.
     pub endpoint: Option<Arc<Endpoint>>,
     /// Time that the endpoint needs for what it has to read already, in milliseconds.
--- a/crates/fleet/tests/cached_parts.rs
+++ b/crates/fleet/tests/cached_parts.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use sedgeridge_fleet::placement::CachedParts;
-use sedgeridge_fleet::placement::MAX_PARTS;
+use sedgeridge_fleet::placement::MAX_REMEMBERED_PARTS;
 use sedgeridge_fleet::prompt::Prompt;
 use sedgeridge_fleet::prompt::PromptPart;
 
@@ -31,7 +31,7 @@
     for request in 0..300 {
         let first = request * 1_000;
         cached.note(now, ENDPOINT, &prompt(first..first + 1_000));
-        assert!(cached.len() <= MAX_PARTS, "{}", cached.len());
+        assert!(cached.len() <= MAX_REMEMBERED_PARTS, "{}", cached.len());
     }
     // The newest are still known.
     let newest = prompt(299_000..300_000);
--- a/crates/fleet/tests/dispatcher.rs
+++ b/crates/fleet/tests/dispatcher.rs
@@ -185,7 +185,7 @@
             host.send(now + 10, DispatchEvent::Completed(id));
         }
     }
-    assert_eq!(host.dispatcher.unfinished(), 0);
+    assert_eq!(host.dispatcher.unfinished_requests(), 0);
     assert!(refused < 240, "something of the flood is served: {refused}");
 }
 
@@ -278,7 +278,7 @@
 fn begun(host: &mut Host, account: u64) -> u32 {
     let usage = host.dispatcher.report(support::live()).usage;
     let of_account = usage.iter().filter(|(key, _)| *key == account);
-    of_account.map(|(_, usage)| usage.started).sum()
+    of_account.map(|(_, usage)| usage.started_tokens).sum()
 }
 
 /// Engines are lost, and the callers of one account at one host are refused as over their share,
--- a/crates/fleet/tests/dispatcher_fuzz.rs
+++ b/crates/fleet/tests/dispatcher_fuzz.rs
@@ -188,8 +188,8 @@
         }
     }
     assert!(oracle.open.is_empty(), "without an end: {:?}", oracle.open);
-    assert_eq!(host.dispatcher.unfinished(), 0);
-    assert_eq!(host.dispatcher.queued(), 0);
+    assert_eq!(host.dispatcher.unfinished_requests(), 0);
+    assert_eq!(host.dispatcher.queued_requests(), 0);
     let report = host.dispatcher.report(support::live());
     assert!(report.loads.is_empty(), "still counted: {:?}", report.loads);
 }
--- a/crates/fleet/tests/load_shedding.rs
+++ b/crates/fleet/tests/load_shedding.rs
@@ -29,7 +29,7 @@
     account: u64,
     per_s: u64,
     /// What the account was given by the fleet, as a multiple of its fair share.
-    standing: f64,
+    share_used: f64,
 }
 
 /// What callers of one account got at one host.
@@ -63,7 +63,7 @@
             timer_due_us = begin_us + TIMER_MS * 1_000;
         }
         let begin_us = free_at_us.max(arrived_us);
-        let is_shed = is_shedding && shedding.takes_turn(sender.account, sender.standing);
+        let is_shed = is_shedding && shedding.try_shed(sender.account, sender.share_used);
         let cost_us = match is_shed {
             true => SHED_US,
             false => FORWARD_US,
@@ -76,7 +76,7 @@
             got.shed_later += u64::from(is_later);
             continue;
         }
-        shedding.note_kept(sender.account, sender.standing);
+        shedding.count_kept(sender.account, sender.share_used);
         got.forwarded += 1;
         if is_later {
             got.longest_ms = got.longest_ms.max((begin_us - arrived_us) / 1_000);
@@ -90,7 +90,7 @@
     let sender = Sender {
         account: 1,
         per_s,
-        standing: 0.0,
+        share_used: 0.0,
     };
     play_senders(&[sender], share, is_shedding)[&1]
 }
@@ -129,12 +129,12 @@
     let modest = Sender {
         account: 1,
         per_s: 40,
-        standing: 0.4,
+        share_used: 0.4,
     };
-    let others = others.iter().map(|(account, per_s, standing)| Sender {
+    let others = others.iter().map(|(account, per_s, share_used)| Sender {
         account: *account,
         per_s: *per_s,
-        standing: *standing,
+        share_used: *share_used,
     });
     let senders: Vec<_> = others.chain([modest]).collect();
     let got = play_senders(&senders, 0.12, true);
@@ -149,7 +149,7 @@
     let sender = |account, per_s| Sender {
         account,
         per_s,
-        standing: 0.3,
+        share_used: 0.3,
     };
     let got = play_senders(&[sender(1, 40), sender(2, 700)], 0.12, true);
     let shed_part = |got: Got| got.shed as f64 / (got.shed + got.forwarded) as f64;
@@ -159,10 +159,10 @@
 /// Guards against an order in which an account slightly over its share pays for one that is far over it.
 #[test]
 fn the_account_furthest_over_its_share_is_shed_first() {
-    let sender = |account, standing| Sender {
+    let sender = |account, share_used| Sender {
         account,
         per_s: 80,
-        standing,
+        share_used,
     };
     let got = play_senders(&[sender(1, 1.1), sender(2, 4.0)], 0.12, true);
     assert!(got[&2].shed_later > 0, "{got:?}");
@@ -197,7 +197,7 @@
             first.send(now_ms, DispatchEvent::Reported(report));
         }
     }
-    first.dispatcher.is_flooded(at(length_ms))
+    first.dispatcher.has_excess_demand(at(length_ms))
 }
 
 /// Guards against hosts that leave requests to others though these are as late: after a restart of the fleet nobody
@@ -223,5 +223,7 @@
     host.dispatcher.on_shed(at(10), 7, 5_000.0);
     let report = host.dispatcher.report(live());
     let usage = report.usage.iter().find(|(account, _)| *account == 7);
-    assert!(usage.is_some_and(|(_, usage)| usage.asked > 0 && usage.started == 0));
+    assert!(
+        usage.is_some_and(|(_, usage)| usage.requested_tokens > 0 && usage.started_tokens == 0)
+    );
 }
--- a/crates/fleet/tests/returning_callers.rs
+++ b/crates/fleet/tests/returning_callers.rs
@@ -8,8 +8,8 @@
 use sedgeridge_fleet::arrival::RequestId;
 use sedgeridge_fleet::dispatcher::DispatchEvent;
 use sedgeridge_fleet::dispatcher::DispatcherSettings;
-use sedgeridge_fleet::return_time::Outlook;
-use sedgeridge_fleet::return_time::ReturnTimes;
+use sedgeridge_fleet::retry_delay::RefusedRequest;
+use sedgeridge_fleet::retry_delay::RetryDelays;
 use sedgeridge_fleet::verdict::Verdict;
 use yare::parameterized;
 
@@ -85,12 +85,12 @@
     assert!(retry_after > at(0));
 }
 
-fn outlook(room_in_ms: u64) -> Outlook {
-    Outlook {
+fn outlook(backlog_wait_ms: u64) -> RefusedRequest {
+    RefusedRequest {
         latency_target: at(500),
         waited: at(0),
-        room_in: at(room_in_ms),
-        first_piece: at(80),
+        backlog_wait: at(backlog_wait_ms),
+        first_piece_delay: at(80),
     }
 }
 
@@ -99,23 +99,23 @@
     /// is too late; one that cannot is told a later one than that. All moments are bounded.
     #[test]
     fn the_time_told_is_honest(target_ms in 1..5_000_u64, waited_ms in 0..5_000_u64,
-                               room_in_ms in 0..5_000_u64, first_piece_ms in 0..5_000_u64, before in 0..50_usize) {
-        let outlook = Outlook {
+                               backlog_wait_ms in 0..5_000_u64, first_piece_ms in 0..5_000_u64, before in 0..50_usize) {
+        let outlook = RefusedRequest {
             latency_target: at(target_ms),
             waited: at(waited_ms),
-            room_in: at(room_in_ms),
-            first_piece: at(first_piece_ms),
+            backlog_wait: at(backlog_wait_ms),
+            first_piece_delay: at(first_piece_ms),
         };
-        let mut returns = ReturnTimes::default();
+        let mut returns = RetryDelays::default();
         for _ in 0..before {
             returns.after_refusal(outlook);
         }
         let wait = returns.after_refusal(outlook);
-        prop_assert!(wait >= outlook.room_in);
+        prop_assert!(wait >= outlook.backlog_wait);
         prop_assert!(wait > Duration::ZERO);
-        prop_assert!(wait <= outlook.room_in.max(at(2_000)) + at(1_000) || wait <= outlook.latency_target);
-        let ends = outlook.waited + wait + outlook.first_piece;
-        let has_chance = outlook.waited + outlook.room_in.max(outlook.latency_target.mul_f64(0.1)) + outlook.first_piece <= outlook.latency_target;
+        prop_assert!(wait <= outlook.backlog_wait.max(at(2_000)) + at(1_000) || wait <= outlook.latency_target);
+        let ends = outlook.waited + wait + outlook.first_piece_delay;
+        let has_chance = outlook.waited + outlook.backlog_wait.max(outlook.latency_target.mul_f64(0.1)) + outlook.first_piece_delay <= outlook.latency_target;
         prop_assert_eq!(has_chance, ends <= outlook.latency_target + Duration::from_nanos(10));
     }
 }
@@ -123,7 +123,7 @@
 /// Callers that are refused in one moment would refuse each other again if they came back in one.
 #[test]
 fn callers_that_are_refused_together_come_back_one_after_another() {
-    let mut returns = ReturnTimes::default();
+    let mut returns = RetryDelays::default();
     let mut waits: Vec<_> = (0..20).map(|_| returns.after_refusal(outlook(0))).collect();
     waits.sort();
     let gaps = waits.windows(2).map(|pair| pair[1] - pair[0]);
--- a/crates/fleet/tests/shares.rs
+++ b/crates/fleet/tests/shares.rs
@@ -5,7 +5,7 @@
 use proptest::prelude::*;
 use sedgeridge_fleet::account_shares::AccountShares;
 use sedgeridge_fleet::account_shares::Lead;
-use sedgeridge_fleet::account_shares::max_min_level;
+use sedgeridge_fleet::account_shares::max_min_share;
 use sedgeridge_fleet::placement::home_endpoints;
 use sedgeridge_fleet::resend_window::ResendLimits;
 use sedgeridge_fleet::resend_window::ResendWindow;
@@ -20,7 +20,7 @@
     /// getting less.
     #[test]
     fn the_level_is_max_min_fair(asked in prop::collection::vec(0.0..1_000.0_f64, 1..20), capacity in 1.0..5_000.0_f64) {
-        let level = max_min_level(asked.clone(), capacity);
+        let level = max_min_share(asked.clone(), capacity);
         let given: f64 = asked.iter().map(|ask| ask.min(level)).sum();
         let total: f64 = asked.iter().sum();
         if level.is_finite() {
@@ -75,11 +75,11 @@
     for (number, host) in hosts.iter_mut().enumerate() {
         host.set_capacity(Some(1_000.0));
         for step in 0..10 {
-            host.on_asked(at(step * 100), 1, 400.0);
+            host.on_arrived(at(step * 100), 1, 400.0);
             host.on_started(at(step * 100), 1, 300.0);
         }
         if number == 0 {
-            host.on_asked(at(900), 2, 500.0);
+            host.on_arrived(at(900), 2, 500.0);
             host.on_started(at(900), 2, 200.0);
         }
     }
@@ -94,14 +94,14 @@
         }
         host.tick(at(1_000));
         assert!(
-            host.standing(1) > 0.9,
+            host.share_used(1) > 0.9,
             "host {number}: {}",
-            host.standing(1)
+            host.share_used(1)
         );
         assert!(
-            host.standing(2) < 0.2,
+            host.share_used(2) < 0.2,
             "host {number}: {}",
-            host.standing(2)
+            host.share_used(2)
         );
     }
 }
@@ -110,12 +110,12 @@
 fn old_use_leaves_the_window() {
     let mut shares = AccountShares::new(at(4_000));
     shares.set_capacity(Some(100.0));
-    shares.on_asked(at(0), 1, 10_000.0);
+    shares.on_arrived(at(0), 1, 10_000.0);
     shares.on_started(at(0), 1, 5_000.0);
     shares.tick(at(100));
-    assert!(shares.standing(1) >= 1.0);
+    assert!(shares.share_used(1) >= 1.0);
     shares.tick(at(5_000));
-    assert!(shares.standing(1) < f64::EPSILON);
+    assert!(shares.share_used(1) < f64::EPSILON);
 }
 
 /// A host that falls silent must not hold an account's share for ever.
@@ -124,13 +124,13 @@
     let mut shares = AccountShares::new(at(4_000));
     let mut other = AccountShares::new(at(4_000));
     shares.set_capacity(Some(100.0));
-    other.on_asked(at(0), 1, 10_000.0);
+    other.on_arrived(at(0), 1, 10_000.0);
     other.on_started(at(0), 1, 5_000.0);
     shares.on_report(at(0), 2, other.own());
     shares.tick(at(100));
-    assert!(shares.standing(1) > 0.9);
+    assert!(shares.share_used(1) > 0.9);
     shares.tick(at(3_000));
-    assert!(shares.standing(1) < f64::EPSILON);
+    assert!(shares.share_used(1) < f64::EPSILON);
 }
 
 /// A film crew and the booking desk both ask for far more than there is. The crew's callers fill one
@@ -140,16 +140,16 @@
     let mut shares = AccountShares::new(at(4_000));
     shares.set_capacity(Some(1_000.0));
     for (account, started) in [(1, 1_200.0), (2, 1_500.0), (3, 1_400.0)] {
-        shares.on_asked(at(0), account, 20_000.0);
+        shares.on_arrived(at(0), account, 20_000.0);
         shares.on_started(at(0), account, started);
     }
-    shares.on_asked(at(0), 4, 100.0);
+    shares.on_arrived(at(0), 4, 100.0);
     shares.on_started(at(0), 4, 100.0);
     shares.tick(at(100));
-    assert_eq!(shares.lead(1), Lead::Even);
-    assert_ne!(shares.lead(2), Lead::Even);
-    assert_eq!(shares.lead(3), Lead::Even);
-    assert_eq!(shares.lead(4), Lead::Even);
+    assert_eq!(shares.lead(1), Lead::Small);
+    assert_ne!(shares.lead(2), Lead::Small);
+    assert_eq!(shares.lead(3), Lead::Small);
+    assert_eq!(shares.lead(4), Lead::Small);
 }
 
 /// An account whose host is cut off must not stop the whole fleet: up to half of the share another
@@ -161,15 +161,15 @@
         shares.set_capacity(Some(1_000.0));
         for part in 0..8 {
             let now = at(part * 500);
-            shares.on_asked(now, 1, 20_000.0 / 8.0);
-            shares.on_asked(now, 2, 20_000.0 / 8.0);
+            shares.on_arrived(now, 1, 20_000.0 / 8.0);
+            shares.on_arrived(now, 2, 20_000.0 / 8.0);
             shares.on_started(now, 2, given / 8.0);
         }
         shares.tick(at(3_900));
         shares.lead(2)
     };
-    assert_eq!(lead_at(1_000.0), Lead::Even);
-    assert_eq!(lead_at(2_000.0), Lead::TooFar);
+    assert_eq!(lead_at(1_000.0), Lead::Small);
+    assert_eq!(lead_at(2_000.0), Lead::TooLarge);
 }
 
 /// Begins 1,000 tokens of an account beside a backlogged one that got nothing; `asked_elsewhere` is
@@ -179,9 +179,9 @@
     let mut shares = AccountShares::new(at(4_000));
     let mut other = AccountShares::new(at(4_000));
     shares.set_capacity(Some(1_000.0));
-    shares.on_asked(at(0), account, 10_000.0);
-    shares.on_asked(at(0), backlogged, 20_000.0);
-    other.on_asked(at(0), account, asked_elsewhere);
+    shares.on_arrived(at(0), account, 10_000.0);
+    shares.on_arrived(at(0), backlogged, 20_000.0);
+    other.on_arrived(at(0), account, asked_elsewhere);
     shares.on_report(at(100), 2, other.own());
     shares.tick(at(100));
     shares.on_started(at(100), account, 1_000.0);
@@ -194,18 +194,18 @@
 #[test]
 fn a_host_counts_what_others_probably_began_like_it() {
     let mut shares = after_begins(10_000.0);
-    assert_eq!(shares.lead(1), Lead::TooFar);
-    assert!((shares.standing(1) - 0.5).abs() < 1e-9);
+    assert_eq!(shares.lead(1), Lead::TooLarge);
+    assert!((shares.share_used(1) - 0.5).abs() < 1e-9);
     shares.tick(at(490));
-    assert_ne!(shares.lead(1), Lead::Even);
+    assert_ne!(shares.lead(1), Lead::Small);
     shares.tick(at(2_400));
-    assert_eq!(shares.lead(1), Lead::Even);
+    assert_eq!(shares.lead(1), Lead::Small);
 }
 
 /// An account that one host serves is held to what it was given, and to nothing besides.
 #[test]
 fn nothing_is_guessed_of_hosts_that_are_not_asked() {
-    assert_eq!(after_begins(0.0).lead(1), Lead::Even);
+    assert_eq!(after_begins(0.0).lead(1), Lead::Small);
 }
 
 /// What an account began in a burst must not leave the window at once: all hosts would see the gap
@@ -215,14 +215,14 @@
     let capacity = 1_000.0;
     let mut burst = AccountShares::new(at(4_000));
     burst.set_capacity(Some(capacity));
-    burst.on_asked(at(0), 1, 100_000.0);
+    burst.on_arrived(at(0), 1, 100_000.0);
     burst.on_started(at(0), 1, 2_000.0);
     let mut before = f64::INFINITY;
     for now in (0..6_000).step_by(50) {
         // A second account keeps the level where it is.
-        burst.on_asked(at(now), 2, 10_000.0);
+        burst.on_arrived(at(now), 2, 10_000.0);
         burst.tick(at(now));
-        let standing = burst.standing(1);
+        let standing = burst.share_used(1);
         if before.is_finite() {
             assert!(standing <= before, "{standing} after {before} at {now} ms");
             assert!(
@@ -237,11 +237,11 @@
     let mut steady = AccountShares::new(at(4_000));
     steady.set_capacity(Some(capacity));
     for now in (0..20_000).step_by(50) {
-        steady.on_asked(at(now), 1, 500.0);
+        steady.on_arrived(at(now), 1, 500.0);
         steady.on_started(at(now), 1, 50.0);
         steady.tick(at(now));
         if now >= 4_000 {
-            let standing = steady.standing(1);
+            let standing = steady.share_used(1);
             assert!((0.85..1.15).contains(&standing), "{standing} at {now} ms");
         }
     }
@@ -256,15 +256,15 @@
     let lead_at = |given: f64, asked: f64| {
         let mut shares = AccountShares::new(at(4_000));
         shares.set_capacity(Some(500.0));
-        shares.on_asked(at(0), backlogged, asked);
+        shares.on_arrived(at(0), backlogged, asked);
         shares.on_started(at(0), backlogged, 1_000.0);
-        shares.on_asked(at(0), rival, 6_000.0);
+        shares.on_arrived(at(0), rival, 6_000.0);
         shares.on_started(at(0), rival, given);
         shares.tick(at(100));
         shares.lead(rival)
     };
-    assert_eq!(lead_at(1_100.0, 5_000.0), Lead::Even);
-    assert_eq!(lead_at(1_400.0, 5_000.0), Lead::Far);
-    assert_eq!(lead_at(1_700.0, 5_000.0), Lead::TooFar);
-    assert_eq!(lead_at(1_700.0, 1_000.0), Lead::Even);
+    assert_eq!(lead_at(1_100.0, 5_000.0), Lead::Small);
+    assert_eq!(lead_at(1_400.0, 5_000.0), Lead::Large);
+    assert_eq!(lead_at(1_700.0, 5_000.0), Lead::TooLarge);
+    assert_eq!(lead_at(1_700.0, 1_000.0), Lead::Small);
 }
--- a/crates/fleet/tests/start_copies.rs
+++ b/crates/fleet/tests/start_copies.rs
@@ -1,7 +1,7 @@
 //! A fleet that starts all at once and copies a long table from the few hosts that know it.
 
 use sedgeridge_coordination::random::SeededRandom;
-use sedgeridge_fleet::copy_load::CopyLoad;
+use sedgeridge_fleet::table_copy_budget::TableCopyBudget;
 use yare::parameterized;
 
 const HOSTS: usize = 300;
@@ -32,7 +32,7 @@
 struct Fleet {
     now: u64,
     hosts: Vec<Host>,
-    loads: Vec<CopyLoad>,
+    loads: Vec<TableCopyBudget>,
     copy_bytes: u64,
     random: SeededRandom,
 }
@@ -49,7 +49,7 @@
         Self {
             now: 0,
             hosts: (0..HOSTS).map(host).collect(),
-            loads: (0..HOSTS).map(|_| CopyLoad::default()).collect(),
+            loads: (0..HOSTS).map(|_| TableCopyBudget::default()).collect(),
             copy_bytes,
             random,
         }
@@ -62,7 +62,7 @@
             match self.hosts[index] {
                 Host::Waiting { until_ms } if until_ms <= self.now => self.ask(index),
                 Host::Fetching { from, ends_ms, .. } if ends_ms <= self.now => {
-                    self.loads[from].on_given(self.copy_bytes);
+                    self.loads[from].finish(self.copy_bytes);
                     self.wait(index);
                 }
                 _ => {}
@@ -87,7 +87,7 @@
                 *left = left.saturating_sub(each);
                 if *left == 0 {
                     *host = Host::Knows;
-                    self.loads[maker].on_given(self.copy_bytes);
+                    self.loads[maker].finish(self.copy_bytes);
                 }
             }
         }
@@ -97,7 +97,7 @@
         let makers = (0..HOSTS).filter(|it| self.hosts[*it] == Host::Knows);
         let makers: Vec<_> = makers.collect();
         let from = makers[self.random.below(makers.len() as u64) as usize];
-        if self.loads[from].takes(self.copy_bytes) {
+        if self.loads[from].try_start(self.copy_bytes) {
             self.hosts[index] = Host::Fetching {
                 from,
                 left: self.copy_bytes,
--- a/crates/gateway/src/caller_request.rs
+++ b/crates/gateway/src/caller_request.rs
@@ -11,8 +11,8 @@
 use hyper::body::Incoming;
 use sedgeridge_fleet::config::Route;
 use sedgeridge_fleet::hashing::stable_hash;
-use sedgeridge_fleet::memory_budget::Asker;
-use sedgeridge_fleet::memory_budget::REQUEST_BYTES;
+use sedgeridge_fleet::memory_budget::REQUEST_OVERHEAD_BYTES;
+use sedgeridge_fleet::memory_budget::Requester;
 use sedgeridge_fleet::prompt::Prompt;
 use sedgeridge_fleet::route_table::LookupError;
 use sedgeridge_state::ids::AccountId;
@@ -90,7 +90,7 @@
     let (route, account) = found.map_err(|error| turned_away(core, &head, &facts, error))?;
     let allowed = facts.time_left.unwrap_or(route.timeout);
     let deadline = received_at + allowed.min(route.timeout);
-    let bytes = REQUEST_BYTES + HEAD_COPIES * head_bytes(&head);
+    let bytes = REQUEST_OVERHEAD_BYTES + HEAD_COPIES * head_bytes(&head);
     let Some(mut memory) = core.memory.hold(bytes, asker(core, account.as_ref())) else {
         request_body::forget(body).await;
         return Err(no_memory(core, &facts));
@@ -169,14 +169,14 @@
     fields.sum::<usize>() as u64
 }
 
-fn asker<W: Wire, C: Clock>(core: &Core<W, C>, account: Option<&AccountId>) -> Asker {
+fn asker<W: Wire, C: Clock>(core: &Core<W, C>, account: Option<&AccountId>) -> Requester {
     let account = account.map(|account| stable_hash(account.as_str()));
     let is_over = account.is_some_and(|account| {
         core.with_dispatcher(|dispatcher| dispatcher.is_over_share(account))
     });
     match is_over {
-        true => Asker::OverShare,
-        false => Asker::WithinShare,
+        true => Requester::OverShare,
+        false => Requester::WithinShare,
     }
 }
 
--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -146,13 +146,13 @@
             log,
             bounds: RefCell::new(Bounds::of(&settings)),
             settings,
-            pool: RefCell::new(EndpointPool::new(budget.most_idle_connections())),
+            pool: RefCell::new(EndpointPool::new(budget.max_idle_connections())),
             routes: RefCell::new(Rc::new(RouteTable::default())),
             max_header_bytes: Cell::new(limits.max_header_bytes),
             max_body_bytes: Cell::new(limits.max_body_bytes),
             idle_timeout: Cell::new(limits.idle_timeout),
             header_timeout: Cell::new(limits.header_timeout),
-            most_half_heads: budget.most_half_heads(),
+            most_half_heads: budget.max_partial_heads(),
             memory: SharedMemory::new(budget),
             stopping: watch::Sender::new(None),
             lag: RefCell::new(LoopLag::default()),
@@ -240,7 +240,10 @@
         let receiver = self.await_verdict(id);
         if failure == Failure::ConnectionLost {
             // It may have crashed the endpoint; from here on it is told from others.
-            self.handle(DispatchEvent::Identified(id, outgoing.fingerprint()));
+            self.handle(DispatchEvent::FingerprintComputed(
+                id,
+                outgoing.fingerprint(),
+            ));
         }
         self.handle(DispatchEvent::AttemptFailed(id, failure));
         receiver
@@ -248,21 +251,21 @@
 
     /// Tells whether a prompt of an account is left to another host for want of processor time.
     pub fn sheds(&self, account: u64) -> bool {
-        let standing = self.with_dispatcher(|it| it.account_standing(account));
-        self.shedding.borrow_mut().takes_turn(account, standing)
+        let standing = self.with_dispatcher(|it| it.account_share_used(account));
+        self.shedding.borrow_mut().try_shed(account, standing)
     }
 
     /// Counts a prompt of an account that is not left to another host.
     pub fn note_kept(&self, account: u64) {
-        let standing = self.with_dispatcher(|it| it.account_standing(account));
-        self.shedding.borrow_mut().note_kept(account, standing);
+        let standing = self.with_dispatcher(|it| it.account_share_used(account));
+        self.shedding.borrow_mut().count_kept(account, standing);
     }
 
     /// Counts a prompt of an account that was left to another host.
     pub fn note_shed(&self, account: u64, prompt: &Prompt) {
         let now = self.now();
         let mut dispatcher = self.dispatcher.borrow_mut();
-        dispatcher.on_shed(now, account, prompt.charge());
+        dispatcher.on_shed(now, account, prompt.charged_tokens());
     }
 
     /// Waits for a verdict.
@@ -348,7 +351,7 @@
         self.lag.borrow_mut().note(late);
         let now = self.now();
         let is_flooded =
-            LoadShedding::is_late(late) && self.with_dispatcher(|it| it.is_flooded(now));
+            LoadShedding::is_late(late) && self.with_dispatcher(|it| it.has_excess_demand(now));
         let late_for_callers = match is_flooded {
             true => late,
             false => Duration::ZERO,
--- a/crates/gateway/src/early_refusal.rs
+++ b/crates/gateway/src/early_refusal.rs
@@ -149,7 +149,7 @@
         core.note_shed(payer, prompt);
         return Some(shed(core, &refused));
     }
-    if !core.with_dispatcher(|it| it.refuses(received_at, payer)) {
+    if !core.with_dispatcher(|it| it.refuses_at_once(received_at, payer)) {
         return None;
     }
     let time_left = facts.time_left.unwrap_or(route.timeout);
--- a/crates/gateway/src/held_memory.rs
+++ b/crates/gateway/src/held_memory.rs
@@ -3,8 +3,8 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-use sedgeridge_fleet::memory_budget::Asker;
 use sedgeridge_fleet::memory_budget::MemoryBudget;
+use sedgeridge_fleet::memory_budget::Requester;
 
 /// A process's budget, which all its requests share.
 #[derive(Debug, Clone)]
@@ -23,17 +23,17 @@
     /// Takes memory for a request; `None` if there is no room.
     ///
     /// ```
-    /// use sedgeridge_fleet::memory_budget::{Asker, MemoryBudget};
+    /// use sedgeridge_fleet::memory_budget::{MemoryBudget, Requester};
     /// use sedgeridge_gateway::held_memory::SharedMemory;
     ///
     /// let memory = SharedMemory::new(MemoryBudget::new(100_000));
-    /// let held = memory.hold(40_000, Asker::WithinShare).unwrap();
-    /// assert!(memory.hold(40_000, Asker::WithinShare).is_none());
+    /// let held = memory.hold(40_000, Requester::WithinShare).unwrap();
+    /// assert!(memory.hold(40_000, Requester::WithinShare).is_none());
     /// drop(held);
-    /// assert!(memory.hold(40_000, Asker::WithinShare).is_some());
+    /// assert!(memory.hold(40_000, Requester::WithinShare).is_some());
     /// ```
-    pub fn hold(&self, bytes: u64, asker: Asker) -> Option<HeldMemory> {
-        let is_taken = self.budget.borrow_mut().take(bytes, asker);
+    pub fn hold(&self, bytes: u64, asker: Requester) -> Option<HeldMemory> {
+        let is_taken = self.budget.borrow_mut().try_reserve(bytes, asker);
         is_taken.then(|| HeldMemory {
             shared: self.clone(),
             bytes,
@@ -57,26 +57,30 @@
 pub struct HeldMemory {
     shared: SharedMemory,
     bytes: u64,
-    asker: Asker,
+    asker: Requester,
 }
 
 impl HeldMemory {
     /// Gives a part back before the request ends.
     pub fn give_back(&mut self, bytes: u64) {
         let bytes = bytes.min(self.bytes);
-        self.shared.budget.borrow_mut().give_back(bytes);
+        self.shared.budget.borrow_mut().release(bytes);
         self.bytes -= bytes;
     }
 
     /// Counts memory for what an endpoint has made for the request. It is delivered in any case.
     pub fn add(&mut self, bytes: u64) {
-        self.shared.budget.borrow_mut().add(bytes);
+        self.shared.budget.borrow_mut().reserve(bytes);
         self.bytes += bytes;
     }
 
     /// Takes more for the same request; tells whether there was room.
     pub fn grow(&mut self, bytes: u64) -> bool {
-        let is_taken = self.shared.budget.borrow_mut().take(bytes, self.asker);
+        let is_taken = self
+            .shared
+            .budget
+            .borrow_mut()
+            .try_reserve(bytes, self.asker);
         if is_taken {
             self.bytes += bytes;
         }
@@ -86,6 +90,6 @@
 
 impl Drop for HeldMemory {
     fn drop(&mut self) {
-        self.shared.budget.borrow_mut().give_back(self.bytes);
+        self.shared.budget.borrow_mut().release(self.bytes);
     }
 }
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -10,11 +10,11 @@
 use http::Request;
 use hyper::body::Incoming;
 use sedgeridge_coordination::random::SeededRandom;
-use sedgeridge_fleet::dispatcher::Addressee;
 use sedgeridge_fleet::dispatcher::DispatchEvent;
 use sedgeridge_fleet::dispatcher::Dispatcher;
 use sedgeridge_fleet::dispatcher::HostState;
 use sedgeridge_fleet::dispatcher::OutgoingReport;
+use sedgeridge_fleet::dispatcher::ReportRecipient;
 use sedgeridge_fleet::dispatcher::StoreRole;
 use sedgeridge_fleet::hashing::stable_hash;
 use sedgeridge_fleet::peer_hosts::ListedHost;
@@ -167,7 +167,7 @@
         let addresses = self.addresses.borrow();
         let mut bytes = outgoing.report.encode();
         meters::report_sent(bytes.len() * outgoing.to.len());
-        for Addressee { host, included } in &outgoing.to {
+        for ReportRecipient { host, included } in &outgoing.to {
             let Some(address) = addresses.get(host) else {
                 continue;
             };
--- a/crates/gateway/src/table_copies.rs
+++ b/crates/gateway/src/table_copies.rs
@@ -17,11 +17,11 @@
 use http_body_util::Full;
 use http_body_util::Limited;
 use hyper::body::Incoming;
-use sedgeridge_fleet::copy_load::CopyLoad;
 use sedgeridge_fleet::peer_report::to_millis;
 use sedgeridge_fleet::row_watch::LapsingRow;
 use sedgeridge_fleet::row_watch::Row;
 use sedgeridge_fleet::row_watch::TableCopy;
+use sedgeridge_fleet::table_copy_budget::TableCopyBudget;
 use serde::Deserialize;
 use serde::Serialize;
 use serde_bytes::ByteBuf;
@@ -133,7 +133,7 @@
 /// Gives copies to the other hosts.
 #[derive(Debug, Clone, Default)]
 pub struct CopyPages {
-    load: Arc<Mutex<CopyLoad>>,
+    load: Arc<Mutex<TableCopyBudget>>,
     made: Rc<RefCell<BTreeMap<Table, MadeCopy>>>,
 }
 
@@ -148,7 +148,7 @@
 /// A copy on its way to a host. It counts until its last byte is written.
 struct GivenCopy {
     bytes: Bytes,
-    load: Arc<Mutex<CopyLoad>>,
+    load: Arc<Mutex<TableCopyBudget>>,
 }
 
 impl AsRef<[u8]> for GivenCopy {
@@ -160,7 +160,7 @@
 impl Drop for GivenCopy {
     fn drop(&mut self) {
         let mut load = self.load.lock().unwrap_or_else(PoisonError::into_inner);
-        load.on_given(self.bytes.len() as u64);
+        load.finish(self.bytes.len() as u64);
     }
 }
 
@@ -209,7 +209,7 @@
 
     fn give(&self, bytes: Bytes) -> Option<Bytes> {
         let mut load = self.load.lock().unwrap_or_else(PoisonError::into_inner);
-        let is_taken = load.takes(bytes.len() as u64);
+        let is_taken = load.try_start(bytes.len() as u64);
         drop(load);
         is_taken.then(|| {
             Bytes::from_owner(GivenCopy {
