--- a/crates/fleet/src/account_shares.rs
+++ b/crates/fleet/src/account_shares.rs
@@ -1,4 +1,4 @@
-//! Max-min shares of the engines' tokens between client accounts, over the whole fleet.
+//! Max-min fair shares of the engines' token capacity for client accounts, over the whole fleet.
 
 use std::time::Duration;
 
@@ -8,41 +8,41 @@
 use crate::unreported_starts::StartedRequest;
 use crate::unreported_starts::UnreportedStarts;
 
-/// Parts into which the window is cut. Use fades in as many steps.
+/// Number of buckets in the window. The weight of usage decreases by one step per bucket.
 ///
-/// Use that counts in full until its window ends leaves a gap that all hosts see at the same time and
-/// fill before they hear of each other. One account then begins in one second what it is due in several,
-/// again and again; the engines' backlogs meanwhile refuse an account that one host serves. Use that
-/// fades leaves no gap.
+/// If usage counted in full until the end of its window, its end would leave a gap that all hosts see at the same time
+/// and fill before they receive each other's reports. One account would then repeatedly start in one second what it is
+/// due in several, and the engines' backlogs would make an account that only one host serves be refused meanwhile.
 const BUCKETS: u64 = 8;
-/// Age up to which another host's sums count.
+/// Maximum age of another host's report.
 const MAX_REPORT_AGE: Duration = Duration::from_millis(2_500);
 
-/// An account is backlogged if it asked for more than its share and for this much more than it got.
+/// An account is backlogged if it requested more than its share and more than this multiple of what was started for it.
 const BACKLOGGED_RATIO: f64 = 1.3;
-/// Largest ratio between what two backlogged accounts are given. The users hold a ratio of two for
-/// unfair; the rest is for requests that begin unevenly within the window, and for what hosts learn of
-/// each other late.
-const MOST_AHEAD: f64 = 1.2;
-/// The same from which an account gets nothing, however idle the engines: each host's idle engines add up to
-/// more than twice what a backlogged account gets. Lower, accounts of equal size hold each other back in
-/// a burst.
-const LARGEST_LEAD: f64 = 1.6;
-/// Part of the share below which a backlogged account holds nobody back: its host may be cut off.
-const LEAST_PART: f64 = 0.5;
-
-/// How much more an account was given than a backlogged one.
+/// Ratio of started tokens to those of a backlogged account above which only idle engines take an account's requests.
+/// Users consider a ratio of two unfair. The margin covers requests that start unevenly within the window and the delay
+/// of reports between hosts.
+const LARGE_LEAD_RATIO: f64 = 1.2;
+/// The same ratio above which an account has to wait, even if engines are idle: the idle engines that all hosts see add
+/// up to more than twice what a backlogged account gets. With a lower ratio, accounts of equal size hold each other back
+/// in a burst.
+const TOO_LARGE_LEAD_RATIO: f64 = 1.6;
+/// A backlogged account counts as having got at least this fraction of the fair share. Its host may be cut off, and must
+/// not hold back all other accounts.
+const MIN_BACKLOGGED_RATIO: f64 = 0.5;
+
+/// By how much the tokens started for an account exceed those of a backlogged account.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Lead {
     /// No account is backlogged, or the difference is small.
     Small,
-    /// So much that only idle engines should take its requests.
+    /// The difference is so large that only idle engines should take the account's requests.
     Large,
-    /// So much that it has to wait for the other one.
+    /// The difference is so large that the account has to wait.
     TooLarge,
 }
 
-/// What one account asked for and was given in the window, in tokens.
+/// Tokens that were requested by and started for one account in the window.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Usage {
     /// Tokens of requests that arrived.
@@ -58,24 +58,24 @@
         self.started_tokens = self.started_tokens.saturating_add(other.started_tokens);
     }
 
-    /// Returns the usage times a fraction.
-    fn part(self, parts: u64, of: u64) -> Self {
-        let of_tokens = |tokens: u32| (u64::from(tokens) * parts / of) as u32;
+    /// Returns the usage times `numerator / denominator`.
+    fn scaled(self, numerator: u64, denominator: u64) -> Self {
+        let scale = |tokens: u32| (u64::from(tokens) * numerator / denominator) as u32;
         Self {
-            requested_tokens: of_tokens(self.requested_tokens),
-            started_tokens: of_tokens(self.started_tokens),
+            requested_tokens: scale(self.requested_tokens),
+            started_tokens: scale(self.started_tokens),
         }
     }
 
-    /// Takes away usage that was added before.
+    /// Subtracts usage that was added before.
     pub fn subtract(&mut self, other: Self) {
         self.requested_tokens = self.requested_tokens.saturating_sub(other.requested_tokens);
         self.started_tokens = self.started_tokens.saturating_sub(other.started_tokens);
     }
 }
 
-/// Usage by account, named by the hash of its name, in a sliding window in which use fades: this
-/// host's own and what other hosts reported.
+/// Usage by account, in a sliding window in which older usage weighs less: this host's own, and what other hosts
+/// reported. Accounts are identified by the hash of their name.
 #[derive(Debug)]
 pub struct AccountShares {
     window: Duration,
@@ -84,14 +84,13 @@
     bucket: u64,
     reported: IntMap<u64, (Duration, Vec<(u64, Usage)>)>,
     totals: IntMap<u64, Usage>,
-    unseen: UnreportedStarts,
+    unreported: UnreportedStarts,
     fair_share: f64,
-    /// What the backlogged account that was given least has; infinite if none is backlogged.
-    least: f64,
+    /// Fewest tokens started for a backlogged account; infinite if no account is backlogged.
+    least_started: f64,
 }
 
 impl AccountShares {
-    /// Creates shares without usage.
     pub fn new(window: Duration) -> Self {
         Self {
             window,
@@ -100,13 +99,12 @@
             bucket: 0,
             reported: IntMap::default(),
             totals: IntMap::default(),
-            unseen: UnreportedStarts::default(),
+            unreported: UnreportedStarts::default(),
             fair_share: f64::INFINITY,
-            least: f64::INFINITY,
+            least_started: f64::INFINITY,
         }
     }
 
-    /// Changes the window.
     pub fn set_window(&mut self, window: Duration) {
         self.window = window;
     }
@@ -141,19 +139,18 @@
             },
         );
         let at = now;
-        self.unseen.begin(StartedRequest {
+        self.unreported.add(StartedRequest {
             at,
             account,
             tokens,
         });
-        self.guess_unseen(account);
+        self.estimate_unreported(account);
     }
 
-    /// Takes back a request that was sent at `started_at` and did not run. The sums follow with the
-    /// next tick.
+    /// Removes a request that was sent at `started_at` and did not run. The sums change at the next tick.
     ///
-    /// While engines are lost, a request may find no connection at one after another. Charged for
-    /// each try, its account would be refused as over its share for work that nobody did.
+    /// When engines fail, a request may fail to connect to several of them. If each attempt were charged, the account
+    /// would be refused as over its share for work that was never done.
     pub fn on_not_run(&mut self, now: Duration, started_at: Duration, account: u64, tokens: f64) {
         self.advance(now);
         let bucket = self.bucket_at(started_at);
@@ -166,14 +163,14 @@
             });
         }
         let at = started_at;
-        self.unseen.take_back(StartedRequest {
+        self.unreported.remove(StartedRequest {
             at,
             account,
             tokens,
         });
     }
 
-    /// Takes another host's sums over its window.
+    /// Stores another host's sums over its window.
     pub fn on_report(&mut self, now: Duration, host: u64, usage: Vec<(u64, Usage)>) {
         self.reported.insert(host, (now, usage));
     }
@@ -183,12 +180,12 @@
         let sums = self
             .own
             .iter()
-            .map(|(account, buckets)| (*account, self.faded(buckets)));
+            .map(|(account, buckets)| (*account, self.weighted_sum(buckets)));
         sums.filter(|(_, usage)| *usage != Usage::default())
             .collect()
     }
 
-    /// Brings sums and the level up to date. Call it several times a second.
+    /// Updates the sums and the fair share. Call it several times a second.
     pub fn tick(&mut self, now: Duration) {
         self.advance(now);
         self.reported
@@ -203,16 +200,16 @@
             }
         }
         self.fair_share = self.compute_fair_share();
-        self.least = self.least_backlogged();
-        for account in self.unseen.tick(now) {
-            self.guess_unseen(account);
+        self.least_started = self.compute_least_started();
+        for account in self.unreported.tick(now) {
+            self.estimate_unreported(account);
         }
     }
 
-    /// Returns what the account was given, as a multiple of its fair share. Above 1 it has had it.
+    /// Returns the tokens started for the account, as a multiple of its fair share. Above 1 it is over its share.
     ///
-    /// What other hosts probably began besides does not count here: it would refuse accounts about at
-    /// their share while engines have room.
+    /// The estimate of unreported starts at other hosts does not count here: accounts close to their share would be
+    /// refused while engines have capacity.
     pub fn share_used(&self, account: u64) -> f64 {
         if !self.fair_share.is_finite() {
             return 0.0;
@@ -221,45 +218,45 @@
         f64::from(used.started_tokens) / self.fair_share.max(1.0)
     }
 
-    /// Returns what all accounts asked of this host and of the whole fleet, in tokens.
+    /// Returns the tokens that all accounts requested from this host and from the whole fleet.
     pub fn requested_here_and_in_fleet(&self) -> (f64, f64) {
         let here = self.own().into_iter().map(|(_, usage)| usage);
-        let in_all = self.totals.values().copied();
-        let asked = |usage: Usage| f64::from(usage.requested_tokens);
-        (here.map(asked).sum(), in_all.map(asked).sum())
+        let in_fleet = self.totals.values().copied();
+        let requested = |usage: Usage| f64::from(usage.requested_tokens);
+        (here.map(requested).sum(), in_fleet.map(requested).sum())
     }
 
-    /// Returns what the account asked for, as a multiple of its fair share.
+    /// Returns the tokens that the account requested, as a multiple of its fair share.
     pub fn share_requested(&self, account: u64) -> f64 {
         let used = self.totals.get(&account).copied().unwrap_or_default();
         f64::from(used.requested_tokens) / self.fair_share.max(1.0)
     }
 
-    /// Returns what the backlogged account that holds others back was given, as a multiple of its
-    /// fair share; infinite if no account is backlogged.
+    /// Returns the tokens started for the backlogged account with the fewest, as a multiple of its fair share; infinite
+    /// if no account is backlogged.
     pub fn least_share_used(&self) -> f64 {
         match self.fair_share.is_finite() {
-            true => self.least / self.fair_share.max(1.0),
+            true => self.least_started / self.fair_share.max(1.0),
             false => f64::INFINITY,
         }
     }
 
-    /// Tells how far the account is ahead of the backlogged one that was given least.
+    /// Compares the account with the backlogged one for which the fewest tokens were started.
     ///
-    /// A backlogged account may be held up by its host, which its callers fill. What engines have
-    /// left then goes to accounts on other hosts, and the gap between the two grows without bound.
+    /// A backlogged account may be limited by its host, which its callers fill. The remaining capacity of the engines
+    /// then goes to accounts on other hosts, and the gap between the two grows without bound.
     pub fn lead(&self, account: u64) -> Lead {
-        let given = self.given(account);
-        if given > self.least * LARGEST_LEAD {
+        let started = self.started_with_estimate(account);
+        if started > self.least_started * TOO_LARGE_LEAD_RATIO {
             Lead::TooLarge
-        } else if given > self.least * MOST_AHEAD {
+        } else if started > self.least_started * LARGE_LEAD_RATIO {
             Lead::Large
         } else {
             Lead::Small
         }
     }
 
-    /// Returns the share at which accounts are cut, in tokens a window; infinite when all fit.
+    /// Returns the max-min fair share in tokens per window; infinite if all requested tokens fit.
     pub fn fair_share(&self) -> f64 {
         self.fair_share
     }
@@ -269,7 +266,7 @@
         let slot = (self.bucket % BUCKETS) as usize;
         let buckets = self.own.entry(account).or_default();
         buckets[slot].add(usage);
-        // Counted at once: requests that arrive together must not all see the state before them.
+        // The total changes at once, so that requests that arrive together don't all see the old state.
         self.totals.entry(account).or_default().add(usage);
     }
 
@@ -292,75 +289,73 @@
         at.as_millis() as u64 / length.max(1)
     }
 
-    /// Sums up use by its age. The newest counts twice and the oldest hardly, so that steady use has
-    /// the same sum as if all counted once.
-    fn faded(&self, buckets: &[Usage; BUCKETS as usize]) -> Usage {
+    /// Sums usage weighted by age. The newest bucket counts twice and the oldest least, so that steady usage has about
+    /// the same sum as without weights.
+    fn weighted_sum(&self, buckets: &[Usage; BUCKETS as usize]) -> Usage {
         let mut total = Usage::default();
         for age in 0..BUCKETS.min(self.bucket + 1) {
             let slot = ((self.bucket - age) % BUCKETS) as usize;
-            total.add(buckets[slot].part(2 * (BUCKETS - age), BUCKETS));
+            total.add(buckets[slot].scaled(2 * (BUCKETS - age), BUCKETS));
         }
         total
     }
 
-    /// Returns what the account was given by all hosts, as far as this one knows or guesses.
-    fn given(&self, account: u64) -> f64 {
+    /// Returns the tokens started for the account by all hosts, unreported starts estimated.
+    fn started_with_estimate(&self, account: u64) -> f64 {
         let known = self.totals.get(&account).copied().unwrap_or_default();
-        f64::from(known.started_tokens) + self.unseen.tokens(account)
+        f64::from(known.started_tokens) + self.unreported.tokens(account)
     }
 
-    /// Guesses what other hosts began for the account: as much as this one by what they are asked
-    /// for, and no more than that.
-    fn guess_unseen(&mut self, account: u64) {
+    /// Estimates what other hosts started for the account and have not reported: as much as this host relative to the
+    /// tokens requested from them, and at most the tokens requested from them in that time.
+    fn estimate_unreported(&mut self, account: u64) {
         let own = self.own.get(&account);
-        let own_asked = own.map_or(0, |buckets| self.faded(buckets).requested_tokens);
+        let own_requested = own.map_or(0, |buckets| self.weighted_sum(buckets).requested_tokens);
         let total = self.totals.get(&account).copied().unwrap_or_default();
-        let others_asked = f64::from(total.requested_tokens.saturating_sub(own_asked));
-        let ratio = others_asked / f64::from(own_asked.max(1));
-        let asked_meanwhile = others_asked * REPORT_DELAY.as_secs_f64() / self.window.as_secs_f64();
-        self.unseen.guess(account, ratio, asked_meanwhile);
+        let others_requested = f64::from(total.requested_tokens.saturating_sub(own_requested));
+        let ratio = others_requested / f64::from(own_requested.max(1));
+        let max_tokens = others_requested * REPORT_DELAY.as_secs_f64() / self.window.as_secs_f64();
+        self.unreported.estimate(account, ratio, max_tokens);
     }
 
-    /// Returns what the backlogged account that was given least has, or part of the share if that is
-    /// more.
-    fn least_backlogged(&self) -> f64 {
+    /// Returns the fewest tokens started for a backlogged account, but at least [`MIN_BACKLOGGED_RATIO`] of the share.
+    fn compute_least_started(&self) -> f64 {
         if !self.fair_share.is_finite() {
             return f64::INFINITY;
         }
         let backlogged = self.totals.values().filter(|usage| {
-            let (asked, started) = (
+            let (requested, started) = (
                 f64::from(usage.requested_tokens),
                 f64::from(usage.started_tokens),
             );
-            asked > self.fair_share && asked > started * BACKLOGGED_RATIO
+            requested > self.fair_share && requested > started * BACKLOGGED_RATIO
         });
         let least = backlogged.map(|usage| f64::from(usage.started_tokens));
         let least = least.fold(f64::INFINITY, f64::min);
-        least.max(self.fair_share * LEAST_PART)
+        least.max(self.fair_share * MIN_BACKLOGGED_RATIO)
     }
 
-    /// Fills accounts evenly until the capacity is given out: the max-min share.
     fn compute_fair_share(&self) -> f64 {
         let Some(capacity) = self.capacity_per_s else {
             return f64::INFINITY;
         };
-        // What was really given counts if it is more: cached prompts cost engines less than their
-        // length. Accounts that still ask for more are then cut at one level, not at none.
-        let given = self
+        // Started tokens may exceed the stated capacity, since cached prompts cost engines less than their length.
+        // They count as capacity then, so that accounts that request more still get a common finite share.
+        let started = self
             .totals
             .values()
             .map(|usage| f64::from(usage.started_tokens));
-        let capacity = (capacity * self.window.as_secs_f64()).max(given.sum());
-        let asked = self
+        let capacity = (capacity * self.window.as_secs_f64()).max(started.sum());
+        let requested = self
             .totals
             .values()
             .map(|usage| f64::from(usage.requested_tokens));
-        max_min_share(asked.collect(), capacity)
+        max_min_share(requested.collect(), capacity)
     }
 }
 
-/// Returns the largest share such that everyone gets the lesser of it and what they asked, and the
-/// sum fits into `capacity`; infinite when everything fits.
+/// Returns the largest share for which the sum of the lesser of each request and the share fits into `capacity`;
+/// infinite if all requests fit.
 ///
 /// ```
 /// use sedgeridge_fleet::account_shares::max_min_share;
@@ -368,17 +363,17 @@
 /// assert_eq!(max_min_share(vec![10.0, 50.0, 90.0], 90.0), 40.0);
 /// assert_eq!(max_min_share(vec![10.0, 20.0], 90.0), f64::INFINITY);
 /// ```
-pub fn max_min_share(mut asked: Vec<f64>, capacity: f64) -> f64 {
-    asked.sort_by(f64::total_cmp);
-    let mut left = capacity;
-    let mut others = asked.len();
-    for ask in asked {
-        let even = left / others as f64;
-        if ask > even {
-            return even;
+pub fn max_min_share(mut requested: Vec<f64>, capacity: f64) -> f64 {
+    requested.sort_by(f64::total_cmp);
+    let mut capacity_left = capacity;
+    let mut accounts_left = requested.len();
+    for request in requested {
+        let even_share = capacity_left / accounts_left as f64;
+        if request > even_share {
+            return even_share;
         }
-        left -= ask;
-        others -= 1;
+        capacity_left -= request;
+        accounts_left -= 1;
     }
     f64::INFINITY
 }
--- a/crates/fleet/src/arrival.rs
+++ b/crates/fleet/src/arrival.rs
@@ -1,4 +1,4 @@
-//! A request as the dispatcher knows it.
+//! Requests as the dispatcher sees them.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,39 +9,39 @@
 use crate::config::Route;
 use crate::prompt::Prompt;
 
-/// Numbers the requests of one process.
+/// Number of a request, unique within the process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// A request that has been read whole and may be sent.
+/// A request that has been read completely and can be sent.
 #[derive(Debug, Clone)]
 pub struct Arrival {
-    /// Its number in this process.
+    /// Number of the request.
     pub id: RequestId,
-    /// Hash of the account that pays, if the route asks for one.
+    /// Hash of the account that is charged, if the route requires one.
     pub account: Option<u64>,
-    /// Its route.
+    /// Route of the request.
     pub route: Arc<Route>,
-    /// The service that was chosen for it.
+    /// Service that was chosen for the request.
     pub service: ServiceId,
-    /// When its head had been read.
+    /// When the head of the request was read.
     pub received_at: Duration,
-    /// When its caller stops waiting, or the route's timeout if that is earlier.
+    /// End of the caller's time, or of the route's timeout if that is earlier.
     pub deadline: Duration,
-    /// For model engines: what it asks for.
+    /// Prompt, for requests to model engines.
     pub prompt: Option<Prompt>,
-    /// What the request asks for; equal when the same request comes again. It is worked out only
-    /// where it may matter: the digest of a long body costs more than a refusal.
+    /// Digest of the request's content, equal when the same request is sent again. It is computed only where it may
+    /// matter, since the digest of a long body costs more than a refusal.
     pub fingerprint: Option<Fingerprint>,
 }
 
 impl Arrival {
-    /// Returns what the request takes from its account's share.
+    /// Returns the tokens that the request is charged to its account; 1 without a prompt.
     pub fn charged_tokens(&self) -> f64 {
         self.prompt.as_ref().map_or(1.0, Prompt::charged_tokens)
     }
 
-    /// Returns the time at which the answer's first piece stops being in time.
+    /// Returns the time until which the answer's first piece meets the latency target.
     pub fn first_piece_deadline(&self) -> Duration {
         self.received_at + self.route.latency_target
     }
--- a/crates/fleet/src/dispatcher/attempts.rs
+++ b/crates/fleet/src/dispatcher/attempts.rs
@@ -312,7 +312,7 @@
             share_used: self.share_used(&pending.arrival),
             share_requested: account.map_or(0.0, |account| self.shares.share_requested(account)),
             least_share_used: self.shares.least_share_used(),
-            queued: self.queue.len(),
+            queued_requests: self.queue.len(),
             hosts: self.hosts(now),
             oldest_report_age: self.loads.oldest_report_age(now),
             backlog_ms: best.as_ref().map_or(0.0, |best| best.backlog_ms),
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,7 +1,7 @@
-//! Decisions of a fleet of routers whose configuration and endpoints come from a platform.
+//! Routing decisions of a fleet of hosts whose configuration and endpoints come from a platform.
 //!
-//! Nothing here has a socket, a thread or a clock: a part takes an event and the time, and returns
-//! actions. The time is a [`Duration`](std::time::Duration) since some fixed moment of the process.
+//! This crate does no I/O and starts no threads. Each component takes an event and the current time, and returns
+//! actions. The time is a [`Duration`](std::time::Duration) since a fixed moment in the life of the process.
 
 pub mod account_shares;
 pub mod arrival;
--- a/crates/fleet/src/load_shedding.rs
+++ b/crates/fleet/src/load_shedding.rs
@@ -1,11 +1,11 @@
-//! Which of its callers' requests a host without the processor time for all of them sends to other hosts.
+//! Chooses the requests that a host sheds when it has too little processor time for all of them.
 //!
-//! The balancer leads all connections of a client to one host, which may get more than it can forward while others of
-//! its data centre are idle. A request that is refused at once comes back to another host within its latency target;
-//! one that waits for the processor is late here, and so is everybody else's.
+//! The load balancer sends all connections of a client to one host, which may get more than it can forward while other
+//! hosts of its data centre are idle. A request that is refused at once is retried at another host within its latency
+//! target. One that waits for the processor is late, and delays all others.
 //!
-//! Accounts that have had most of their share are shed first. Chosen without regard to the account, requests of one
-//! that has had little are turned away while others of one that is far over its share are sent.
+//! Accounts furthest over their share are shed first. If the account played no part, requests of an account with little
+//! use would be refused while requests of one far over its share were sent.
 
 use std::time::Duration;
 
@@ -13,28 +13,28 @@
 
 use crate::account_shares::max_min_share;
 
-/// Lateness of the event loop's timers from which on requests are shed.
-const LATE: Duration = Duration::from_millis(20);
-/// Added to the part that is shed for each such time by which a timer is late. The further the loop is behind, the fewer
-/// timers there are to tell of it.
-const RISE: f64 = 0.1;
-/// Taken from it at each timer that is in time.
-const FALL: f64 = 0.03;
-/// Largest part that is shed: some requests have to show whether there is time again.
-const MOST: f64 = 0.98;
-/// Time between two looks whether a host that sheds all accounts over their share still falls behind. While it catches
-/// up, others are left alone.
+/// Delay of the event loop's timers above which requests are shed.
+const SHEDDING_TIMER_DELAY: Duration = Duration::from_millis(20);
+/// Increase of the shed ratio for each [`SHEDDING_TIMER_DELAY`] by which a timer is late. It grows with the delay because
+/// fewer timers fire the further the event loop is behind.
+const RATIO_INCREASE: f64 = 0.1;
+/// Decrease of the shed ratio at each timer that is on time.
+const RATIO_DECREASE: f64 = 0.03;
+/// Largest shed ratio. The remaining requests show whether the host has time again.
+const MAX_SHED_RATIO: f64 = 0.98;
+/// Interval at which a host that sheds as much as it may of accounts over their share checks whether its delay still
+/// grows. While the delay shrinks, it sheds no more of other accounts.
 const TREND_INTERVAL: Duration = Duration::from_millis(100);
-/// Part of the requests below which those of accounts over their share are too few to relieve the host.
-const FEW: f64 = 0.2;
-/// Time after which older requests of an account count less.
-const FADE_INTERVAL: Duration = Duration::from_millis(50);
-/// Part of an account's requests that still counts after that time: about the last half second does.
-const REMEMBERED: f64 = 0.9;
-/// Requests below which an account is forgotten.
-const FEWEST: f64 = 0.01;
-
-/// The parts that are shed, found out from how late timers are, and their division among accounts.
+/// Fraction of all requests up to which those of accounts over their share are too few to relieve the host.
+const FEW_OVER_SHARE_RATIO: f64 = 0.2;
+/// Interval at which the request counts of accounts decay.
+const DECAY_INTERVAL: Duration = Duration::from_millis(50);
+/// Factor applied to an account's request count at each interval. About the last half second counts.
+const DECAY_FACTOR: f64 = 0.9;
+/// Decayed request count at or below which an account is removed.
+const MIN_REQUESTS: f64 = 0.01;
+
+/// Derives shed ratios from the delay of timers and distributes the shed requests among accounts.
 ///
 /// ```
 /// use std::time::Duration;
@@ -50,58 +50,59 @@
 /// ```
 #[derive(Debug, Default)]
 pub struct LoadShedding {
-    /// Part of the requests of accounts over their share.
-    over_part: f64,
-    /// Part of the requests of others.
-    within_part: f64,
-    /// How late timers are while as much of the former is shed as may be.
-    trend: Option<Trend>,
-    accounts: IntMap<u64, AccountTurns>,
-    next_fade: Duration,
+    /// Fraction that is shed of the requests of accounts over their share.
+    over_share_ratio: f64,
+    /// Fraction that is shed of the requests of other accounts.
+    within_share_ratio: f64,
+    /// Trend of the timer delay while `over_share_ratio` is at its maximum.
+    trend: Option<DelayTrend>,
+    accounts: IntMap<u64, AccountRequests>,
+    next_decay: Duration,
 }
 
 #[derive(Debug)]
-struct Trend {
-    noted_at: Duration,
-    late: Duration,
+struct DelayTrend {
+    sampled_at: Duration,
+    delay: Duration,
     is_rising: bool,
 }
 
-/// The recent requests of one account.
+/// Recent requests of one account.
 #[derive(Debug, Default)]
-struct AccountTurns {
+struct AccountRequests {
     requests: f64,
-    /// What the account was given, as a multiple of its fair share.
+    /// Tokens that the fleet started for the account, as a multiple of its fair share.
     share_used: f64,
-    /// Part of its requests that is shed.
-    part: f64,
-    due: f64,
+    /// Fraction of its requests that is shed.
+    shed_ratio: f64,
+    /// Sum of `shed_ratio` over its requests since the last one that was shed; at 1 the next one is shed.
+    shed_due: f64,
 }
 
-impl AccountTurns {
+impl AccountRequests {
     fn is_over_share(&self) -> bool {
         self.share_used > 1.0
     }
 
-    fn set_shed(&mut self, requests: f64) {
-        self.part = requests / self.requests.max(FEWEST);
+    fn set_shed_requests(&mut self, requests: f64) {
+        self.shed_ratio = requests / self.requests.max(MIN_REQUESTS);
     }
 }
 
 impl LoadShedding {
-    /// Notes how late a timer was.
-    pub fn on_timer(&mut self, now: Duration, late: Duration) {
-        match Self::is_late(late) {
-            true => self.rise(now, late),
-            false => self.fall(),
+    /// Updates the shed ratios after a timer that fired `delay` after it was due.
+    pub fn on_timer(&mut self, now: Duration, delay: Duration) {
+        match Self::is_late(delay) {
+            true => self.increase_ratios(now, delay),
+            false => self.decrease_ratios(),
         }
-        self.fade(now);
+        self.decay(now);
         if self.is_active() {
-            self.divide();
+            self.distribute();
         }
     }
 
-    /// Tells whether a timer is so late that requests are shed for it.
+    /// Tells whether a timer's delay is long enough to shed requests.
     ///
     /// ```
     /// use std::time::Duration;
@@ -110,127 +111,132 @@
     /// assert!(!LoadShedding::is_late(Duration::from_millis(5)));
     /// assert!(LoadShedding::is_late(Duration::from_millis(50)));
     /// ```
-    pub fn is_late(late: Duration) -> bool {
-        late > LATE
+    pub fn is_late(delay: Duration) -> bool {
+        delay > SHEDDING_TIMER_DELAY
     }
 
     /// Tells whether any requests are shed.
     pub fn is_active(&self) -> bool {
-        self.over_part > 0.0 || self.within_part > 0.0
+        self.over_share_ratio > 0.0 || self.within_share_ratio > 0.0
     }
 
-    fn rise(&mut self, now: Duration, late: Duration) {
-        let by = RISE * late.as_secs_f64() / LATE.as_secs_f64();
-        self.over_part = (self.over_part + by).min(MOST);
-        if self.has_few_over() || self.falls_further_behind(now, late) {
-            self.within_part = (self.within_part + by).min(MOST);
+    fn increase_ratios(&mut self, now: Duration, delay: Duration) {
+        let increase = RATIO_INCREASE * delay.as_secs_f64() / SHEDDING_TIMER_DELAY.as_secs_f64();
+        self.over_share_ratio = (self.over_share_ratio + increase).min(MAX_SHED_RATIO);
+        if self.has_few_over_share() || self.is_delay_rising(now, delay) {
+            self.within_share_ratio = (self.within_share_ratio + increase).min(MAX_SHED_RATIO);
         }
     }
 
-    fn has_few_over(&self) -> bool {
-        let requests = |turns: &AccountTurns| turns.requests;
+    fn has_few_over_share(&self) -> bool {
+        let requests = |account: &AccountRequests| account.requests;
         let all: f64 = self.accounts.values().map(requests).sum();
-        let over = self.accounts.values().filter(|turns| turns.is_over_share());
-        over.map(requests).sum::<f64>() <= all * FEW
+        let over_share = self
+            .accounts
+            .values()
+            .filter(|account| account.is_over_share());
+        over_share.map(requests).sum::<f64>() <= all * FEW_OVER_SHARE_RATIO
     }
 
-    /// Tells whether lateness rises though as many requests of accounts over their share are shed as may be.
-    fn falls_further_behind(&mut self, now: Duration, late: Duration) -> bool {
-        if self.over_part < MOST {
+    /// Tells whether the delay rises although as many requests of accounts over their share are shed as allowed.
+    fn is_delay_rising(&mut self, now: Duration, delay: Duration) -> bool {
+        if self.over_share_ratio < MAX_SHED_RATIO {
             self.trend = None;
             return false;
         }
-        let trend = self.trend.get_or_insert(Trend {
-            noted_at: now,
-            late,
+        let trend = self.trend.get_or_insert(DelayTrend {
+            sampled_at: now,
+            delay,
             is_rising: false,
         });
-        if now.saturating_sub(trend.noted_at) >= TREND_INTERVAL {
-            *trend = Trend {
-                noted_at: now,
-                late,
-                is_rising: late >= trend.late,
+        if now.saturating_sub(trend.sampled_at) >= TREND_INTERVAL {
+            *trend = DelayTrend {
+                sampled_at: now,
+                delay,
+                is_rising: delay >= trend.delay,
             };
         }
         trend.is_rising
     }
 
-    fn fall(&mut self) {
+    fn decrease_ratios(&mut self) {
         self.trend = None;
-        if self.within_part > 0.0 {
-            self.within_part = (self.within_part - FALL).max(0.0);
+        if self.within_share_ratio > 0.0 {
+            self.within_share_ratio = (self.within_share_ratio - RATIO_DECREASE).max(0.0);
         } else {
-            self.over_part = (self.over_part - FALL).max(0.0);
+            self.over_share_ratio = (self.over_share_ratio - RATIO_DECREASE).max(0.0);
         }
     }
 
-    fn fade(&mut self, now: Duration) {
-        if now < self.next_fade {
+    fn decay(&mut self, now: Duration) {
+        if now < self.next_decay {
             return;
         }
-        self.next_fade = now + FADE_INTERVAL;
-        for turns in self.accounts.values_mut() {
-            turns.requests *= REMEMBERED;
+        self.next_decay = now + DECAY_INTERVAL;
+        for account in self.accounts.values_mut() {
+            account.requests *= DECAY_FACTOR;
         }
-        self.accounts.retain(|_, turns| turns.requests > FEWEST);
+        self.accounts
+            .retain(|_, account| account.requests > MIN_REQUESTS);
     }
 
-    /// Counts a request that is not shed. `share_used` is what its account was given, as a multiple of its fair share.
+    /// Counts a request that is not shed. `share_used` is what the fleet started for its account, as a multiple of the
+    /// account's fair share.
     pub fn count_kept(&mut self, account: u64, share_used: f64) {
-        self.turns(account, share_used).requests += 1.0;
+        self.requests_of(account, share_used).requests += 1.0;
     }
 
-    /// Tells whether the next request, which is one of `account`, is shed, and counts it if it is.
+    /// Decides whether the next request of `account` is shed, and counts it if so.
     pub fn try_shed(&mut self, account: u64, share_used: f64) -> bool {
         if !self.is_active() {
             return false;
         }
-        let turns = self.turns(account, share_used);
-        turns.due += turns.part;
-        let is_due = turns.due >= 1.0;
+        let recent = self.requests_of(account, share_used);
+        recent.shed_due += recent.shed_ratio;
+        let is_due = recent.shed_due >= 1.0;
         if is_due {
-            turns.due -= 1.0;
-            turns.requests += 1.0;
+            recent.shed_due -= 1.0;
+            recent.requests += 1.0;
         }
         is_due
     }
 
-    fn turns(&mut self, account: u64, share_used: f64) -> &mut AccountTurns {
-        let part = match share_used > 1.0 {
-            true => self.over_part,
-            false => self.within_part,
+    fn requests_of(&mut self, account: u64, share_used: f64) -> &mut AccountRequests {
+        let shed_ratio = match share_used > 1.0 {
+            true => self.over_share_ratio,
+            false => self.within_share_ratio,
         };
-        let turns = self.accounts.entry(account).or_insert(AccountTurns {
-            part,
-            ..AccountTurns::default()
+        let recent = self.accounts.entry(account).or_insert(AccountRequests {
+            shed_ratio,
+            ..AccountRequests::default()
         });
-        turns.share_used = share_used;
-        turns
+        recent.share_used = share_used;
+        recent
     }
 
-    /// Divides what is shed among accounts: of those over their share the furthest ahead come first, of the others
-    /// those with most requests here.
-    fn divide(&mut self) {
+    /// Distributes the shed requests among accounts. Of those over their share, the ones furthest over it are shed
+    /// first; of the others, those with the most requests at this host.
+    fn distribute(&mut self) {
         let mut accounts: Vec<_> = self.accounts.values_mut().collect();
         accounts.sort_by(|one, other| other.share_used.total_cmp(&one.share_used));
-        let over = accounts.partition_point(|turns| turns.is_over_share());
-        let (over, within) = accounts.split_at_mut(over);
-        let mut to_shed = sum_of_requests(over) * self.over_part;
-        for turns in over {
-            let shed = to_shed.min(turns.requests);
-            turns.set_shed(shed);
+        let over_share = accounts.partition_point(|account| account.is_over_share());
+        let (over_share, within_share) = accounts.split_at_mut(over_share);
+        let mut to_shed = sum_of_requests(over_share) * self.over_share_ratio;
+        for account in over_share {
+            let shed = to_shed.min(account.requests);
+            account.set_shed_requests(shed);
             to_shed -= shed;
         }
-        let kept = sum_of_requests(within) * (1.0 - self.within_part);
-        let requests = within.iter().map(|turns| turns.requests);
-        let most_kept = max_min_share(requests.collect(), kept);
-        for turns in within {
-            let shed = (turns.requests - most_kept).max(0.0);
-            turns.set_shed(shed);
+        let kept = sum_of_requests(within_share) * (1.0 - self.within_share_ratio);
+        let requests = within_share.iter().map(|account| account.requests);
+        let max_kept = max_min_share(requests.collect(), kept);
+        for account in within_share {
+            let shed = (account.requests - max_kept).max(0.0);
+            account.set_shed_requests(shed);
         }
     }
 }
 
-fn sum_of_requests(accounts: &[&mut AccountTurns]) -> f64 {
-    accounts.iter().map(|turns| turns.requests).sum()
+fn sum_of_requests(accounts: &[&mut AccountRequests]) -> f64 {
+    accounts.iter().map(|account| account.requests).sum()
 }
--- a/crates/fleet/src/resend_window.rs
+++ b/crates/fleet/src/resend_window.rs
@@ -1,4 +1,4 @@
-//! Bounds how often requests are sent to a second endpoint.
+//! Limits how often requests are sent to a second endpoint.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -6,22 +6,23 @@
 
 use sedgeridge_state::ids::ServiceId;
 
-/// Part of the allowance that is used. The rest covers hosts that count one another late.
-const USED_PART: f64 = 0.7;
+/// Fraction of the allowed resends that a host uses. The rest is a margin for hosts that learn late how many hosts the
+/// fleet has.
+const USED_RATIO: f64 = 0.7;
 
-/// What the operator allows.
+/// Limits that the operator sets.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ResendLimits {
-    /// Sends beyond the first of each request, for each request in the window.
+    /// Resends allowed per request in the window.
     pub ratio: f64,
-    /// Sends beyond the first that the whole fleet has in addition.
+    /// Resends in the window that the whole fleet is allowed in addition.
     pub min_extra: f64,
     /// Length of the window.
     pub window: Duration,
 }
 
 impl Default for ResendLimits {
-    /// A tenth of the requests in ten seconds: for platforms that set no bound.
+    /// A tenth of the requests in ten seconds, for platforms that set no limit.
     fn default() -> Self {
         Self {
             ratio: 0.1,
@@ -31,24 +32,23 @@
     }
 }
 
-/// Counts first sends and further sends by service in a sliding window.
+/// Counts requests and resends by service in a sliding window.
 ///
-/// Each host keeps to its part: the ratio of its own requests, and an even part of the fleet's
-/// fixed allowance. The parts add up to the fleet's bound without a word between hosts.
+/// Each host stays within its part of the fleet's limit: the ratio of its own requests, and an even part of the fixed
+/// allowance. The parts add up to the fleet's limit without messages between hosts.
 #[derive(Debug, Default)]
 pub struct ResendWindow {
     limits: ResendLimits,
-    services: HashMap<ServiceId, Counted>,
+    services: HashMap<ServiceId, ServiceCounts>,
 }
 
 #[derive(Debug, Default)]
-struct Counted {
-    requests: VecDeque<Duration>,
-    resends: VecDeque<Duration>,
+struct ServiceCounts {
+    requested_at: VecDeque<Duration>,
+    resent_at: VecDeque<Duration>,
 }
 
 impl ResendWindow {
-    /// Creates a window without counts.
     pub fn new(limits: ResendLimits) -> Self {
         Self {
             limits,
@@ -56,36 +56,35 @@
         }
     }
 
-    /// Changes the bounds.
     pub fn set_limits(&mut self, limits: ResendLimits) {
         self.limits = limits;
     }
 
     /// Counts a request that is sent for the first time.
     pub fn on_request(&mut self, now: Duration, service: &ServiceId) {
-        let counted = self.services.entry(service.clone()).or_default();
-        counted.requests.push_back(now);
-        counted.forget_before(now.saturating_sub(self.limits.window));
+        let counts = self.services.entry(service.clone()).or_default();
+        counts.requested_at.push_back(now);
+        counts.remove_before(now.saturating_sub(self.limits.window));
     }
 
-    /// Asks to send a request once more, in a fleet of `hosts`; counts it if that is allowed.
+    /// Tells whether a request may be sent again, in a fleet of `hosts`, and counts the resend if so.
     pub fn try_resend(&mut self, now: Duration, service: &ServiceId, hosts: usize) -> bool {
         let limits = self.limits;
-        let counted = self.services.entry(service.clone()).or_default();
-        counted.forget_before(now.saturating_sub(limits.window));
-        let own_part = limits.min_extra / hosts.max(1) as f64;
-        let allowed = limits.ratio * counted.requests.len() as f64 + own_part;
-        let is_allowed = (counted.resends.len() as f64) + 1.0 <= allowed * USED_PART;
+        let counts = self.services.entry(service.clone()).or_default();
+        counts.remove_before(now.saturating_sub(limits.window));
+        let own_extra = limits.min_extra / hosts.max(1) as f64;
+        let allowed = limits.ratio * counts.requested_at.len() as f64 + own_extra;
+        let is_allowed = (counts.resent_at.len() as f64) + 1.0 <= allowed * USED_RATIO;
         if is_allowed {
-            counted.resends.push_back(now);
+            counts.resent_at.push_back(now);
         }
         is_allowed
     }
 }
 
-impl Counted {
-    fn forget_before(&mut self, start: Duration) {
-        for times in [&mut self.requests, &mut self.resends] {
+impl ServiceCounts {
+    fn remove_before(&mut self, start: Duration) {
+        for times in [&mut self.requested_at, &mut self.resent_at] {
             while times.front().is_some_and(|at| *at < start) {
                 times.pop_front();
             }
--- a/crates/fleet/src/verdict.rs
+++ b/crates/fleet/src/verdict.rs
@@ -1,4 +1,4 @@
-//! What is decided about a request, and how its attempts end.
+//! Decisions about requests, and the ways in which attempts fail.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -6,73 +6,73 @@
 use crate::arrival::RequestId;
 use crate::endpoint_table::Endpoint;
 
-/// An action of the dispatcher.
+/// What the dispatcher decided about one request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Decision {
     /// The request.
     pub request: RequestId,
-    /// What happens to it.
+    /// The decision.
     pub verdict: Verdict,
 }
 
-/// What happens to a request.
+/// The next step of a request, or its end.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Verdict {
     /// Send it to this endpoint.
     Send(Arc<Endpoint>),
-    /// Answer that it has not run and never will.
+    /// Answer that the request has not run and will not run.
     Refuse {
-        /// Why.
+        /// Reason of the refusal.
         reason: RefusalReason,
-        /// When to come back.
+        /// Time after which the caller should retry.
         retry_after: Duration,
-        /// What it was decided by.
+        /// Values on which the decision is based.
         basis: Basis,
     },
-    /// Answer that it failed; it may have run.
+    /// Answer that the request failed. It may have run.
     Fail(Failure),
 }
 
-/// What a refusal was decided by.
+/// Values on which a refusal is based, for the log.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Basis {
-    /// What the account was given, as a multiple of its fair share.
+    /// Tokens started for the account, as a multiple of its fair share.
     pub share_used: f64,
-    /// What the account asked for, as a multiple of its fair share.
+    /// Tokens that the account requested, as a multiple of its fair share.
     pub share_requested: f64,
-    /// What the backlogged account that holds others back was given, as a multiple of its fair
-    /// share; infinite if no account is backlogged.
+    /// Tokens started for the backlogged account with the fewest, as a multiple of its fair share; infinite if no
+    /// account is backlogged.
     pub least_share_used: f64,
     /// Requests that waited on this host.
-    pub queued: usize,
+    pub queued_requests: usize,
     /// Hosts whose reports counted, this one included.
     pub hosts: usize,
     /// Age of the oldest report that counted.
     pub oldest_report_age: Duration,
-    /// The endpoint that would have been best.
+    /// The best endpoint of the comparison.
     pub endpoint: Option<Arc<Endpoint>>,
-    /// Time that the endpoint needs for what it has to read already, in milliseconds.
+    /// Time that this endpoint needs to read the prompts that it already has.
     pub backlog_ms: f64,
-    /// Expected time to the first piece there, in milliseconds.
+    /// Expected time to the first piece of the answer of this endpoint.
     pub first_piece_ms: f64,
 }
 
 /// Why a request is refused without having run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RefusalReason {
-    /// The account has had its share while others wait.
+    /// The account is over its share while others wait.
     OverShare,
-    /// No endpoint would begin it in time.
+    /// No endpoint would start the request in time.
     Overload,
-    /// The service has no endpoint that can be reached.
+    /// No endpoint of the service can be reached.
     NoEndpoint,
     /// The request crashed endpoints that ran it.
     Quarantined,
-    /// Every attempt was turned away unrun.
+    /// Endpoints rejected every attempt without running the request.
     TurnedAway,
-    /// The caller's time was over before it could be sent.
+    /// The request's deadline passed before it could be sent.
     OutOfTime,
-    /// The host has no processor time for it; others may.
+    /// The host has no processor time for the request. Other hosts may have.
     HostBusy,
 }
 
@@ -94,19 +94,19 @@
 /// How an attempt failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Failure {
-    /// No connection to the endpoint; nothing was sent.
+    /// No connection to the endpoint was made; nothing was sent.
     NotConnected,
-    /// The endpoint said that it did not run the request.
+    /// The endpoint answered that it did not run the request.
     TurnedAway,
-    /// Another endpoint has the address and did not run the request.
+    /// Another endpoint now has the address. It did not run the request.
     Misdirected,
     /// The connection was lost after the request was sent.
     ConnectionLost,
-    /// The answer was spoiled, or belonged to another request.
+    /// The answer was corrupt, or belonged to another request.
     SpoiledAnswer,
-    /// The endpoint answered with a failure of its own.
+    /// The endpoint answered with a server error.
     ServerError,
-    /// Nothing came for too long.
+    /// The endpoint sent nothing for too long.
     TimedOut,
 }
 
--- a/crates/fleet/src/work_sums.rs
+++ b/crates/fleet/src/work_sums.rs
@@ -1,4 +1,4 @@
-//! Work of one host or of many, by endpoint and by client account.
+//! Sums of the work of one or more hosts, by endpoint and by client account.
 
 use nohash_hasher::IntMap;
 
@@ -33,12 +33,12 @@
         }
     }
 
-    /// Takes away a part of the sums.
-    pub fn subtract(&mut self, part: &Self) {
-        for (endpoint, load) in &part.loads {
+    /// Subtracts sums that were added before.
+    pub fn subtract(&mut self, other: &Self) {
+        for (endpoint, load) in &other.loads {
             self.loads.entry(*endpoint).or_default().subtract(*load);
         }
-        for (account, used) in &part.usage {
+        for (account, used) in &other.usage {
             self.usage.entry(*account).or_default().subtract(*used);
         }
     }
--- a/crates/gateway/src/call_log.rs
+++ b/crates/gateway/src/call_log.rs
@@ -106,7 +106,7 @@
         ("standing", rounded(basis.share_used)),
         ("asked", rounded(basis.share_requested)),
         ("least_standing", rounded(basis.least_share_used)),
-        ("queued", basis.queued.into()),
+        ("queued", basis.queued_requests.into()),
         ("hosts", basis.hosts.into()),
         ("oldest_report_ms", millis(basis.oldest_report_age)),
         ("endpoint", endpoint.into()),
