--- a/crates/fleet/src/dispatcher.rs
+++ b/crates/fleet/src/dispatcher.rs
@@ -1,4 +1,4 @@
-//! Decides for each request when it is sent, to which endpoint, and when it is given up.
+//! Decides for each request when and to which endpoint it is sent, and when it is refused or fails.
 
 mod admission;
 mod attempts;
@@ -49,83 +49,83 @@
 pub use peers::OutgoingReport;
 pub use peers::ReportRecipient;
 
-/// Reading speed of an engine against the tokens that it processes in a second with reading and
-/// generating mixed. Engines read in large batches and generate one token a step.
+/// Ratio of an engine's reading speed to its stated throughput, which mixes reading and generating. Engines read in
+/// large batches and generate one token per step.
 const READ_SPEED_FACTOR: f64 = 2.0;
-/// Time between two looks at the queue when nothing else happens.
-const TICK: Duration = Duration::from_millis(20);
-/// Time to the next look at the queue when room may have come free. Looking at each such moment
-/// costs a loaded host most of its processor time.
-const SOON: Duration = Duration::from_millis(5);
-/// What callers of a flooded host ask for, against callers of the mean of the other hosts.
-const FLOODED_RATIO: f64 = 1.5;
-/// Time between two rounds over reports and sums.
+/// Interval at which the queue is checked when nothing else happens.
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
+/// Delay of the next check of the queue after an engine may have got free capacity. Checking at each such moment costs a
+/// loaded host most of its processor time.
+const EARLY_CHECK_DELAY: Duration = Duration::from_millis(5);
+/// Ratio of the tokens requested from this host to the mean of the other hosts above which it has excess demand.
+const EXCESS_DEMAND_RATIO: f64 = 1.5;
+/// Interval at which reports and sums are updated.
 const UPKEEP_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Fixed properties of the host and the bounds that the operator set.
+/// Fixed properties of the host, and limits that the operator sets.
 #[derive(Debug, Clone)]
 pub struct DispatcherSettings {
     /// Hash of this host's name.
     pub host: u64,
     /// Number of this run of the host.
     pub run: u64,
-    /// This host's data centre.
+    /// Data centre of this host.
     pub data_centre: Arc<str>,
-    /// Window over which accounts share the engines.
+    /// Length of the window over which the shares of accounts are computed.
     pub share_window: Duration,
-    /// Time from the start of the process in which a fleet that was restarted serves again.
+    /// Time after the start of the process within which a restarted fleet serves requests again.
     pub recovery: Duration,
-    /// Bounds of sending a request to a second endpoint.
+    /// Limits on sending a request to a second endpoint.
     pub resends: ResendLimits,
-    /// Bounds of requests to endpoints that have just started.
+    /// Limits on requests to endpoints that have just started.
     pub cold_starts: ColdStartBounds,
-    /// Bounds of queueing and of engines' backlogs.
+    /// Limits on queueing and on the backlogs of engines.
     pub admission: AdmissionSettings,
 }
 
-/// Something that happened.
+/// An input of the dispatcher.
 #[derive(Debug)]
 pub enum DispatchEvent {
-    /// Another configuration is in force.
+    /// A new configuration is in force.
     Configured(Arc<FleetConfig>),
     /// An endpoint is listed, or its entry changed.
     EndpointListed(Endpoint),
     /// An endpoint is no longer listed.
     EndpointGone(Arc<Endpoint>),
-    /// An endpoint said in an answer that it is about to stop.
+    /// An endpoint announced in an answer that it is about to stop.
     EndpointLeaving(Arc<Endpoint>),
-    /// An endpoint turned a request away and wants no further ones from this host for a time.
+    /// An endpoint rejected a request and asked this host to send none for the given time.
     EndpointPaused(Arc<Endpoint>, Duration),
-    /// The operator wants nothing more sent to the endpoints of a data centre.
+    /// The operator evacuated a data centre: its endpoints get no more requests.
     Evacuated(Arc<str>),
-    /// The operator has taken an evacuation back.
+    /// The operator ended the evacuation of a data centre.
     EvacuationEnded(Arc<str>),
     /// A request has been read.
     Arrived(Box<Arrival>),
-    /// The first piece of a request's answer came.
+    /// The first piece of a request's answer arrived.
     FirstPiece(RequestId),
-    /// A request's answer came whole.
+    /// A request's answer is complete.
     Completed(RequestId),
-    /// The fingerprint of a request that had none was worked out.
+    /// The fingerprint of a request that arrived without one was computed.
     FingerprintComputed(RequestId, Fingerprint),
     /// An attempt failed.
     AttemptFailed(RequestId, Failure),
-    /// The caller left, or the request ended without an answer in full.
+    /// The caller disconnected, or the request ended without a complete answer.
     Abandoned(RequestId),
-    /// The store's list of the fleet's hosts was read.
+    /// The list of the fleet's hosts was read from the store.
     HostsListed(Vec<ListedHost>),
-    /// Another host's report.
+    /// Another host's report arrived.
     Reported(PeerReport),
-    /// Time has passed.
+    /// The time of [`Dispatcher::next_tick`] has come.
     Tick,
 }
 
-/// All decisions of one host about requests.
+/// Makes all decisions of one host about requests.
 #[derive(Debug)]
 pub struct Dispatcher {
     settings: DispatcherSettings,
     services: BTreeMap<ServiceId, ServiceSpec>,
-    /// Shortest latency target of the routes to a service.
+    /// Shortest latency target of the routes to each service.
     shortest_target: HashMap<ServiceId, Duration>,
     tokens_per_s: Option<f64>,
     endpoints: EndpointTable,
@@ -139,12 +139,13 @@
     cached: CachedParts,
     shares: AccountShares,
     resends: ResendWindow,
-    returns: RetryDelays,
+    retry_delays: RetryDelays,
     quarantine: Quarantine,
     requests: HashMap<RequestId, Pending>,
     queue: Vec<RequestId>,
     own_listing: ListedHost,
     peers: peers::PeerLinks,
+    /// Until when requests of accounts over their share are refused without a comparison of engines.
     no_room_until: Duration,
     next_tick: Duration,
     next_upkeep: Duration,
@@ -154,11 +155,11 @@
 /// Totals since the start, for metrics.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct DispatchCounts {
-    /// Requests sent for the first time.
+    /// Requests sent at least once.
     pub sent: u64,
-    /// Requests sent once more.
+    /// Sends beyond the first of a request.
     pub resent: u64,
-    /// Resends that the budget did not allow.
+    /// Resends that the limits did not allow.
     pub resends_denied: u64,
 }
 
@@ -167,10 +168,10 @@
 struct Pending {
     arrival: Arrival,
     sends: u32,
-    unreached: u32,
-    tried: Vec<u64>,
+    unreachable: u32,
+    tried_endpoints: Vec<u64>,
     may_have_run: bool,
-    /// Whether it counts as begun for its account.
+    /// Whether it counts as started for its account.
     is_charged: bool,
     last_failure: Option<Failure>,
     attempt: Option<Attempt>,
@@ -182,12 +183,12 @@
     endpoint: Arc<Endpoint>,
     load: Load,
     sent_at: Duration,
-    unread_ahead: f64,
+    unread_tokens_ahead: f64,
     has_first_piece: bool,
 }
 
 impl Dispatcher {
-    /// Creates a dispatcher that knows no configuration and no endpoints.
+    /// Creates a dispatcher without a configuration and endpoints.
     pub fn new(settings: DispatcherSettings) -> Self {
         let own_listing = ListedHost {
             host: settings.host,
@@ -208,7 +209,7 @@
             cached: CachedParts::default(),
             shares: AccountShares::new(settings.share_window),
             resends: ResendWindow::new(settings.resends),
-            returns: RetryDelays::default(),
+            retry_delays: RetryDelays::default(),
             quarantine: Quarantine::new(HealthSettings::default()),
             requests: HashMap::new(),
             queue: Vec::new(),
@@ -222,7 +223,7 @@
         }
     }
 
-    /// Takes one event; adds what follows from it to `decisions`.
+    /// Handles one event and appends the resulting decisions to `decisions`.
     pub fn handle(&mut self, now: Duration, event: DispatchEvent, decisions: &mut Vec<Decision>) {
         match event {
             DispatchEvent::Configured(config) => self.on_config(now, &config),
@@ -259,7 +260,7 @@
         }
     }
 
-    /// Takes in changed bounds; what was counted stays.
+    /// Changes the limits and keeps all counts.
     pub fn set_bounds(
         &mut self,
         share_window: Duration,
@@ -275,8 +276,7 @@
         self.resends.set_limits(resends);
     }
 
-    /// Tells whether arrivals have to bring their fingerprints: some request is suspected of
-    /// crashing endpoints.
+    /// Tells whether arrivals need fingerprints, because some request is suspected of crashing endpoints.
     pub fn needs_fingerprints(&self) -> bool {
         !self.quarantine.is_empty()
     }
@@ -296,7 +296,7 @@
         &self.endpoints
     }
 
-    /// Returns how many idle connections this host keeps to each endpoint of a service.
+    /// Returns how many idle connections this host may keep to each endpoint of a service.
     pub fn idle_connections(&self, now: Duration, service: &ServiceId) -> usize {
         let spec = self.services.get(service);
         let max_connections = spec.map_or(0, |spec| spec.max_connections);
@@ -313,47 +313,47 @@
         self.cold.count(now)
     }
 
-    /// Returns the whole fleet's work on an endpoint, as far as this host knows it.
+    /// Returns the load of the whole fleet on an endpoint, as far as this host knows it.
     pub fn endpoint_load(&self, endpoint: u64) -> Load {
         self.loads.total(endpoint)
     }
 
-    /// Returns what an account was given by the fleet, as a multiple of its fair share.
+    /// Returns the tokens that the fleet started for an account, as a multiple of its fair share.
     pub fn account_share_used(&self, account: u64) -> f64 {
         self.shares.share_used(account)
     }
 
-    /// Tells whether this host's callers ask for much more than those of other hosts do, so that others have the time
-    /// for a part of their requests.
+    /// Tells whether callers request much more from this host than from the other hosts, which therefore have time for a
+    /// part of its requests.
     ///
-    /// A host that has just started says no. After a restart of the whole fleet all hosts are late, and requests that
-    /// each of them leaves to the others are served by nobody.
+    /// It is false for a host that has just started. After a restart of the whole fleet all hosts are late, and a request
+    /// that each host leaves to the others is served by none.
     pub fn has_excess_demand(&self, now: Duration) -> bool {
         if now < self.settings.recovery {
             return false;
         }
         let others = self.hosts(now).saturating_sub(1) as f64;
-        let (here, in_all) = self.shares.requested_here_and_in_fleet();
-        let elsewhere = in_all - here;
-        elsewhere > 0.0 && here * others > elsewhere * FLOODED_RATIO
+        let (here, in_fleet) = self.shares.requested_here_and_in_fleet();
+        let elsewhere = in_fleet - here;
+        elsewhere > 0.0 && here * others > elsewhere * EXCESS_DEMAND_RATIO
     }
 
-    /// Counts a prompt that was left to another host.
+    /// Counts the tokens of a prompt that was shed, so that another host may serve it.
     pub fn on_shed(&mut self, now: Duration, account: u64, tokens: f64) {
         self.shares.on_arrived(now, account, tokens);
     }
 
-    /// Tells whether an account has had more than its share of the fleet.
+    /// Tells whether the fleet started more for an account than its fair share.
     pub fn is_over_share(&self, account: u64) -> bool {
         self.account_share_used(account) > 1.0
     }
 
-    /// Tells whether engines had nothing left for accounts over their share a moment ago.
+    /// Tells whether, a moment ago, engines had no capacity left for accounts over their share.
     pub fn has_no_room(&self, now: Duration) -> bool {
         now < self.no_room_until
     }
 
-    /// Tells whether a new prompt of an account is refused at once, whatever it asks for.
+    /// Tells whether a new prompt of an account is refused at once, whatever its length.
     pub fn refuses_at_once(&self, now: Duration, account: u64) -> bool {
         self.has_no_room(now) && self.is_over_share(account)
     }
@@ -369,8 +369,8 @@
     }
 
     fn on_config(&mut self, now: Duration, config: &FleetConfig) {
-        let before = std::mem::replace(&mut self.services, config.services.clone());
-        self.note_cold_of_new_services(now, &before);
+        let old_services = std::mem::replace(&mut self.services, config.services.clone());
+        self.note_cold_starts_of_new_services(now, &old_services);
         self.tokens_per_s = config.limits.tokens_per_s;
         self.shares.set_capacity(config.limits.tokens_per_s);
         self.shortest_target.clear();
@@ -383,7 +383,7 @@
                 *shortest = (*shortest).min(route.latency_target);
             }
         }
-        self.expect_speed();
+        self.update_expected_speed();
     }
 
     fn on_listed(&mut self, now: Duration, mut endpoint: Endpoint) {
@@ -394,7 +394,7 @@
             self.forget_run(earlier_run);
         }
         self.note_cold_start(now, &id, earlier_run.is_some());
-        self.expect_speed();
+        self.update_expected_speed();
     }
 
     fn on_leaving(&mut self, now: Duration, endpoint: &Endpoint) {
@@ -405,7 +405,7 @@
     fn on_gone(&mut self, endpoint: &Endpoint) {
         self.endpoints.remove(&endpoint.id);
         self.forget_run(endpoint);
-        self.expect_speed();
+        self.update_expected_speed();
     }
 
     fn forget_run(&mut self, run: &Endpoint) {
@@ -415,19 +415,21 @@
         self.records.forget(run.key);
     }
 
-    fn expect_speed(&mut self) {
+    fn update_expected_speed(&mut self) {
         let Some(tokens_per_s) = self.tokens_per_s else {
             return;
         };
-        let of_engines = self.services.iter();
-        let of_engines = of_engines.filter(|(_, spec)| spec.engine.is_some());
-        let engines: usize = of_engines.map(|(id, _)| self.endpoints.count(id)).sum();
-        let each_per_ms = tokens_per_s / 1_000.0 / engines.max(1) as f64;
-        self.speeds.expect(each_per_ms * READ_SPEED_FACTOR);
+        let engine_services = self.services.iter();
+        let engine_services = engine_services.filter(|(_, spec)| spec.engine.is_some());
+        let engines: usize = engine_services
+            .map(|(id, _)| self.endpoints.count(id))
+            .sum();
+        let engine_tokens_per_ms = tokens_per_s / 1_000.0 / engines.max(1) as f64;
+        self.speeds.expect(engine_tokens_per_ms * READ_SPEED_FACTOR);
     }
 
     fn on_tick(&mut self, now: Duration, decisions: &mut Vec<Decision>) {
-        self.next_tick = now + TICK;
+        self.next_tick = now + TICK_INTERVAL;
         if now >= self.next_upkeep {
             self.next_upkeep = now + UPKEEP_INTERVAL;
             self.loads.tick(now);
@@ -441,10 +443,10 @@
         self.serve_queue(now, decisions);
     }
 
-    /// An engine has finished reading a prompt, so that queued requests may find room.
-    fn look_again_soon(&mut self, now: Duration) {
+    /// Brings the next tick forward after an engine has read a prompt: queued requests may find free capacity.
+    fn tick_early(&mut self, now: Duration) {
         if !self.queue.is_empty() {
-            self.next_tick = self.next_tick.min(now + SOON);
+            self.next_tick = self.next_tick.min(now + EARLY_CHECK_DELAY);
         }
     }
 }
--- a/crates/fleet/src/dispatcher/admission.rs
+++ b/crates/fleet/src/dispatcher/admission.rs
@@ -1,4 +1,4 @@
-//! Which queued request is sent next, where to, and which is refused.
+//! Decides which request is sent next, to which endpoint, and which is refused.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,33 +17,31 @@
 use crate::verdict::Decision;
 use crate::verdict::RefusalReason;
 
-/// Bounds of queueing and of engines' backlogs.
+/// Limits on queueing and on the backlogs of engines.
 #[derive(Debug, Clone, PartialEq)]
 pub struct AdmissionSettings {
-    /// Backlog of an engine, as a part of the shortest latency target of its routes, up to which it
-    /// is given more to read.
+    /// Backlog up to which an engine gets more requests, as a fraction of the shortest latency target of its routes.
     pub backlog_ratio: f64,
-    /// The same for accounts that have had their share, and for requests that are late anyway. They
-    /// get what engines have left: with more they take so much reading time that the others' first
-    /// events come late.
+    /// The same for accounts over their share, and for requests that are late in any case. They get the capacity that
+    /// engines have left. With a higher limit they take so much reading time that the first events of others are late.
     pub low_backlog_ratio: f64,
-    /// Part of an engine's slots up to which it counts as idle. Only idle engines take requests of
-    /// accounts that are far ahead of a backlogged one. Without it such accounts are refused on calm days too.
+    /// Fraction of an engine's slots in use up to which it counts as idle. Only idle engines take requests of accounts
+    /// that are far ahead of a backlogged one. Without this exception such accounts are refused on calm days too.
     pub idle_slots_ratio: f64,
-    /// Part of the latency target that a request may wait for an endpoint.
+    /// Fraction of the latency target that a request may wait for an endpoint.
     pub queue_time_ratio: f64,
-    /// Part of the latency target by which the first event is expected, or the request counts as
-    /// late. The rest is for the way to the caller and the error of the estimate.
+    /// Fraction of the latency target. A request whose first event is expected later counts as late. The rest covers the
+    /// way to the caller and the error of the estimate.
     pub target_ratio: f64,
-    /// Part of an engine's memory that requests in progress may take. Beyond it the engine puts a
-    /// running request back and reads it again; the rest covers answers longer than expected.
+    /// Fraction of an engine's memory that requests in progress may take. An engine without memory suspends a running
+    /// request and reads its prompt again later. The rest covers answers longer than expected.
     pub memory_ratio: f64,
-    /// Requests on a plain endpoint, as a multiple of its slots. With two, a request waits there for
-    /// one other at most on the average.
+    /// Maximum number of requests on a plain endpoint, as a multiple of its slots. With 2, a request waits there for at
+    /// most one other on average.
     pub plain_requests_per_slot: f64,
-    /// Time that a request to another data centre costs in the comparison of endpoints: the way
-    /// there and back at a millisecond each, twice, since bytes between data centres are paid for.
-    pub distance: Duration,
+    /// Time added to an endpoint in another data centre when endpoints are compared: the way there and back at a
+    /// millisecond each, doubled because traffic between data centres is paid for.
+    pub remote_cost: Duration,
 }
 
 impl Default for AdmissionSettings {
@@ -56,37 +54,37 @@
             target_ratio: 0.9,
             memory_ratio: 0.9,
             plain_requests_per_slot: 2.0,
-            distance: Duration::from_millis(4),
+            remote_cost: Duration::from_millis(4),
         }
     }
 }
 
-/// Time that a failing endpoint costs in the comparison, at a failure share of 1: several latency
-/// targets, so that any endpoint that answers goes before one that never does.
+/// Cost in the comparison of an endpoint with a failure share of 1. It is several latency targets, so that any endpoint
+/// that answers is preferred to one that never does.
 const FAILURE_COST_MS: f64 = 400.0;
-/// Cost in the comparison of a shared token that an endpoint has not cached, besides its reading
-/// time: it takes memory from other shared parts, which are read again in turn.
-const REREAD_COST_MS: f64 = 0.1;
-/// Cost in the comparison of each further home of a prompt, a third of the time that reading a usual
-/// shared part takes: below this difference in time all
-/// requests about a subject meet at its first home, which alone then caches the shared part.
-const NEXT_HOME_COST_MS: f64 = 30.0;
-/// Part of its slots up to which the second home takes such a prompt. Each home reads the shared part; without a
-/// second one more requests of a calm day are refused.
-const SECOND_HOME_PART: f64 = 0.25;
-/// Part of the shared tokens that counts as memory of its own: several requests hold them together.
-const SHARED_MEMORY_PART: f64 = 0.3;
-/// Part of the largest answer that counts as memory: answers end early, and grow while they run.
-const ANSWER_MEMORY_PART: f64 = 0.5;
-/// Time for which accounts over their share are refused without another comparison, once it has
-/// shown that engines have no room left over. In a flood the comparison of a hundred engines for each
-/// request uses up a small host's processor, and then everybody waits.
-const NO_ROOM_TIME: Duration = Duration::from_millis(10);
-/// When the caller of a request that is suspected of crashing endpoints should come back: by then the
-/// endpoint that runs it has answered or is known to be down.
-const QUARANTINE_RETRY: Duration = Duration::from_millis(2_000);
-/// When a caller should come back where no endpoint could be reached: detection plus restart.
-const OUTAGE_RETRY: Duration = Duration::from_millis(400);
+/// Cost in the comparison of each shared token that an endpoint has not cached, in addition to its reading time: it
+/// displaces other shared parts from the cache, which are then read again.
+const REREAD_TOKEN_COST_MS: f64 = 0.1;
+/// Cost in the comparison of the second home of a prompt, a third of the time in which a usual shared part is read. Below
+/// this difference in time, all requests about a subject go to its first home, which alone caches the shared part.
+const SECOND_HOME_COST_MS: f64 = 30.0;
+/// Fraction of its slots in use up to which the second home takes a prompt with a long shared part. Each home has to read
+/// the shared part; without a second home more requests are refused on a calm day.
+const SECOND_HOME_RATIO: f64 = 0.25;
+/// Fraction of the shared tokens that counts as memory of one request: several requests hold them together.
+const SHARED_MEMORY_RATIO: f64 = 0.3;
+/// Fraction of the maximum answer length that counts as memory: answers end early, and grow while they run.
+const ANSWER_MEMORY_RATIO: f64 = 0.5;
+/// Time for which accounts over their share are refused without another comparison, after one has shown that engines have
+/// no capacity left for them. In a flood, comparing a hundred engines for each request uses up the processor of a small
+/// host, and all requests wait.
+const NO_ROOM_DURATION: Duration = Duration::from_millis(10);
+/// Retry delay for a request that is suspected of crashing endpoints. By then the endpoint that runs it has answered or is
+/// known to be down.
+const QUARANTINE_RETRY_DELAY: Duration = Duration::from_millis(2_000);
+/// Retry delay when no endpoint can be reached: the time of detection plus restart.
+const OUTAGE_RETRY_DELAY: Duration = Duration::from_millis(400);
+
 /// An endpoint that could take a request.
 struct Candidate<'a> {
     endpoint: &'a Arc<Endpoint>,
@@ -94,11 +92,11 @@
     cost_ms: f64,
     backlog_ms: f64,
     first_event_ms: f64,
-    /// Requests in progress as a part of the slots.
-    busy_part: f64,
+    /// Requests in progress, as a fraction of the slots.
+    busy_ratio: f64,
 }
 
-impl From<Candidate<'_>> for Compared {
+impl From<Candidate<'_>> for BestEndpoint {
     fn from(best: Candidate<'_>) -> Self {
         Self {
             endpoint: best.endpoint.clone(),
@@ -108,22 +106,22 @@
     }
 }
 
-/// What becomes of a queued request at this moment.
-enum Placing {
+/// Next step of a request.
+enum Admission {
     Send(Arc<Endpoint>, Load),
     Wait,
-    Refuse(RefusalReason, Option<Compared>),
+    Refuse(RefusalReason, Option<BestEndpoint>),
 }
 
-/// The best endpoint at the moment of a decision, for the log.
-pub(super) struct Compared {
+/// The best endpoint when a decision was made, for the log and the retry delay.
+pub(super) struct BestEndpoint {
     pub(super) endpoint: Arc<Endpoint>,
     pub(super) backlog_ms: f64,
     pub(super) first_event_ms: f64,
 }
 
 impl Dispatcher {
-    /// Sends, keeps or refuses each queued request; accounts that had least go first.
+    /// Sends, keeps or refuses each queued request, accounts with the smallest share used first.
     pub(super) fn serve_queue(&mut self, now: Duration, decisions: &mut Vec<Decision>) {
         if self.queue.is_empty() {
             return;
@@ -131,7 +129,7 @@
         let mut queue = std::mem::take(&mut self.queue);
         let mut order: Vec<_> = queue
             .drain(..)
-            .filter_map(|id| Some((self.rank(id)?, id)))
+            .filter_map(|id| Some((self.queue_rank(id)?, id)))
             .collect();
         order.sort_by(|(one, _), (other, _)| one.total_cmp(other));
         for (_, id) in order {
@@ -149,41 +147,41 @@
         let Some(pending) = self.requests.get(&id) else {
             return;
         };
-        let is_kept = match self.place(now, pending) {
-            Placing::Send(endpoint, load) => !self.start(now, id, endpoint, load, decisions),
-            Placing::Wait => true,
-            Placing::Refuse(reason, best) => {
-                // A refusal without a comparison shows nothing new.
+        let is_queued = match self.decide(now, pending) {
+            Admission::Send(endpoint, load) => !self.start(now, id, endpoint, load, decisions),
+            Admission::Wait => true,
+            Admission::Refuse(reason, best) => {
+                // A refusal without a comparison of endpoints gives no new information.
                 if reason == RefusalReason::OverShare && best.is_some() {
-                    self.no_room_until = now + NO_ROOM_TIME;
+                    self.no_room_until = now + NO_ROOM_DURATION;
                 }
                 self.end_unsent(now, id, reason, best, decisions);
                 false
             }
         };
-        if is_kept {
+        if is_queued {
             self.queue.push(id);
         }
     }
 
-    /// Ends a request that waits for an endpoint, whether or not it was tried before.
+    /// Ends a request that waits for an endpoint. It may have run in an earlier attempt.
     fn end_unsent(
         &mut self,
         now: Duration,
         id: RequestId,
         reason: RefusalReason,
-        best: Option<Compared>,
+        best: Option<BestEndpoint>,
         decisions: &mut Vec<Decision>,
     ) {
-        let was_tried = self.requests.get(&id).is_some_and(|p| p.may_have_run);
-        if was_tried {
+        let may_have_run = self.requests.get(&id).is_some_and(|p| p.may_have_run);
+        if may_have_run {
             self.give_up(now, id, decisions);
         } else {
             self.refuse(now, id, reason, best, decisions);
         }
     }
 
-    fn rank(&self, id: RequestId) -> Option<f64> {
+    fn queue_rank(&self, id: RequestId) -> Option<f64> {
         let arrival = &self.requests.get(&id)?.arrival;
         Some(self.share_used(arrival))
     }
@@ -193,40 +191,40 @@
         account.map_or(0.0, |account| self.shares.share_used(account))
     }
 
-    fn place(&self, now: Duration, pending: &Pending) -> Placing {
+    fn decide(&self, now: Duration, pending: &Pending) -> Admission {
         let arrival = &pending.arrival;
         if now >= arrival.deadline {
-            return Placing::Refuse(RefusalReason::OutOfTime, None);
+            return Admission::Refuse(RefusalReason::OutOfTime, None);
         }
         let is_over_share = self.share_used(arrival) > 1.0;
-        let is_fresh = arrival.prompt.is_some() && pending.sends == 0;
-        if is_over_share && is_fresh && self.has_no_room(now) {
-            return Placing::Refuse(RefusalReason::OverShare, None);
+        let is_first_send = arrival.prompt.is_some() && pending.sends == 0;
+        if is_over_share && is_first_send && self.has_no_room(now) {
+            return Admission::Refuse(RefusalReason::OverShare, None);
         }
-        let hold = arrival
+        let max_wait = arrival
             .route
             .latency_target
             .mul_f64(self.settings.admission.queue_time_ratio);
-        let held_until = arrival.received_at + hold;
-        let is_held_long = now >= held_until;
+        let waits_until = arrival.received_at + max_wait;
+        let has_waited_long = now >= waits_until;
         let Some(best) = self.best_candidate(now, pending) else {
             let closed_until = self.closed_until(now, &arrival.service);
-            let waits_in_vain = closed_until.is_some_and(|until| until > held_until);
-            return match is_held_long || waits_in_vain {
-                true => Placing::Refuse(RefusalReason::NoEndpoint, None),
-                false => Placing::Wait,
+            let is_closed_too_long = closed_until.is_some_and(|until| until > waits_until);
+            return match has_waited_long || is_closed_too_long {
+                true => Admission::Refuse(RefusalReason::NoEndpoint, None),
+                false => Admission::Wait,
             };
         };
         if self.is_admitted(now, pending, &best) {
-            return Placing::Send(best.endpoint.clone(), best.load);
+            return Admission::Send(best.endpoint.clone(), best.load);
         }
         let reason = match is_over_share {
-            // Waiting would not help: those that have had less go first.
+            // Waiting would not help, since accounts with a smaller share used go first.
             true => RefusalReason::OverShare,
-            false if is_held_long => RefusalReason::Overload,
-            false => return Placing::Wait,
+            false if has_waited_long => RefusalReason::Overload,
+            false => return Admission::Wait,
         };
-        Placing::Refuse(reason, Some(best.into()))
+        Admission::Refuse(reason, Some(best.into()))
     }
 
     fn is_admitted(&self, now: Duration, pending: &Pending, best: &Candidate<'_>) -> bool {
@@ -236,36 +234,36 @@
             return true;
         }
         if pending.may_have_run {
-            // It has been begun: its caller waits for the rest, and the engine's work is spent.
+            // The request was started before: its caller waits for the rest, and engines have done work for it.
             return true;
         }
         let lead = arrival.account.map(|account| self.shares.lead(account));
         match lead.unwrap_or(Lead::Small) {
             Lead::TooLarge => return false,
-            Lead::Large if best.busy_part > settings.idle_slots_ratio => return false,
+            Lead::Large if best.busy_ratio > settings.idle_slots_ratio => return false,
             Lead::Large | Lead::Small => {}
         }
         best.backlog_ms <= self.allowed_backlog_ms(now, arrival, best.first_event_ms)
     }
 
-    /// Returns the backlog up to which an engine is given this request. Callers that come back after
-    /// a refusal count like others: time budgets of one route differ by more than what a refused
-    /// caller has used up, so that the time left does not tell who has tried before.
+    /// Returns the backlog up to which an engine gets this request. Callers that retry after a refusal are treated like
+    /// others: the time budgets of one route differ by more than the time that a refused caller has used, so the time left
+    /// does not tell which caller has tried before.
     fn allowed_backlog_ms(&self, now: Duration, arrival: &Arrival, first_event_ms: f64) -> f64 {
         let settings = &self.settings.admission;
-        let left = arrival.first_piece_deadline().saturating_sub(now);
-        let left_ms = left.as_secs_f64() * 1_000.0 * settings.target_ratio;
-        let is_in_time = first_event_ms <= left_ms;
-        let part = match is_in_time && self.share_used(arrival) <= 1.0 {
+        let time_left = arrival.first_piece_deadline().saturating_sub(now);
+        let usable_ms = time_left.as_secs_f64() * 1_000.0 * settings.target_ratio;
+        let is_in_time = first_event_ms <= usable_ms;
+        let ratio = match is_in_time && self.share_used(arrival) <= 1.0 {
             true => settings.backlog_ratio,
             false => settings.low_backlog_ratio,
         };
         let target = self.shortest_target.get(&arrival.service);
         let target = target.copied().unwrap_or(arrival.route.latency_target);
-        target.as_secs_f64() * 1_000.0 * part
+        target.as_secs_f64() * 1_000.0 * ratio
     }
 
-    /// Returns the best endpoint that has room, among those where the request should go.
+    /// Returns the best endpoint with free capacity among those allowed for the request.
     fn best_candidate(&self, now: Duration, pending: &Pending) -> Option<Candidate<'_>> {
         let places = self.places(now, pending);
         let best = self.best_of(now, pending, &places);
@@ -287,7 +285,7 @@
             places.allow(endpoint.key)
                 && self.records.is_up(now, endpoint.key)
                 && self.is_open(now, endpoint)
-                && !pending.tried.contains(&endpoint.key)
+                && !pending.tried_endpoints.contains(&endpoint.key)
         });
         let candidates = untried.filter_map(|endpoint| match (prompt, engine) {
             (Some(prompt), Some(engine)) => {
@@ -295,12 +293,12 @@
                 let candidate =
                     self.engine_candidate(now, endpoint, engine, prompt, home.is_some())?;
                 let is_second = matches!(places, Places::Homes(_)) && home == Some(1);
-                if is_second && candidate.busy_part > SECOND_HOME_PART {
+                if is_second && candidate.busy_ratio > SECOND_HOME_RATIO {
                     return None;
                 }
-                let further_ms = f64::from(u8::from(is_second)) * NEXT_HOME_COST_MS;
+                let home_cost_ms = f64::from(u8::from(is_second)) * SECOND_HOME_COST_MS;
                 Some(Candidate {
-                    cost_ms: candidate.cost_ms + further_ms,
+                    cost_ms: candidate.cost_ms + home_cost_ms,
                     ..candidate
                 })
             }
@@ -321,20 +319,20 @@
         let key = endpoint.key;
         let total = self.loads.total(key);
         let unread = self.cached.unread_tokens(now, key, prompt, is_home);
-        let own_part = prompt.prompt_tokens.saturating_sub(prompt.shared_tokens());
-        let unread_shared = unread.saturating_sub(own_part);
+        let own_tokens = prompt.prompt_tokens.saturating_sub(prompt.shared_tokens());
+        let unread_shared = unread.saturating_sub(own_tokens);
         let shared = f64::from(prompt.shared_tokens());
         let own = f64::from(prompt.prompt_tokens) - shared;
-        let answer = f64::from(prompt.max_output_tokens) * ANSWER_MEMORY_PART;
+        let answer = f64::from(prompt.max_output_tokens) * ANSWER_MEMORY_RATIO;
         let load = Load {
             unread_tokens: unread,
             requests: 1,
-            memory_tokens: (own + shared * SHARED_MEMORY_PART + answer) as u32,
+            memory_tokens: (own + shared * SHARED_MEMORY_RATIO + answer) as u32,
         };
         let memory = f64::from(total.memory_tokens) + f64::from(load.memory_tokens);
         let has_memory = memory <= engine.memory_tokens as f64 * settings.memory_ratio;
         let has_slot = total.requests < endpoint.slots.min(engine.slots);
-        // An idle engine takes any request: it may be larger than the estimate allows.
+        // An idle engine takes any request, even one larger than the memory estimate allows.
         if total.requests > 0 && !(has_memory && has_slot) {
             return None;
         }
@@ -344,11 +342,11 @@
             endpoint,
             load,
             cost_ms: first_event_ms
-                + f64::from(unread_shared) * REREAD_COST_MS
+                + f64::from(unread_shared) * REREAD_TOKEN_COST_MS
                 + self.extra_cost_ms(now, endpoint),
             backlog_ms: backlog / self.speeds.tokens_per_ms(key),
             first_event_ms,
-            busy_part: f64::from(total.requests) / f64::from(endpoint.slots.max(1)),
+            busy_ratio: f64::from(total.requests) / f64::from(endpoint.slots.max(1)),
         })
     }
 
@@ -375,46 +373,51 @@
             cost_ms: answer_ms + self.extra_cost_ms(now, endpoint),
             backlog_ms: 0.0,
             first_event_ms: answer_ms,
-            busy_part: depth,
+            busy_ratio: depth,
         })
     }
 
     fn extra_cost_ms(&self, now: Duration, endpoint: &Endpoint) -> f64 {
         let is_near = endpoint.data_centre == self.settings.data_centre;
-        let distance = match is_near {
+        let remote_cost_ms = match is_near {
             true => 0.0,
-            false => self.settings.admission.distance.as_secs_f64() * 1_000.0,
+            false => self.settings.admission.remote_cost.as_secs_f64() * 1_000.0,
         };
-        distance + self.records.failure_share(now, endpoint.key) * FAILURE_COST_MS
+        remote_cost_ms + self.records.failure_share(now, endpoint.key) * FAILURE_COST_MS
     }
 
-    /// Returns when the caller of a request that is refused now should come back.
+    /// Returns the retry delay of a request that is refused now.
     pub(super) fn retry_after(
         &mut self,
         now: Duration,
         arrival: &Arrival,
         reason: RefusalReason,
-        best: Option<&Compared>,
+        best: Option<&BestEndpoint>,
     ) -> Duration {
         let wait = match reason {
             RefusalReason::OverShare | RefusalReason::Overload => {
-                let outlook = self.outlook(now, arrival, best);
-                self.returns.after_refusal(outlook)
+                let refused = self.refused_request(now, arrival, best);
+                self.retry_delays.after_refusal(refused)
             }
-            RefusalReason::Quarantined => QUARANTINE_RETRY,
+            RefusalReason::Quarantined => QUARANTINE_RETRY_DELAY,
             RefusalReason::NoEndpoint | RefusalReason::TurnedAway => {
                 let closed_until = self.closed_until(now, &arrival.service);
-                closed_until.map_or(OUTAGE_RETRY, |until| {
-                    self.returns.while_closed(until.saturating_sub(now))
+                closed_until.map_or(OUTAGE_RETRY_DELAY, |until| {
+                    self.retry_delays.while_closed(until.saturating_sub(now))
                 })
             }
-            RefusalReason::OutOfTime | RefusalReason::HostBusy => OUTAGE_RETRY,
+            RefusalReason::OutOfTime | RefusalReason::HostBusy => OUTAGE_RETRY_DELAY,
         };
-        // Beyond the caller's own time an answer says nothing.
+        // A delay beyond the caller's deadline is of no use.
         wait.min(arrival.deadline.saturating_sub(now))
     }
 
-    fn outlook(&self, now: Duration, arrival: &Arrival, best: Option<&Compared>) -> RefusedRequest {
+    fn refused_request(
+        &self,
+        now: Duration,
+        arrival: &Arrival,
+        best: Option<&BestEndpoint>,
+    ) -> RefusedRequest {
         let (backlog_ms, first_event_ms) =
             best.map_or((0.0, 0.0), |best| (best.backlog_ms, best.first_event_ms));
         let allowed_ms = self.allowed_backlog_ms(now, arrival, first_event_ms);
--- a/crates/fleet/src/dispatcher/attempts.rs
+++ b/crates/fleet/src/dispatcher/attempts.rs
@@ -1,4 +1,4 @@
-//! What follows from the ends of attempts.
+//! Starts attempts, and handles their answers and failures.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,7 +8,7 @@
 use super::Attempt;
 use super::Dispatcher;
 use super::Pending;
-use super::admission::Compared;
+use super::admission::BestEndpoint;
 use crate::arrival::Arrival;
 use crate::arrival::RequestId;
 use crate::endpoint_load::Load;
@@ -19,13 +19,13 @@
 use crate::verdict::RefusalReason;
 use crate::verdict::Verdict;
 
-/// Most endpoints that may be found unreachable for one request. Nothing was sent to them, so they
-/// do not count as attempts.
-const MAX_UNREACHED: u32 = 3;
-/// Latency targets of silence after which a caller that leaves counts against the endpoint. An
-/// endpoint that takes requests and never answers would otherwise look as good as the others.
-const SILENT_TARGETS: u32 = 2;
-/// Shortest time left with which a request is sent once more.
+/// Maximum number of unreachable endpoints after which a request is still tried elsewhere. Nothing was sent to them, so
+/// they don't count as attempts.
+const MAX_UNREACHABLE: u32 = 3;
+/// Multiple of the latency target. If an endpoint has sent nothing for that long when the caller disconnects, the attempt
+/// counts as failed. Otherwise an endpoint that takes requests and never answers would look as good as the others.
+const MAX_SILENCE_TARGETS: u32 = 2;
+/// Minimum time to the deadline with which a request is sent again.
 const MIN_TIME_LEFT: Duration = Duration::from_millis(30);
 
 impl Dispatcher {
@@ -42,10 +42,10 @@
         }
         let quarantined = arrival.fingerprint;
         let quarantined = quarantined.and_then(|it| self.quarantine.refused_for(now, it));
-        if let Some(left) = quarantined {
+        if let Some(quarantine_left) = quarantined {
             let verdict = Verdict::Refuse {
                 reason: RefusalReason::Quarantined,
-                retry_after: left,
+                retry_after: quarantine_left,
                 basis: Basis::default(),
             };
             decisions.push(Decision {
@@ -57,8 +57,8 @@
         let pending = Pending {
             arrival,
             sends: 0,
-            unreached: 0,
-            tried: Vec::new(),
+            unreachable: 0,
+            tried_endpoints: Vec::new(),
             may_have_run: false,
             is_charged: false,
             last_failure: None,
@@ -68,7 +68,7 @@
         self.try_place(now, id, decisions);
     }
 
-    /// Sends a queued request to `endpoint`, unless it is suspected of crashing endpoints.
+    /// Sends a request to `endpoint`, unless it is suspected of crashing endpoints. Returns false if it has to wait.
     pub(super) fn start(
         &mut self,
         now: Duration,
@@ -90,16 +90,16 @@
                 return true;
             }
         }
-        let ahead = self.loads.total(endpoint.key).unread_tokens;
+        let unread_before = self.loads.total(endpoint.key).unread_tokens;
         pending.attempt = Some(Attempt {
             endpoint: endpoint.clone(),
             load,
             sent_at: now,
-            unread_ahead: f64::from(ahead) + f64::from(load.unread_tokens),
+            unread_tokens_ahead: f64::from(unread_before) + f64::from(load.unread_tokens),
             has_first_piece: false,
         });
         pending.sends += 1;
-        pending.tried.push(endpoint.key);
+        pending.tried_endpoints.push(endpoint.key);
         let arrival = &pending.arrival;
         if let Some(prompt) = &arrival.prompt {
             self.cached.note(now, endpoint.key, prompt);
@@ -144,9 +144,9 @@
         self.loads.subtract_own(key, read);
         if has_prompt {
             let took = now.saturating_sub(attempt.sent_at);
-            self.speeds.observe(key, attempt.unread_ahead, took);
+            self.speeds.observe(key, attempt.unread_tokens_ahead, took);
         }
-        self.look_again_soon(now);
+        self.tick_early(now);
     }
 
     pub(super) fn on_completed(&mut self, now: Duration, id: RequestId) {
@@ -171,8 +171,8 @@
         if let Some(attempt) = pending.attempt.take() {
             self.loads.subtract_own(attempt.endpoint.key, attempt.load);
             let silent_for = now.saturating_sub(attempt.sent_at);
-            let patience = pending.arrival.route.latency_target * SILENT_TARGETS;
-            if !attempt.has_first_piece && silent_for > patience {
+            let max_silence = pending.arrival.route.latency_target * MAX_SILENCE_TARGETS;
+            if !attempt.has_first_piece && silent_for > max_silence {
                 let key = attempt.endpoint.key;
                 self.records.failed(now, key, Failure::TimedOut);
             }
@@ -201,7 +201,7 @@
         pending.may_have_run |= failure.may_have_run();
         if !failure.was_sent() {
             pending.sends -= 1;
-            pending.unreached += 1;
+            pending.unreachable += 1;
         }
         if !pending.may_have_run && std::mem::take(&mut pending.is_charged) {
             let arrival = &pending.arrival;
@@ -214,7 +214,7 @@
         self.loads.subtract_own(endpoint.key, attempt.load);
         if self.records.failed(now, endpoint.key, failure) {
             self.quarantine.endpoint_down(now, &endpoint.run_name());
-            self.expect_cold(now, &endpoint);
+            self.expect_cold_start(now, &endpoint);
         }
         if let Some(fingerprint) = fingerprint {
             if failure == Failure::ConnectionLost {
@@ -224,7 +224,7 @@
             self.quarantine.ended(fingerprint);
         }
         if failure == Failure::Misdirected {
-            // Another run has the address: this one is gone, whatever the list says.
+            // Another run has the address, so this one has ended even if it is still listed.
             self.endpoints.set_leaving(&endpoint);
         }
         if self.may_send_again(now, id) {
@@ -246,7 +246,7 @@
         if arrival.deadline.saturating_sub(now) < MIN_TIME_LEFT {
             return false;
         }
-        if pending.sends >= route.max_attempts || pending.unreached > MAX_UNREACHED {
+        if pending.sends >= route.max_attempts || pending.unreachable > MAX_UNREACHABLE {
             return false;
         }
         if pending.sends == 0 {
@@ -260,7 +260,7 @@
         is_allowed
     }
 
-    /// Ends a request that was tried: as failed if it may have run, else as refused.
+    /// Ends a request that was tried, as failed if it may have run, otherwise as refused.
     pub(super) fn give_up(&mut self, now: Duration, id: RequestId, decisions: &mut Vec<Decision>) {
         let Some(pending) = self.requests.get(&id) else {
             return;
@@ -282,13 +282,13 @@
         }
     }
 
-    /// Ends a request that has not run.
+    /// Refuses a request that has not run.
     pub(super) fn refuse(
         &mut self,
         now: Duration,
         id: RequestId,
         reason: RefusalReason,
-        best: Option<Compared>,
+        best: Option<BestEndpoint>,
         decisions: &mut Vec<Decision>,
     ) {
         let Some(pending) = self.requests.remove(&id) else {
@@ -306,7 +306,7 @@
         });
     }
 
-    fn basis(&self, now: Duration, pending: &Pending, best: Option<Compared>) -> Basis {
+    fn basis(&self, now: Duration, pending: &Pending, best: Option<BestEndpoint>) -> Basis {
         let account = pending.arrival.account;
         Basis {
             share_used: self.share_used(&pending.arrival),
--- a/crates/fleet/src/dispatcher/peers.rs
+++ b/crates/fleet/src/dispatcher/peers.rs
@@ -1,4 +1,4 @@
-//! Reports to and from the other hosts.
+//! Exchanges reports with the other hosts.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -21,43 +21,43 @@
 use crate::store_outage::StoreOutage;
 use crate::work_sums::WorkSums;
 
-/// Reports in which news of a crash is repeated, so that lost datagrams matter little.
+/// Number of reports that carry the news of a crash, so that the loss of single datagrams does little harm.
 const NEWS_REPEATS: u32 = 4;
-/// Most news in one report.
-const MAX_NEWS: usize = 8;
-/// Own reports that are kept to be taken out of sums again: as many as a host makes in the time for which relays
-/// count one.
-const KEPT_REPORTS: usize = 51;
-/// Source of the work that sums over the fleet hold. Hosts' hashes are other numbers but by chance.
+/// Maximum number of crash news in one report.
+const MAX_NEWS_PER_REPORT: usize = 8;
+/// Number of own reports that are kept, in order to subtract them from sums that include them: as many as a host makes in
+/// the time for which relays count a report.
+const MAX_KEPT_REPORTS: usize = 51;
+/// Key of the sums over the fleet among reports of hosts. The hash of a host's name has this value only by chance.
 const FLEET_SOURCE: u64 = 0;
 
-/// What a host's reports tell about it besides its work.
+/// State of a host that its reports tell, in addition to its work.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct HostState {
-    /// Version of the newest change of the configuration that the host knows.
+    /// Version of the newest configuration change that the host knows.
     pub config_version: u64,
-    /// Version of the newest change of the list of endpoints that the host knows.
+    /// Version of the newest change to the endpoint list that the host knows.
     pub endpoints_version: u64,
     /// Whether the host is about to stop.
     pub is_stopping: bool,
-    /// Whether the host has more to do than it can.
+    /// Whether the host is overloaded.
     pub is_busy: bool,
-    /// Whether the store answered the host when it last called.
+    /// Whether the store answered the host's last call.
     pub store_answers: bool,
-    /// For how long it has not answered; zero if it does.
+    /// Time since the store stopped answering the host; zero if it answers.
     pub store_lost_for: Duration,
-    /// How long ago it last answered; `None` if the host does not call it.
+    /// Time since the store's last answer; `None` if the host does not call it.
     pub store_answered_ago: Option<Duration>,
 }
 
-/// How this host fares with the platform's store.
+/// This host's own experience with the platform's store.
 #[derive(Debug, Default)]
-struct OwnStore {
+struct OwnStoreState {
     lost_at: Option<Duration>,
     answered_at: Option<Duration>,
 }
 
-impl OwnStore {
+impl OwnStoreState {
     fn new(now: Duration, state: HostState) -> Self {
         let lost_at = now.saturating_sub(state.store_lost_for);
         let answered_ago = state.store_answered_ago;
@@ -68,21 +68,21 @@
     }
 }
 
-/// A report, and who should get it.
+/// A report and its recipients.
 #[derive(Debug, Clone, PartialEq)]
 pub struct OutgoingReport {
     /// The report.
     pub report: PeerReport,
-    /// Those who should get it.
+    /// Hosts that get the report.
     pub to: Vec<ReportRecipient>,
 }
 
-/// One of the hosts that should get a report.
+/// A host that gets a report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReportRecipient {
-    /// Hash of its name.
+    /// Hash of the host's name.
     pub host: u64,
-    /// Its [`PeerReport::included`].
+    /// Value of [`PeerReport::included`] for this host.
     pub included: u64,
 }
 
@@ -92,19 +92,20 @@
     }
 }
 
-/// What is known of the other hosts, and what they are to be told.
+/// State of the exchange of reports with the other hosts.
 #[derive(Debug)]
 pub(super) struct PeerLinks {
     hosts: PeerHosts,
     store_followers: StoreFollowers,
     store_outage: StoreOutage,
-    own_store: OwnStore,
+    own_store: OwnStoreState,
     relay: Relay,
     view: FleetView,
     schedule: PeerSchedule,
-    told: HostState,
+    reported_state: HostState,
     reports_made: u64,
-    kept: VecDeque<(u64, WorkSums)>,
+    kept_reports: VecDeque<(u64, WorkSums)>,
+    /// News of crashes, each with the number of reports that still have to carry it.
     news: Vec<(u32, CrashNews)>,
 }
 
@@ -114,13 +115,13 @@
             hosts: PeerHosts::new(own),
             store_followers: StoreFollowers::default(),
             store_outage: StoreOutage::default(),
-            own_store: OwnStore::default(),
+            own_store: OwnStoreState::default(),
             relay: Relay::default(),
             view: FleetView::default(),
             schedule: PeerSchedule::default(),
-            told: HostState::default(),
+            reported_state: HostState::default(),
             reports_made: 0,
-            kept: VecDeque::new(),
+            kept_reports: VecDeque::new(),
             news: Vec::new(),
         }
     }
@@ -152,37 +153,43 @@
     }
 
     fn take_news(&mut self) -> Vec<CrashNews> {
-        let sent = self.news.iter_mut().take(MAX_NEWS).map(|(repeats, news)| {
-            *repeats -= 1;
-            news.clone()
-        });
+        let sent = self
+            .news
+            .iter_mut()
+            .take(MAX_NEWS_PER_REPORT)
+            .map(|(repeats, news)| {
+                *repeats -= 1;
+                news.clone()
+            });
         let sent = sent.collect();
         self.news.retain(|(repeats, _)| *repeats > 0);
         sent
     }
 
-    fn keep(&mut self, report: &PeerReport) {
+    fn keep_report(&mut self, report: &PeerReport) {
         let mut work = WorkSums::default();
         work.add(&report.loads, &report.usage);
-        self.kept.push_back((report.number, work));
-        if self.kept.len() > KEPT_REPORTS {
-            self.kept.pop_front();
+        self.kept_reports.push_back((report.number, work));
+        if self.kept_reports.len() > MAX_KEPT_REPORTS {
+            self.kept_reports.pop_front();
         }
     }
 
-    /// Returns the own work that a sum holds.
-    fn kept(&self, number: u64) -> Option<&WorkSums> {
-        let mut kept = self.kept.iter();
-        kept.find(|(kept, _)| *kept == number).map(|(_, work)| work)
+    /// Returns the work that this host reported under a number.
+    fn kept_work(&self, number: u64) -> Option<&WorkSums> {
+        let mut reports = self.kept_reports.iter();
+        reports
+            .find(|(kept, _)| *kept == number)
+            .map(|(_, work)| work)
     }
 }
 
 impl Dispatcher {
-    /// Returns the part that this host takes in following the platform's store.
+    /// Returns this host's role in following the platform's store.
     ///
-    /// One that has just started and has not read the list of hosts follows nothing yet: it would take its fleet
-    /// for small. Of hosts that start together each would wait for changes of both tables; calls are bounded a
-    /// second.
+    /// A host that has just started and has not read the list of hosts does not follow the store yet, since its fleet would
+    /// seem small to it. Of hosts that start together, each would wait for changes of both tables, and calls per second
+    /// are limited.
     pub fn store_role(&self, now: Duration) -> StoreRole {
         if !self.peers.hosts.is_known(now) {
             return StoreRole::Copier;
@@ -194,20 +201,20 @@
         self.peers.store_followers.role(now, before)
     }
 
-    /// Returns since when the store answers no host, if it is away or has just come back. A host that begins
-    /// to follow it then must not take what it lacks for removed.
+    /// Returns since when the store answers no host, if it is unavailable or has just recovered. A host that begins to
+    /// follow the store then must not take entries that are missing there for removed.
     pub fn store_lost_since(&self) -> Option<Duration> {
         self.peers.store_outage.since()
     }
 
-    /// Returns what this host may conclude from a loss of the store.
+    /// Returns what this host may conclude about an outage of the store.
     pub fn store_outage(&self) -> OutageView {
         self.peers.store_outage.view()
     }
 
-    /// Returns the reports that are due. Call it some ten times a second.
+    /// Returns the reports that are due. Call it about ten times a second.
     pub fn reports_due(&mut self, now: Duration, state: HostState) -> Vec<OutgoingReport> {
-        self.peers.own_store = OwnStore::new(now, state);
+        self.peers.own_store = OwnStoreState::new(now, state);
         if self.must_hasten(state) {
             self.peers.schedule.hasten();
         }
@@ -222,7 +229,7 @@
         due
     }
 
-    /// Makes the next reports due at once, since this host knows of a change first.
+    /// Makes the next reports due at once, because this host is the first to know of a change.
     pub fn hasten_reports(&mut self) {
         self.peers.schedule.hasten();
     }
@@ -235,7 +242,7 @@
         report.usage = self.shares.own();
         report.crashes = self.peers.take_news();
         self.peers.schedule.on_reported();
-        self.peers.keep(&report);
+        self.peers.keep_report(&report);
         report
     }
 
@@ -285,10 +292,10 @@
         }
         let mut others = WorkSums::default();
         others.add(&report.loads, &report.usage);
-        // A report older than those kept counts as the oldest: the relay has not heard this host for
-        // seconds, and the difference is small against counting the own work twice.
-        let own = self.peers.kept(report.included);
-        let oldest = self.peers.kept.front().map(|(_, work)| work);
+        // If the sum includes an older report than those kept, the oldest kept one is subtracted. The relay has got no
+        // report of this host for seconds then, and the error is small compared to counting the own work twice.
+        let own = self.peers.kept_work(report.included);
+        let oldest = self.peers.kept_reports.front().map(|(_, work)| work);
         if let Some(own) = own.or(oldest.filter(|_| report.included > 0)) {
             others.subtract(own);
         }
@@ -307,8 +314,9 @@
 
     fn must_hasten(&mut self, state: HostState) -> bool {
         self.collect_news();
-        let told = std::mem::replace(&mut self.peers.told, state);
-        let has_changed = (told.is_stopping, told.is_busy) != (state.is_stopping, state.is_busy);
+        let reported = std::mem::replace(&mut self.peers.reported_state, state);
+        let has_changed =
+            (reported.is_stopping, reported.is_busy) != (state.is_stopping, state.is_busy);
         has_changed || !self.peers.news.is_empty()
     }
 
@@ -359,7 +367,7 @@
         due.push(OutgoingReport { report, to });
     }
 
-    /// Adds the sums of a relay, and goes by them itself.
+    /// Adds the sums that this host sends if it is a relay, and uses them itself.
     fn add_sums(&mut self, now: Duration, state: HostState, due: &mut Vec<OutgoingReport>) {
         let hosts = self.hosts(now);
         if !self.peers.schedule.takes_sums(now, hosts) {
@@ -397,11 +405,11 @@
             .takes_sum_elsewhere(hosts, rank.unwrap_or(0))
         {
             let mut report = self.blank_report(state, Scope::DataCentre);
-            let mut of_data_centre = sum.work.clone();
-            of_data_centre.add(&own_loads, &own_usage);
+            let mut data_centre_work = sum.work.clone();
+            data_centre_work.add(&own_loads, &own_usage);
             report.hosts = sum.hosts + 1;
-            report.loads = of_data_centre.loads();
-            report.usage = of_data_centre.usage();
+            report.loads = data_centre_work.loads();
+            report.usage = data_centre_work.usage();
             let to = relays_elsewhere.iter().copied();
             let to = to.map(ReportRecipient::from).collect();
             due.push(OutgoingReport { report, to });
