--- a/crates/fleet/src/config.rs
+++ b/crates/fleet/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration in force: routes, services, client accounts and limits of callers.
+//! The configuration in force: routes, services, client accounts and limits on callers.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,36 +14,36 @@
 pub struct FleetConfig {
     /// Increases with each accepted configuration.
     pub version: u64,
-    /// Routes of every host name.
+    /// Routes of all host names.
     pub routes: Vec<Route>,
     /// Services by name.
     pub services: BTreeMap<ServiceId, ServiceSpec>,
-    /// Client accounts and their keys. `None`: callers need no key.
+    /// Client accounts and their keys; `None` if callers need no key.
     pub accounts: Option<Vec<Account>>,
-    /// Bounds on what a caller may send.
+    /// Limits on callers.
     pub limits: CallerLimits,
 }
 
-/// Where requests for a host name and path go, and how they may be treated.
+/// Services for requests to a host name and path, and rules for these requests.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Route {
-    /// Name for logs.
+    /// Name of the route in logs.
     pub name: Arc<str>,
-    /// Host name that callers address.
+    /// Host name that callers use.
     pub host: Arc<str>,
-    /// Beginning of the path, with a slash at both ends.
+    /// Prefix of the path, with a slash at both ends.
     pub path_prefix: Arc<str>,
-    /// What may be repeated.
+    /// Whether requests may be sent again after a failed attempt.
     pub repeat: Repeat,
-    /// Longest time that a request is kept without a final answer.
+    /// Maximum time until the final answer to a request.
     pub timeout: Duration,
-    /// Time in which an answer has its full worth.
+    /// Time within which the first piece of an answer should reach the caller.
     pub latency_target: Duration,
-    /// Rank among routes; 0 is the highest.
+    /// Priority among routes; 0 is the highest.
     pub priority: u32,
     /// Services with their weights.
     pub targets: Vec<RouteTarget>,
-    /// Most endpoints to which one request may be sent.
+    /// Maximum number of endpoints to which one request may be sent.
     pub max_attempts: u32,
     /// Whether callers need no key.
     pub is_public: bool,
@@ -54,20 +54,20 @@
 pub struct RouteTarget {
     /// The service.
     pub service: ServiceId,
-    /// Its part of the requests, relative to the other targets' weights.
+    /// The service's part of the requests, relative to the weights of the other targets.
     pub weight: u32,
 }
 
-/// What a failed attempt allows.
+/// Whether a request may be sent again after a failed attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Repeat {
     /// The request may run any number of times.
     Idempotent,
     /// The request may run at most once.
     AtMostOnce,
-    /// The answer is a stream of events, which may go on elsewhere only if it is resumable.
+    /// The answer is a stream of events, which may go on at another endpoint only if it is resumable.
     Stream {
-        /// Whether another endpoint can go on after the last event that was delivered.
+        /// Whether another endpoint can go on after the last delivered event.
         resumable: bool,
     },
 }
@@ -87,52 +87,52 @@
     }
 }
 
-/// A service that routes lead to.
+/// A service to which routes send requests.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct ServiceSpec {
-    /// Connections that one endpoint accepts from all routers together.
+    /// Number of connections that one endpoint accepts from all hosts together.
     pub max_connections: u32,
-    /// Present where endpoints bear few requests in their first seconds.
+    /// Present if endpoints can handle only few requests in their first seconds.
     pub cold_start: Option<ColdStart>,
     /// Present for model engines.
     pub engine: Option<EngineSpec>,
 }
 
-/// What all engines of a service have in common.
+/// Properties that all engines of a service share.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct EngineSpec {
-    /// Requests that run at once.
+    /// Maximum number of requests that run at the same time.
     pub slots: u32,
-    /// Tokens that fit into memory.
+    /// Number of tokens that fit into memory.
     pub memory_tokens: u64,
 }
 
 /// A client account.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Account {
-    /// Its name.
+    /// Name of the account.
     pub id: AccountId,
     /// Keys that callers present.
     pub keys: Vec<Arc<str>>,
 }
 
-/// Bounds on what a caller may send, and the capacity that accounts share.
+/// Limits on what a caller may send, and the capacity that accounts share.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct CallerLimits {
-    /// Longest head of a request.
+    /// Maximum length of a request head.
     pub max_header_bytes: usize,
-    /// Longest body of a request.
+    /// Maximum length of a request body.
     pub max_body_bytes: usize,
-    /// Longest time to send a head.
+    /// Maximum time in which a head has to arrive.
     pub header_timeout: Duration,
-    /// Longest time that a connection may stay idle.
+    /// Maximum time for which a connection may be idle.
     pub idle_timeout: Duration,
-    /// Tokens that all engines together process in a second, a generated one counted twice.
+    /// Tokens that all engines together process per second. A generated token counts twice.
     pub tokens_per_s: Option<f64>,
 }
 
 impl Default for CallerLimits {
-    /// Bounds until a configuration is known; nothing is served by then.
+    /// Limits until a configuration is known. No request is served before that.
     fn default() -> Self {
         Self {
             max_header_bytes: 16 * 1024,
--- a/crates/fleet/src/dispatcher.rs
+++ b/crates/fleet/src/dispatcher.rs
@@ -1,10 +1,10 @@
 //! Decides for each request when and to which endpoint it is sent, and when it is refused or fails.
 
 mod admission;
+mod allowed_endpoints;
 mod attempts;
 mod closed;
 mod peers;
-mod places;
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
--- a/crates/fleet/src/dispatcher/admission.rs
+++ b/crates/fleet/src/dispatcher/admission.rs
@@ -5,7 +5,7 @@
 
 use super::Dispatcher;
 use super::Pending;
-use super::places::Places;
+use super::allowed_endpoints::AllowedEndpoints;
 use crate::account_shares::Lead;
 use crate::arrival::Arrival;
 use crate::arrival::RequestId;
@@ -265,34 +265,39 @@
 
     /// Returns the best endpoint with free capacity among those allowed for the request.
     fn best_candidate(&self, now: Duration, pending: &Pending) -> Option<Candidate<'_>> {
-        let places = self.places(now, pending);
-        let best = self.best_of(now, pending, &places);
-        match places {
-            Places::Preferred { .. } if best.is_none() => {
-                self.best_of(now, pending, &Places::Anywhere)
+        let allowed = self.allowed_endpoints(now, pending);
+        let best = self.best_of(now, pending, &allowed);
+        match allowed {
+            AllowedEndpoints::Preferred { .. } if best.is_none() => {
+                self.best_of(now, pending, &AllowedEndpoints::Any)
             }
             _ => best,
         }
     }
 
-    fn best_of(&self, now: Duration, pending: &Pending, places: &Places) -> Option<Candidate<'_>> {
+    fn best_of(
+        &self,
+        now: Duration,
+        pending: &Pending,
+        allowed: &AllowedEndpoints,
+    ) -> Option<Candidate<'_>> {
         let arrival = &pending.arrival;
         let usable = self.endpoints.usable(&arrival.service);
         let spec = self.services.get(&arrival.service);
         let engine = spec.and_then(|spec| spec.engine);
         let prompt = arrival.prompt.as_ref();
         let untried = usable.iter().filter(|endpoint| {
-            places.allow(endpoint.key)
+            allowed.contains(endpoint.key)
                 && self.records.is_up(now, endpoint.key)
                 && self.is_open(now, endpoint)
                 && !pending.tried_endpoints.contains(&endpoint.key)
         });
         let candidates = untried.filter_map(|endpoint| match (prompt, engine) {
             (Some(prompt), Some(engine)) => {
-                let home = places.home_rank(endpoint.key);
+                let home = allowed.home_rank(endpoint.key);
                 let candidate =
                     self.engine_candidate(now, endpoint, engine, prompt, home.is_some())?;
-                let is_second = matches!(places, Places::Homes(_)) && home == Some(1);
+                let is_second = matches!(allowed, AllowedEndpoints::Homes(_)) && home == Some(1);
                 if is_second && candidate.busy_ratio > SECOND_HOME_RATIO {
                     return None;
                 }
--- a/crates/fleet/src/endpoint_load.rs
+++ b/crates/fleet/src/endpoint_load.rs
@@ -1,33 +1,32 @@
-//! What the whole fleet has in progress on each endpoint.
+//! Work in progress of the whole fleet on each endpoint.
 
 use std::time::Duration;
 
 use nohash_hasher::IntMap;
 
-/// Age up to which another host's report counts. A host that is silent for longer is taken as gone
-/// and its requests with it; short pauses of a host must not free its part of an endpoint.
+/// Maximum age of another host's report. A host that is silent for longer is considered gone, and its requests with it.
+/// Short pauses of a host must not free its part of an endpoint.
 const MAX_REPORT_AGE: Duration = Duration::from_millis(1_500);
 
 /// Work in progress on one endpoint.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Load {
-    /// Prompt tokens of requests whose first event has not come.
+    /// Prompt tokens of requests that have not sent a first event yet.
     pub unread_tokens: u32,
     /// Requests in progress.
     pub requests: u32,
-    /// Memory that requests in progress take, in tokens.
+    /// Engine memory that requests in progress take, in tokens.
     pub memory_tokens: u32,
 }
 
 impl Load {
-    /// Adds another load.
     pub fn add(&mut self, other: Self) {
         self.unread_tokens = self.unread_tokens.saturating_add(other.unread_tokens);
         self.requests = self.requests.saturating_add(other.requests);
         self.memory_tokens = self.memory_tokens.saturating_add(other.memory_tokens);
     }
 
-    /// Takes away a load that was added before.
+    /// Subtracts a load that was added before.
     pub fn subtract(&mut self, other: Self) {
         self.unread_tokens = self.unread_tokens.saturating_sub(other.unread_tokens);
         self.requests = self.requests.saturating_sub(other.requests);
@@ -40,16 +39,17 @@
     }
 }
 
-/// Loads by endpoint: this host's own, and those that other hosts last reported.
+/// Loads by endpoint: this host's own, and those of the other hosts' newest reports.
 #[derive(Debug, Default)]
 pub struct EndpointLoads {
     own: IntMap<u64, Load>,
-    reported: IntMap<u64, Reported>,
+    reported: IntMap<u64, HostReport>,
+    /// Sum of all reported loads.
     others: IntMap<u64, Load>,
 }
 
 #[derive(Debug)]
-struct Reported {
+struct HostReport {
     at: Duration,
     loads: Vec<(u64, Load)>,
 }
@@ -60,7 +60,7 @@
         self.own.entry(endpoint).or_default().add(load);
     }
 
-    /// Takes away work of this host.
+    /// Subtracts work of this host.
     pub fn subtract_own(&mut self, endpoint: u64, load: Load) {
         self.own.entry(endpoint).or_default().subtract(load);
     }
@@ -71,27 +71,27 @@
         busy.map(|(endpoint, load)| (*endpoint, *load))
     }
 
-    /// Takes another host's report; it replaces the one before.
+    /// Stores another host's report in place of its previous one.
     pub fn on_report(&mut self, now: Duration, host: u64, loads: Vec<(u64, Load)>) {
         for (endpoint, load) in &loads {
             self.others.entry(*endpoint).or_default().add(*load);
         }
-        let report = Reported { at: now, loads };
-        if let Some(before) = self.reported.insert(host, report) {
-            self.subtract_others(&before);
+        let report = HostReport { at: now, loads };
+        if let Some(previous) = self.reported.insert(host, report) {
+            self.subtract_others(&previous);
         }
     }
 
-    /// Forgets a host that said it is leaving.
+    /// Removes the report of a host that is gone.
     pub fn forget_host(&mut self, host: u64) {
         if let Some(report) = self.reported.remove(&host) {
             self.subtract_others(&report);
         }
     }
 
-    /// Drops reports that are too old.
+    /// Removes reports that are too old.
     pub fn tick(&mut self, now: Duration) {
-        let is_old = |report: &Reported| now.saturating_sub(report.at) > MAX_REPORT_AGE;
+        let is_old = |report: &HostReport| now.saturating_sub(report.at) > MAX_REPORT_AGE;
         let old = self.reported.iter().filter(|(_, report)| is_old(report));
         let old: Vec<u64> = old.map(|(host, _)| *host).collect();
         for host in old {
@@ -101,7 +101,7 @@
         self.others.retain(|_, load| !load.is_idle());
     }
 
-    /// Returns the age of the oldest report that counts.
+    /// Returns the age of the oldest stored report.
     pub fn oldest_report_age(&self, now: Duration) -> Duration {
         let ages = self
             .reported
@@ -110,16 +110,15 @@
         ages.max().unwrap_or_default()
     }
 
-    /// Returns the whole fleet's work on an endpoint.
+    /// Returns the load of the whole fleet on an endpoint.
     pub fn total(&self, endpoint: u64) -> Load {
         let mut load = self.own.get(&endpoint).copied().unwrap_or_default();
         load.add(self.others.get(&endpoint).copied().unwrap_or_default());
         load
     }
 
-    /// The sum is kept by differences: to add all hosts up at each report would cost the square of
-    /// their number.
-    fn subtract_others(&mut self, report: &Reported) {
+    /// The sum is updated by differences. Adding up all hosts at each report would take time quadratic in their number.
+    fn subtract_others(&mut self, report: &HostReport) {
         for (endpoint, load) in &report.loads {
             self.others.entry(*endpoint).or_default().subtract(*load);
         }
--- a/crates/fleet/src/event_stream.rs
+++ b/crates/fleet/src/event_stream.rs
@@ -1,13 +1,13 @@
-//! Splits a stream of server-sent events into whole events, and follows their ids.
+//! Splits a stream of server-sent events into complete events, and tracks their ids.
 
-/// Longest event that is kept while its end has not arrived.
+/// Maximum length of an event that is buffered until its end arrives.
 pub const MAX_EVENT_BYTES: usize = 1024 * 1024;
 const ID_FIELD: &[u8] = b"id:";
 
-/// Cuts received bytes after each blank line.
+/// Splits received bytes after the last blank line.
 ///
-/// An endpoint may stop in the middle of an event. Only whole events go to the caller, so that a
-/// stream which goes on at another endpoint has each event once.
+/// An endpoint may stop in the middle of an event. Only complete events are passed to the caller, so that a stream which
+/// is resumed at another endpoint has each event once.
 ///
 /// ```
 /// use sedgeridge_fleet::event_stream::EventSplitter;
@@ -26,45 +26,45 @@
 }
 
 impl EventSplitter {
-    /// Takes received bytes and returns the whole events that are now complete.
+    /// Adds received bytes and returns the events that are now complete.
     pub fn push(&mut self, bytes: &[u8]) -> Vec<u8> {
         self.partial.extend_from_slice(bytes);
         let Some(end) = end_of_events(&self.partial) else {
             return Vec::new();
         };
         let rest = self.partial.split_off(end);
-        let whole = std::mem::replace(&mut self.partial, rest);
-        self.note_ids(&whole);
-        whole
+        let complete = std::mem::replace(&mut self.partial, rest);
+        self.note_ids(&complete);
+        complete
     }
 
-    /// Returns the id of the last whole event.
+    /// Returns the id of the last complete event.
     pub fn last_id(&self) -> Option<u64> {
         self.last_id
     }
 
-    /// Returns how many whole events have passed.
+    /// Returns the number of complete events with an id.
     pub fn events(&self) -> u64 {
         self.events
     }
 
-    /// Tells whether the beginning of an event waits for its end.
+    /// Tells whether an event has arrived in part.
     pub fn has_partial_event(&self) -> bool {
         !self.partial.is_empty()
     }
 
-    /// Tells whether an event is longer than [`MAX_EVENT_BYTES`].
+    /// Tells whether the partial event is longer than [`MAX_EVENT_BYTES`].
     pub fn is_too_long(&self) -> bool {
         self.partial.len() > MAX_EVENT_BYTES
     }
 
-    /// Forgets the beginning of an event that another endpoint will send whole.
+    /// Discards the partial event, which another endpoint will send completely.
     pub fn drop_partial(&mut self) {
         self.partial.clear();
     }
 
-    fn note_ids(&mut self, whole: &[u8]) {
-        for line in whole.split(|byte| *byte == b'\n') {
+    fn note_ids(&mut self, events: &[u8]) {
+        for line in events.split(|byte| *byte == b'\n') {
             if let Some(value) = line.strip_prefix(ID_FIELD) {
                 self.events += 1;
                 let id = std::str::from_utf8(value).ok();
@@ -76,9 +76,9 @@
 
 /// Returns the position after the last blank line.
 fn end_of_events(bytes: &[u8]) -> Option<usize> {
-    let unix = bytes.windows(2).rposition(|pair| pair == b"\n\n");
-    let dos = bytes.windows(4).rposition(|four| four == b"\r\n\r\n");
-    let unix = unix.map(|start| start + 2);
-    let dos = dos.map(|start| start + 4);
-    unix.max(dos)
+    let lf = bytes.windows(2).rposition(|pair| pair == b"\n\n");
+    let crlf = bytes.windows(4).rposition(|four| four == b"\r\n\r\n");
+    let lf = lf.map(|start| start + 2);
+    let crlf = crlf.map(|start| start + 4);
+    lf.max(crlf)
 }
--- a/crates/fleet/src/hashing.rs
+++ b/crates/fleet/src/hashing.rs
@@ -1,4 +1,4 @@
-//! Hashes on which every host agrees.
+//! Hashes that are the same on every host.
 
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -14,7 +14,7 @@
     xxh3_64(name.as_bytes())
 }
 
-/// Hashes an ordered pair, as rendezvous hashing needs it.
+/// Hashes an ordered pair, for rendezvous hashing.
 ///
 /// ```
 /// use sedgeridge_fleet::hashing::pair_hash;
--- a/crates/fleet/src/memory_budget.rs
+++ b/crates/fleet/src/memory_budget.rs
@@ -1,39 +1,39 @@
-//! What requests in progress may hold of a host's memory.
+//! Limits the memory that requests in progress hold on a host.
 
-/// Part of the process's memory that requests in progress may hold. The rest is for what does not
-/// follow from requests: program and tables, kept connections, and bytes that wait unread in sockets.
-const REQUESTS_PART: f64 = 0.5;
-/// Part of it from which the host asks for no more callers; what is on its way still finds room.
-const SHORT_PART: f64 = 0.7;
-/// Part of it that accounts that have had their share may fill. The rest is for everybody else: the callers of
-/// one large account, who all reach one host, would otherwise shut out the others there.
-const OVER_SHARE_PART: f64 = 0.85;
-/// Part of the process's memory that idle connections to endpoints may hold.
-const IDLE_PART: f64 = 0.1;
-/// Memory of a connection to an endpoint: two buffers and its task.
+/// Fraction of the process's memory that requests in progress may hold. The rest is for memory that does not depend on
+/// them: program and tables, idle connections, and unread bytes in sockets.
+const REQUESTS_RATIO: f64 = 0.5;
+/// Fraction of the requests' memory above which the host asks for no more callers. Requests on their way still fit.
+const SHORT_RATIO: f64 = 0.7;
+/// Fraction of the requests' memory up to which accounts over their share may fill it. The rest is for all other accounts:
+/// otherwise the callers of one large account, who all reach one host, would leave no memory for others there.
+const OVER_SHARE_RATIO: f64 = 0.85;
+/// Fraction of the process's memory that idle connections to endpoints may hold.
+const IDLE_CONNECTIONS_RATIO: f64 = 0.1;
+/// Memory of a connection to an endpoint: two buffers and a task.
 const CONNECTION_BYTES: u64 = 20 * 1_024;
-/// Part of the process's memory that heads of requests may hold which have not come whole.
-const HALF_HEADS_PART: f64 = 0.1;
-/// Memory of such a head: two buffers, the one that reads grown to the longest head.
-const HALF_HEAD_BYTES: u64 = 28 * 1_024;
-/// Memory of a request without its body: connections of its caller and to an endpoint with two buffers
-/// each, headers and tasks.
+/// Fraction of the process's memory that partially received request heads may hold.
+const PARTIAL_HEADS_RATIO: f64 = 0.1;
+/// Memory of a partially received head: two buffers, of which the read buffer has grown to the longest head.
+const PARTIAL_HEAD_BYTES: u64 = 28 * 1_024;
+/// Memory of a request without its body: headers, tasks, and the connections to its caller and to an endpoint with two
+/// buffers each.
 pub const REQUEST_OVERHEAD_BYTES: u64 = 60 * 1_024;
 
-/// Who asks for memory.
+/// Kind of account for whose request memory is reserved.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Requester {
-    /// An account that has had its share of the fleet, and more than that.
+    /// An account over its share of the fleet.
     OverShare,
     /// Any other account.
     WithinShare,
 }
 
-/// Counts what requests in progress hold, and tells whether another one fits.
+/// Counts the memory that requests in progress hold, and decides whether another request fits.
 ///
-/// A process that grows over its memory limit is killed, and all its requests get no answer. Nothing
-/// else on a host knows of the limit, and no number of requests is safe, since callers choose the
-/// length of bodies. Counting bytes before they are read is enough: what is refused was not read.
+/// A process that exceeds its memory limit is killed, and none of its requests is answered. Nothing else on a host knows
+/// the limit, and no limit on the number of requests is safe, since callers choose the length of bodies. It is enough to
+/// count bytes before they are read: a refused request is not read.
 ///
 /// ```
 /// use sedgeridge_fleet::memory_budget::{MemoryBudget, Requester};
@@ -51,7 +51,7 @@
 }
 
 impl MemoryBudget {
-    /// Creates the budget of a process that may have `process_bytes` of memory.
+    /// Creates the budget of a process with a memory limit of `process_bytes`.
     pub fn new(process_bytes: u64) -> Self {
         Self {
             process_bytes,
@@ -59,54 +59,53 @@
         }
     }
 
-    /// Takes memory if there is room; tells whether it was taken.
-    pub fn try_reserve(&mut self, bytes: u64, asker: Requester) -> bool {
+    /// Reserves memory if it fits; tells whether it was reserved.
+    pub fn try_reserve(&mut self, bytes: u64, requester: Requester) -> bool {
         let held_bytes = self.held_bytes.saturating_add(bytes);
-        let most_bytes = match asker {
-            Requester::OverShare => self.requests_bytes(OVER_SHARE_PART),
+        let max_bytes = match requester {
+            Requester::OverShare => self.requests_bytes(OVER_SHARE_RATIO),
             Requester::WithinShare => self.requests_bytes(1.0),
         };
-        let fits = held_bytes <= most_bytes;
+        let fits = held_bytes <= max_bytes;
         if fits {
             self.held_bytes = held_bytes;
         }
         fits
     }
 
-    /// Counts memory that is taken whether or not there is room. New requests find less.
+    /// Reserves memory even if it does not fit. Less is left for new requests.
     pub fn reserve(&mut self, bytes: u64) {
         self.held_bytes = self.held_bytes.saturating_add(bytes);
     }
 
-    /// Gives memory back that was taken.
+    /// Releases reserved memory.
     pub fn release(&mut self, bytes: u64) {
         self.held_bytes = self.held_bytes.saturating_sub(bytes);
     }
 
-    /// Returns what is held, in bytes.
     pub fn held_bytes(&self) -> u64 {
         self.held_bytes
     }
 
-    /// Tells whether there is hardly any room left.
+    /// Tells whether hardly any memory is left for new requests.
     pub fn is_short(&self) -> bool {
-        self.held_bytes > self.requests_bytes(SHORT_PART)
+        self.held_bytes > self.requests_bytes(SHORT_RATIO)
     }
 
-    /// Returns how many idle connections to endpoints are kept at most.
+    /// Returns the maximum number of idle connections to endpoints.
     pub fn max_idle_connections(&self) -> usize {
-        let bytes = self.process_bytes as f64 * IDLE_PART;
+        let bytes = self.process_bytes as f64 * IDLE_CONNECTIONS_RATIO;
         (bytes / CONNECTION_BYTES as f64) as usize
     }
 
-    /// Returns how many heads of requests may be read in part at a time.
+    /// Returns the maximum number of partially received heads.
     pub fn max_partial_heads(&self) -> usize {
-        let bytes = self.process_bytes as f64 * HALF_HEADS_PART;
-        (bytes / HALF_HEAD_BYTES as f64) as usize
+        let bytes = self.process_bytes as f64 * PARTIAL_HEADS_RATIO;
+        (bytes / PARTIAL_HEAD_BYTES as f64) as usize
     }
 
-    /// Returns a part of what requests may hold.
-    fn requests_bytes(&self, part: f64) -> u64 {
-        (self.process_bytes as f64 * REQUESTS_PART * part) as u64
+    /// Returns a fraction of the memory that requests may hold.
+    fn requests_bytes(&self, ratio: f64) -> u64 {
+        (self.process_bytes as f64 * REQUESTS_RATIO * ratio) as u64
     }
 }
--- a/crates/fleet/src/placement.rs
+++ b/crates/fleet/src/placement.rs
@@ -1,4 +1,4 @@
-//! Which endpoints have which parts of prompts in their cache.
+//! Tracks which prompt parts endpoints have cached, and assigns prompts to home endpoints.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -6,18 +6,18 @@
 use crate::hashing::pair_hash;
 use crate::prompt::Prompt;
 
-/// Time after its last use for which a part is taken as cached. Engines evict the parts that were not
-/// used for longest; under load their memory turns over in some tens of seconds.
-const CACHED_FOR: Duration = Duration::from_secs(15);
-/// Most parts that are remembered, some megabytes. A host that sends 200 requests a second with three
-/// parts each notes 9,000 in the time above.
+/// Time after its last use for which a part counts as cached. Engines evict the least recently used parts; under load the
+/// contents of their memory change completely within some tens of seconds.
+const CACHE_LIFETIME: Duration = Duration::from_secs(15);
+/// Maximum number of remembered parts, which take some megabytes. A host that sends 200 requests a second with three parts
+/// each notes 9,000 parts within [`CACHE_LIFETIME`].
 pub const MAX_REMEMBERED_PARTS: usize = 20_000;
 
-/// Parts that this host's requests have brought to endpoints.
+/// Prompt parts that this host's requests made endpoints cache.
 ///
-/// They are kept in two generations. When the younger one has half of the bound, the older one is dropped and
-/// the younger takes its place: callers choose how many parts they name, and no flood of them makes
-/// the host remember more than the bound, or look through all of them for each request.
+/// Parts are kept in two generations. When the younger one reaches half of the maximum, it replaces the older one. Callers
+/// choose how many parts they name; even a flood of them neither exceeds the maximum nor makes the host search all parts
+/// for each request.
 #[derive(Debug, Default)]
 pub struct CachedParts {
     younger: HashMap<(u64, u64), Duration>,
@@ -35,18 +35,17 @@
         }
     }
 
-    /// Returns how many parts are remembered; one that was used lately may count twice.
+    /// Returns the number of remembered parts. A recently used part may count twice.
     pub fn len(&self) -> usize {
         self.younger.len() + self.older.len()
     }
 
-    /// Tells whether nothing is remembered.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Estimates how many tokens of a prompt an endpoint has to read. `is_home` tells that the fleet
-    /// places this prompt there, so that other hosts have brought its shared parts.
+    /// Estimates how many tokens of a prompt an endpoint has to read. `is_home` tells whether the endpoint is a home of the
+    /// prompt; the requests of other hosts have made it cache the shared parts then.
     pub fn unread_tokens(
         &self,
         now: Duration,
@@ -54,12 +53,12 @@
         prompt: &Prompt,
         is_home: bool,
     ) -> u32 {
-        let shared = prompt.shared_parts().len();
+        let shared_parts = prompt.shared_parts().len();
         let mut cached = 0;
         for (index, part) in prompt.parts.iter().enumerate() {
             let read_at = self.read_at(endpoint, part.id);
-            let is_read = read_at.is_some_and(|at| now.saturating_sub(at) < CACHED_FOR);
-            let is_cached = is_read || is_home && index < shared;
+            let is_read = read_at.is_some_and(|at| now.saturating_sub(at) < CACHE_LIFETIME);
+            let is_cached = is_read || is_home && index < shared_parts;
             if !is_cached {
                 break;
             }
@@ -68,7 +67,7 @@
         prompt.prompt_tokens.saturating_sub(cached)
     }
 
-    /// Forgets an endpoint that is gone or was restarted.
+    /// Removes an endpoint that is gone or was restarted.
     pub fn forget_endpoint(&mut self, endpoint: u64) {
         self.younger.retain(|(at, _), _| *at != endpoint);
         self.older.retain(|(at, _), _| *at != endpoint);
@@ -81,12 +80,12 @@
     }
 }
 
-/// Endpoints on which the fleet places each prompt. With one, a burst of one prompt has to leave
-/// it and is read again elsewhere; with more, each copy is used too rarely to stay cached.
+/// Number of home endpoints of each prompt. With one, a burst of one prompt overflows to other endpoints and is read again
+/// there; with more, each copy is used too rarely to stay cached.
 pub const HOMES_PER_PROMPT: usize = 2;
 
-/// Returns the endpoints on which the fleet places prompts with this key: the same on every host
-/// that knows the same endpoints, and unchanged when another endpoint comes or goes.
+/// Returns the home endpoints of prompts with this key, by rendezvous hashing. They are the same on every host that knows
+/// the same endpoints, and stay the same when another endpoint is added or removed.
 ///
 /// ```
 /// use sedgeridge_fleet::placement::home_endpoints;
--- a/crates/fleet/src/prompt.rs
+++ b/crates/fleet/src/prompt.rs
@@ -1,25 +1,25 @@
-//! What a request to a model engine asks for, in tokens.
+//! Prompts of requests to model engines, measured in tokens.
 
-/// Ratio of the cost of a generated token to that of a read one, as accounts are charged.
+/// Tokens that an account is charged for a generated token. A prompt token is charged as 1.
 pub const GENERATED_TOKEN_COST: f64 = 2.0;
 
-/// A run of prompt tokens that engines cache as one and that other requests may share.
+/// Consecutive prompt tokens that engines cache as a unit and that other requests may share.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PromptPart {
     /// Identifies the content.
     pub id: u64,
-    /// Its length.
+    /// Length of the part.
     pub tokens: u32,
 }
 
-/// The prompt of a request and the length of its answer.
+/// The prompt of a request and the maximum length of its answer.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Prompt {
     /// Tokens to read, cached ones included.
     pub prompt_tokens: u32,
-    /// Most tokens to generate.
+    /// Maximum number of tokens to generate.
     pub max_output_tokens: u32,
-    /// The prompt's parts in order. The last one belongs to the request or its session.
+    /// Parts of the prompt in order. The last one belongs to the request or its session.
     pub parts: Vec<PromptPart>,
 }
 
@@ -29,12 +29,12 @@
         self.parts.split_last().map_or(&[], |(_, shared)| shared)
     }
 
-    /// Returns the length of the shared parts.
     pub fn shared_tokens(&self) -> u32 {
         self.shared_parts().iter().map(|part| part.tokens).sum()
     }
 
-    /// Returns the id by which the request is placed: that of its last shared part.
+    /// Returns the id that determines the prompt's home endpoints: that of its last shared part, or of its last part if none
+    /// is shared.
     ///
     /// ```
     /// use sedgeridge_fleet::prompt::{Prompt, PromptPart};
@@ -48,7 +48,7 @@
         shared.or(self.parts.last()).map(|part| part.id)
     }
 
-    /// Returns what the request takes from its account's share: tokens read and generated.
+    /// Returns the tokens charged to the account: prompt tokens, and the maximum of generated tokens at their cost.
     pub fn charged_tokens(&self) -> f64 {
         let generated = f64::from(self.max_output_tokens) * GENERATED_TOKEN_COST;
         f64::from(self.prompt_tokens) + generated
--- a/crates/fleet/src/table_copy_budget.rs
+++ b/crates/fleet/src/table_copy_budget.rs
@@ -1,41 +1,41 @@
-//! Bounds the copies of tables that a host gives at once.
+//! Limits the copies of tables that a host sends to other hosts at the same time.
 
-/// Bytes of copies that are on their way at once. Several copies of a usual table fit, and of the longest one
-/// as many as a small host sends within the time that a fetch may take.
-const MOST_BYTES: u64 = 4 * 1_024 * 1_024;
+/// Maximum number of bytes of copies in transfer. Several copies of a usual table fit, and as many copies of the longest
+/// table as a small host can send within the timeout of a fetch.
+const MAX_BYTES: u64 = 4 * 1_024 * 1_024;
 
-/// Copies of tables that this host is giving.
+/// Copies of tables that this host is sending.
 ///
-/// After a loss of power all hosts of a fleet start together and ask the few that know the tables. A host that gives
-/// them all at once gives none of them in time: each fetch runs out of time and is begun anew, and
-/// nobody learns of the endpoints.
+/// After a power failure all hosts of a fleet start together and fetch the tables from the few hosts that know them. If a
+/// host sends all copies at once, none arrives in time: each fetch times out and is started again, and no host learns of
+/// the endpoints.
 ///
 /// ```
 /// use sedgeridge_fleet::table_copy_budget::TableCopyBudget;
 ///
-/// let mut load = TableCopyBudget::default();
-/// assert!(load.try_start(4_000_000));
-/// assert!(!load.try_start(1_000_000));
-/// load.finish(4_000_000);
-/// assert!(load.try_start(1_000_000));
+/// let mut budget = TableCopyBudget::default();
+/// assert!(budget.try_start(4_000_000));
+/// assert!(!budget.try_start(1_000_000));
+/// budget.finish(4_000_000);
+/// assert!(budget.try_start(1_000_000));
 /// ```
 #[derive(Debug, Default)]
 pub struct TableCopyBudget {
-    bytes: u64,
+    in_transfer_bytes: u64,
 }
 
 impl TableCopyBudget {
-    /// Takes a copy of that length, or tells that whoever asks for it should come again.
+    /// Starts a copy of `bytes` if it fits. If it returns false, the other host should ask again later.
     pub fn try_start(&mut self, bytes: u64) -> bool {
-        if self.bytes > 0 && self.bytes + bytes > MOST_BYTES {
+        if self.in_transfer_bytes > 0 && self.in_transfer_bytes + bytes > MAX_BYTES {
             return false;
         }
-        self.bytes += bytes;
+        self.in_transfer_bytes += bytes;
         true
     }
 
-    /// Notes that a copy has been given, or was given up.
+    /// Ends a copy that was sent completely or was aborted.
     pub fn finish(&mut self, bytes: u64) {
-        self.bytes = self.bytes.saturating_sub(bytes);
+        self.in_transfer_bytes = self.in_transfer_bytes.saturating_sub(bytes);
     }
 }
