--- a/crates/fleet/examples/decision_time.rs
+++ b/crates/fleet/examples/decision_time.rs
@@ -1,4 +1,4 @@
-//! Processor time of one host's decisions, by the number of engines.
+//! Measures the processor time of one host's decisions for several numbers of engines.
 //!
 //! `cargo run --release -p sedgeridge-fleet --example decision_time`
 
@@ -35,32 +35,34 @@
 const ACCOUNTS: u64 = 60;
 const ARRIVALS: u64 = 20_000;
 /// Time between two arrivals.
-const STEP: Duration = Duration::from_micros(500);
-/// Shared tokens of a prompt that goes to its homes only, and of one that goes anywhere.
+const ARRIVAL_INTERVAL: Duration = Duration::from_micros(500);
+/// Shared tokens of a prompt that goes only to its homes, and of one that goes to any engine.
 const SHARED_TOKENS: [u32; 2] = [600, 200];
 
 fn main() {
     println!("engines  ms to list them");
     for engines in ENGINES {
-        let begun = Instant::now();
+        let started = Instant::now();
         host(engines);
-        let list_ms = begun.elapsed().as_secs_f64() * 1e3;
+        let list_ms = started.elapsed().as_secs_f64() * 1e3;
         println!("{engines:7}  {list_ms:15.2}");
     }
     println!("engines  shared tokens  us an arrival  queued  us a look at the queue");
     for engines in ENGINES {
         for shared in SHARED_TOKENS {
-            let (arrival_us, queued, look_us) = measure(engines, shared);
-            println!("{engines:7}  {shared:13}  {arrival_us:13.2}  {queued:6}  {look_us:22.1}");
+            let (arrival_us, queued, queue_check_us) = measure(engines, shared);
+            println!(
+                "{engines:7}  {shared:13}  {arrival_us:13.2}  {queued:6}  {queue_check_us:22.1}"
+            );
         }
     }
 }
 
-/// Offers far more than the engines take, so that requests wait and are refused.
+/// Sends far more requests than the engines take, so that requests wait and are refused.
 fn measure(engines: u64, shared: u32) -> (f64, usize, f64) {
     let mut host = host(engines);
     let mut decisions = Vec::new();
-    // A past of a few failures, as every host has it.
+    // Each host has records of a few failures.
     for request in 0..engines {
         let arrival = arrival(request, Duration::ZERO, shared);
         host.handle(
@@ -71,10 +73,10 @@
         let failed = DispatchEvent::AttemptFailed(RequestId(request), Failure::ConnectionLost);
         host.handle(Duration::ZERO, failed, &mut decisions);
     }
-    let begun = Instant::now();
+    let started = Instant::now();
     let mut now = Duration::ZERO;
     for request in 0..ARRIVALS {
-        now += STEP;
+        now += ARRIVAL_INTERVAL;
         let arrival = arrival(engines + request, now, shared);
         decisions.clear();
         host.handle(
@@ -83,17 +85,17 @@
             &mut decisions,
         );
     }
-    let arrival_us = begun.elapsed().as_secs_f64() * 1e6 / ARRIVALS as f64;
+    let arrival_us = started.elapsed().as_secs_f64() * 1e6 / ARRIVALS as f64;
     let queued = host.queued_requests();
-    let begun = Instant::now();
-    const LOOKS: u32 = 10;
-    for look in 0..LOOKS {
+    let started = Instant::now();
+    const QUEUE_CHECKS: u32 = 10;
+    for check in 0..QUEUE_CHECKS {
         decisions.clear();
-        let at = now + Duration::from_micros(u64::from(look));
+        let at = now + Duration::from_micros(u64::from(check));
         host.handle(at, DispatchEvent::Tick, &mut decisions);
     }
-    let look_us = begun.elapsed().as_secs_f64() * 1e6 / f64::from(LOOKS);
-    (arrival_us, queued, look_us)
+    let queue_check_us = started.elapsed().as_secs_f64() * 1e6 / f64::from(QUEUE_CHECKS);
+    (arrival_us, queued, queue_check_us)
 }
 
 fn host(engines: u64) -> Dispatcher {
--- a/crates/fleet/tests/cached_parts.rs
+++ b/crates/fleet/tests/cached_parts.rs
@@ -1,4 +1,4 @@
-//! What a host remembers of the caches of endpoints.
+//! Prompt parts that a host remembers as cached by endpoints.
 
 use std::time::Duration;
 
@@ -21,9 +21,9 @@
     }
 }
 
-/// Callers name the parts of their prompts. One that sends prompts of a thousand new parts each, some hundred
-/// a second, made the host remember millions within the seconds for which a part counts as
-/// cached; its process grew to its memory limit and was killed with requests in progress.
+/// Guards against a process that is killed at its memory limit with requests in progress. Callers name the parts of their
+/// prompts: some hundred prompts a second with a thousand new parts each add up to millions of parts within the time for
+/// which a part counts as cached.
 #[test]
 fn a_flood_of_new_parts_takes_no_more_than_the_bound() {
     let mut cached = CachedParts::default();
@@ -38,7 +38,7 @@
     assert_eq!(cached.unread_tokens(now, ENDPOINT, &newest, false), 0);
 }
 
-/// A part that is used again and again stays known, however many others come and go.
+/// Guards against a flood of new parts that displaces a part in constant use.
 #[test]
 fn parts_in_use_outlast_a_flood_of_others() {
     let mut cached = CachedParts::default();
@@ -52,7 +52,7 @@
     }
 }
 
-/// An endpoint that was restarted knows nothing; what another one has stays known.
+/// Guards against parts that count as cached by an endpoint after its restart. Those of other endpoints stay.
 #[test]
 fn a_restarted_endpoint_has_nothing_cached() {
     let mut cached = CachedParts::default();
--- a/crates/fleet/tests/dispatcher.rs
+++ b/crates/fleet/tests/dispatcher.rs
@@ -1,4 +1,4 @@
-//! Failures of single requests: what is sent again, what is refused, and what is neither.
+//! Requests of one host: resends, refusals, failures, and charges to accounts.
 
 mod support;
 
@@ -30,10 +30,10 @@
     }
 }
 
-/// The caller sees one charge. Its request may not be repeated; the connection is lost after it was
-/// sent, so it may have run. It must not be sent again, and not be called "not run".
+/// Guards against a request that runs twice, or is refused as not run, although it may have run at most once: the
+/// connection was lost after it was sent.
 #[test]
-fn a_request_that_may_have_run_is_not_repeated_and_not_called_unrun() {
+fn a_request_that_may_have_run_fails_and_is_not_repeated() {
     let mut host = Host::new(1);
     let (id, verdict) = host.arrive(0, plain_request(0, Repeat::AtMostOnce));
     sent_to(verdict);
@@ -42,8 +42,8 @@
     assert_eq!(verdict, Some(Verdict::Fail(Failure::ConnectionLost)));
 }
 
-/// The caller gets its answer from the second endpoint. The first one is full and says that it did
-/// not run the request, which therefore may go on even if it may not be repeated.
+/// Guards against a failed request that could have been sent again: the first endpoint is full and says that it did not
+/// run the request, which may therefore be sent to a second one even if it may run at most once.
 #[test]
 fn a_request_that_was_turned_away_goes_to_another_endpoint() {
     let mut host = Host::new(1);
@@ -54,8 +54,8 @@
     assert_ne!(first, second);
 }
 
-/// The caller is told that its request has not run, with a time to come back: both endpoints turned
-/// it away, and the route allows two.
+/// Guards against a wrong answer when all attempts were rejected: both endpoints turned the request away, the route
+/// allows two attempts, and the caller has to learn that the request has not run.
 #[test]
 fn a_request_that_all_allowed_endpoints_turned_away_is_refused() {
     let mut host = Host::new(1);
@@ -68,7 +68,7 @@
     }
 }
 
-/// The caller's request reaches no more endpoints than its route allows, even if it may be repeated.
+/// Guards against a repeatable request that is sent to more endpoints than its route allows.
 #[test]
 fn a_repeatable_request_stops_at_the_allowed_attempts() {
     let mut host = Host::new(1);
@@ -80,10 +80,10 @@
     assert_eq!(verdict, Some(Verdict::Fail(Failure::ServerError)));
 }
 
-/// Callers of a leaving endpoint's service are led to the other one from that moment, and an entry
-/// written late by the leaving one does not bring it back.
+/// Guards against requests to an endpoint that is about to stop, also after an entry that it wrote before its departure
+/// arrives late.
 #[test]
-fn a_leaving_endpoint_gets_nothing_new() {
+fn a_leaving_endpoint_gets_no_new_requests() {
     let mut host = Host::new(1);
     let mut leaving = endpoint(PLAIN, "booking-1");
     leaving.is_leaving = true;
@@ -96,26 +96,29 @@
     }
 }
 
-/// Callers are led away from an endpoint that takes requests and never answers. Each caller there
-/// gives up after a second, and no attempt ends with an error that would tell.
+/// Guards against an endpoint that takes requests and never answers, but keeps getting them: callers give up after a
+/// second, and no attempt ends with an error.
 #[test]
 fn an_endpoint_that_never_answers_loses_its_callers() {
     let mut host = Host::new(1);
-    let mut mute = 0;
+    let mut sent_to_silent = 0;
     for step in 0..40_u64 {
         let now = step * 1_000;
         let (id, verdict) = host.arrive(now, plain_request(now, Repeat::AtMostOnce));
         if sent_to(verdict) == "booking-1" {
-            mute += 1;
+            sent_to_silent += 1;
             host.send(now + 900, DispatchEvent::Abandoned(id));
         } else {
             host.send(now + 20, DispatchEvent::Completed(id));
         }
     }
-    assert!(mute <= 6, "{mute} of 40 requests went to the mute endpoint");
+    assert!(
+        sent_to_silent <= 6,
+        "{sent_to_silent} of 40 requests went to the silent endpoint"
+    );
 }
 
-/// The caller is told soon that nothing can be reached, not at the end of its time.
+/// Guards against a caller that waits until its deadline although no endpoint can be reached.
 #[test]
 fn without_an_endpoint_a_request_is_refused_within_its_latency_target() {
     let mut host = Host::new(1);
@@ -130,8 +133,7 @@
     assert_eq!(refusal(Some(verdict)), RefusalReason::NoEndpoint);
 }
 
-/// Requests about one subject meet the same engine while it has room, so that it reads the shared
-/// part of their prompts once.
+/// Guards against a shared prompt part that several engines read although the first one has free capacity.
 #[test]
 fn prompts_about_one_subject_meet_one_engine() {
     let mut host = Host::new(1);
@@ -142,8 +144,8 @@
     assert_eq!(sent_to(verdict), first);
 }
 
-/// The caller is refused at once, not at the end of its time: both engines have more to read than
-/// the latency target allows.
+/// Guards against a caller that waits until its deadline although both engines have more to read than the latency target
+/// allows.
 #[test]
 fn a_request_that_cannot_be_in_time_is_refused_early() {
     let mut host = Host::new(1);
@@ -157,7 +159,7 @@
     assert_eq!(refusal(Some(verdict)), RefusalReason::Overload);
 }
 
-/// An account that floods the engines is refused, and a small one beside it is served in time.
+/// Guards against requests of a small account that wait because another account floods the engines.
 #[test]
 fn an_account_over_its_share_does_not_keep_a_small_one_waiting() {
     let mut host = Host::new(1);
@@ -186,22 +188,25 @@
         }
     }
     assert_eq!(host.dispatcher.unfinished_requests(), 0);
-    assert!(refused < 240, "something of the flood is served: {refused}");
+    assert!(
+        refused < 240,
+        "all requests of the flood were refused: {refused}"
+    );
 }
 
-/// Gives an engine of a host much to read; returns the engine.
+/// Sends a long prompt to an engine and returns the engine.
 fn keep_engine_busy(host: &mut Host) -> String {
     let (_, verdict) = host.arrive(0, engine_request(0, 1, prompt(7, 9_000)));
     sent_to(verdict)
 }
 
-/// Sends a short prompt about the same subject; returns its engine.
+/// Sends a short prompt about the same subject and returns its engine.
 fn engine_for_short_prompt(host: &mut Host) -> String {
     let (_, verdict) = host.arrive(10, engine_request(10, 1, prompt(7, 10)));
     sent_to(verdict)
 }
 
-/// Other hosts' work counts: an engine that another host keeps busy is passed over.
+/// Guards against requests to an engine that is idle for this host, but kept busy by another one.
 #[test]
 fn the_work_of_other_hosts_counts() {
     let (mut one, mut other) = (Host::new(1), Host::new(2));
@@ -211,7 +216,7 @@
     assert_ne!(engine_for_short_prompt(&mut one), busy);
 }
 
-/// A report that arrives late must not undo a newer one.
+/// Guards against a report that arrives late and replaces a newer one.
 #[test]
 fn an_older_report_changes_nothing() {
     let (mut one, mut other) = (Host::new(1), Host::new(2));
@@ -223,8 +228,8 @@
     assert_ne!(engine_for_short_prompt(&mut one), busy);
 }
 
-/// The caller of a request that crashes engines is refused after it crashed two of them, also where
-/// another host saw the crashes.
+/// Guards against a request that crashes engine after engine, by way of several hosts. It has to be refused after two
+/// crashes, also by a host that only got reports of them.
 #[test]
 fn a_request_that_crashes_engines_is_stopped_on_every_host() {
     let mut one = Host::new(1);
@@ -259,7 +264,7 @@
             );
         }
         one.send(now + 60, DispatchEvent::Abandoned(probe));
-        // A crashed engine leaves the list; the next crash is another one's.
+        // A crashed engine is no longer listed; the next crash is that of another one.
         one.send(now + 70, DispatchEvent::EndpointGone(gone));
         for later in [1_100, 1_200] {
             one.send(now + later, DispatchEvent::Tick);
@@ -274,17 +279,16 @@
     }
 }
 
-/// Tokens that the host reports as begun for an account.
-fn begun(host: &mut Host, account: u64) -> u32 {
+/// Tokens that the host reports as started for an account.
+fn started_tokens(host: &mut Host, account: u64) -> u32 {
     let usage = host.dispatcher.report(support::live()).usage;
-    let of_account = usage.iter().filter(|(key, _)| *key == account);
-    of_account.map(|(_, usage)| usage.started_tokens).sum()
+    let rows = usage.iter().filter(|(key, _)| *key == account);
+    rows.map(|(_, usage)| usage.started_tokens).sum()
 }
 
-/// Engines are lost, and the callers of one account at one host are refused as over their share,
-/// though hardly any of their requests ran.
-/// Connections to the lost engines fail, and each request is sent to the next one. If each send counts
-/// as begun, the account is charged several times for one run, and for none where all of them fail.
+/// Guards against callers that are refused as over their share although hardly any of their requests ran. When engines
+/// fail, each request is sent to one after another; if each send were charged, the account would pay several times for
+/// one run, or for none.
 #[test]
 fn an_account_is_charged_once_for_what_ran_and_not_for_what_did_not() {
     let account = 7;
@@ -296,29 +300,29 @@
         let mut host = Host::new(1);
         let (id, verdict) = host.arrive(0, engine_request(0, account, prompt(7, 10)));
         sent_to(verdict);
-        let once = begun(&mut host, account);
+        let once = started_tokens(&mut host, account);
         assert!(once > 0);
         let verdict = verdict_of(id, host.send(10, DispatchEvent::AttemptFailed(id, failure)));
         sent_to(verdict);
-        assert_eq!(begun(&mut host, account), once, "{failure:?}");
+        assert_eq!(started_tokens(&mut host, account), once, "{failure:?}");
         let verdict = verdict_of(id, host.send(20, DispatchEvent::AttemptFailed(id, failure)));
         assert!(!matches!(verdict, Some(Verdict::Send(_))), "{verdict:?}");
-        assert_eq!(begun(&mut host, account), 0, "{failure:?}");
+        assert_eq!(started_tokens(&mut host, account), 0, "{failure:?}");
     }
 }
 
-/// A request that may have run is charged, and its second run is not charged again.
+/// Guards against a second charge for a request that may have run and is sent again.
 #[test]
 fn an_account_is_charged_once_for_a_request_that_ran_twice() {
     let account = 7;
     let mut host = Host::new(1);
     let (id, verdict) = host.arrive(0, engine_request(0, account, prompt(7, 10)));
     sent_to(verdict);
-    let once = begun(&mut host, account);
+    let once = started_tokens(&mut host, account);
     let lost = DispatchEvent::AttemptFailed(id, Failure::ConnectionLost);
     sent_to(verdict_of(id, host.send(10, lost)));
-    assert_eq!(begun(&mut host, account), once);
+    assert_eq!(started_tokens(&mut host, account), once);
     let turned_away = DispatchEvent::AttemptFailed(id, Failure::TurnedAway);
     host.send(20, turned_away);
-    assert_eq!(begun(&mut host, account), once);
+    assert_eq!(started_tokens(&mut host, account), once);
 }
--- a/crates/fleet/tests/dispatcher_fuzz.rs
+++ b/crates/fleet/tests/dispatcher_fuzz.rs
@@ -1,5 +1,5 @@
-//! Random events against an oracle: each request has one end, what may have run is never called
-//! unrun, and no work stays counted once all requests have ended.
+//! Compares decisions about random events with an oracle: each request ends once, no request that may have run is refused
+//! as not run, and no work stays counted after all requests have ended.
 
 mod support;
 
@@ -73,7 +73,7 @@
     max_attempts: u32,
     sends: u32,
     may_have_run: bool,
-    is_out: bool,
+    has_attempt: bool,
 }
 
 #[derive(Debug, Default)]
@@ -88,7 +88,7 @@
             max_attempts: arrival.route.max_attempts,
             sends: 0,
             may_have_run: false,
-            is_out: false,
+            has_attempt: false,
         };
         self.open.insert(id, tracked);
     }
@@ -96,17 +96,20 @@
     fn decided(&mut self, decisions: Vec<Decision>) {
         for Decision { request, verdict } in decisions {
             let tracked = self.open.get_mut(&request).expect("decided after its end");
-            assert!(!tracked.is_out, "decided while an attempt is in progress");
+            assert!(
+                !tracked.has_attempt,
+                "decided while an attempt is in progress"
+            );
             match verdict {
                 Verdict::Send(_) => {
-                    let may_go_on = !tracked.may_have_run || tracked.allows_second_run;
-                    assert!(may_go_on, "sent again although it may have run");
+                    let may_be_sent = !tracked.may_have_run || tracked.allows_second_run;
+                    assert!(may_be_sent, "sent again although it may have run");
                     tracked.sends += 1;
-                    tracked.is_out = true;
+                    tracked.has_attempt = true;
                     assert!(tracked.sends <= tracked.max_attempts);
                 }
                 Verdict::Refuse { .. } => {
-                    assert!(!tracked.may_have_run, "called unrun");
+                    assert!(!tracked.may_have_run, "refused although it may have run");
                     self.open.remove(&request);
                 }
                 Verdict::Fail(_) => {
@@ -117,15 +120,16 @@
         }
     }
 
-    fn out(&self, index: usize) -> Option<RequestId> {
-        let out: Vec<_> = self.open.iter().filter(|(_, t)| t.is_out).collect();
-        let picked = out.get(index.checked_rem(out.len())?)?;
+    /// Picks one of the requests with an attempt in progress.
+    fn pick_running(&self, index: usize) -> Option<RequestId> {
+        let running: Vec<_> = self.open.iter().filter(|(_, t)| t.has_attempt).collect();
+        let picked = running.get(index.checked_rem(running.len())?)?;
         Some(*picked.0)
     }
 
     fn failed(&mut self, id: RequestId, failure: Failure) {
         let tracked = self.open.get_mut(&id).expect("in progress");
-        tracked.is_out = false;
+        tracked.has_attempt = false;
         tracked.may_have_run |= failure.may_have_run();
         if !failure.was_sent() {
             tracked.sends -= 1;
@@ -146,25 +150,25 @@
                 oracle.arrived(request.id, &request);
                 DispatchEvent::Arrived(Box::new(request))
             }
-            Step::FirstPiece(index) => match oracle.out(index) {
+            Step::FirstPiece(index) => match oracle.pick_running(index) {
                 Some(id) => DispatchEvent::FirstPiece(id),
                 None => continue,
             },
-            Step::Complete(index) => match oracle.out(index) {
+            Step::Complete(index) => match oracle.pick_running(index) {
                 Some(id) => {
                     oracle.open.remove(&id);
                     DispatchEvent::Completed(id)
                 }
                 None => continue,
             },
-            Step::Fail(index, failure) => match oracle.out(index) {
+            Step::Fail(index, failure) => match oracle.pick_running(index) {
                 Some(id) => {
                     oracle.failed(id, failure);
                     DispatchEvent::AttemptFailed(id, failure)
                 }
                 None => continue,
             },
-            Step::Leave(index) => match oracle.out(index) {
+            Step::Leave(index) => match oracle.pick_running(index) {
                 Some(id) => {
                     oracle.open.remove(&id);
                     DispatchEvent::Abandoned(id)
@@ -178,26 +182,34 @@
         };
         oracle.decided(host.send(now, event));
     }
-    // Whatever is queued ends by its deadline, and nothing stays counted.
+    // Queued requests end by their deadlines, and no work stays counted.
     for _ in 0..40 {
         now += 100;
         oracle.decided(host.send(now, DispatchEvent::Tick));
-        while let Some(id) = oracle.out(0) {
+        while let Some(id) = oracle.pick_running(0) {
             oracle.open.remove(&id);
             oracle.decided(host.send(now, DispatchEvent::Completed(id)));
         }
     }
-    assert!(oracle.open.is_empty(), "without an end: {:?}", oracle.open);
+    assert!(
+        oracle.open.is_empty(),
+        "requests without an end: {:?}",
+        oracle.open
+    );
     assert_eq!(host.dispatcher.unfinished_requests(), 0);
     assert_eq!(host.dispatcher.queued_requests(), 0);
     let report = host.dispatcher.report(support::live());
-    assert!(report.loads.is_empty(), "still counted: {:?}", report.loads);
+    assert!(
+        report.loads.is_empty(),
+        "work still counted: {:?}",
+        report.loads
+    );
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(400))]
     #[test]
-    fn every_request_has_one_true_end(steps in steps()) {
+    fn every_request_ends_once_and_with_a_true_answer(steps in steps()) {
         play(steps);
     }
 }
--- a/crates/fleet/tests/event_stream.rs
+++ b/crates/fleet/tests/event_stream.rs
@@ -1,12 +1,12 @@
-//! Events arrive in pieces of any size and leave whole.
+//! Events that arrive in pieces of any size are passed on completely.
 
 use proptest::prelude::*;
 use sedgeridge_fleet::event_stream::EventSplitter;
 
 proptest! {
-    /// The caller sees each event once and whole, however the bytes were cut on the way.
+    /// Each event is passed on once and completely, however the bytes are split on the way.
     #[test]
-    fn any_cut_gives_the_same_events(count in 1..12_u64, cuts in prop::collection::vec(1..40_usize, 1..40)) {
+    fn any_split_gives_the_same_events(count in 1..12_u64, cuts in prop::collection::vec(1..40_usize, 1..40)) {
         let whole: String = (1..=count).map(|id| format!("id: {id}\ndata: x{id}\n\n")).collect();
         let mut splitter = EventSplitter::default();
         let mut passed = Vec::new();
@@ -27,8 +27,7 @@
     }
 }
 
-/// The caller must not see the half of event 2 that one endpoint sent before it broke off, or the
-/// stream that goes on elsewhere would repeat it.
+/// Guards against a partial event 2 from an endpoint that failed, before another endpoint sends the whole event.
 #[test]
 fn the_beginning_of_an_event_is_dropped_before_another_endpoint_goes_on() {
     let mut splitter = EventSplitter::default();
--- a/crates/fleet/tests/fair_begins.rs
+++ b/crates/fleet/tests/fair_begins.rs
@@ -1,28 +1,27 @@
-//! How evenly a large fleet begins the requests of accounts that ask for more than there is.
+//! How evenly a large fleet starts the requests of accounts that request more than the engines can process.
 
 mod support;
 
 use support::load_play::AccountLoad;
 use support::load_play::Load;
 use support::load_play::Prompts;
-use support::load_play::Returns;
-use support::load_play::play_begun;
+use support::load_play::RetryPolicy;
+use support::load_play::play_started;
 
-/// An account whose callers all reach one host, and one that asks for ten times as much everywhere.
+/// An account whose callers all reach one host, and one that sends ten times as many requests to all hosts.
 const ONE_HOST: u64 = 1;
-const EVERYWHERE: u64 = 2;
-/// Span over which accounts are compared. It holds two bursts that come a window of the shares apart.
+const ALL_HOSTS: u64 = 2;
+/// Time span over which accounts are compared. It contains two bursts that are one share window apart.
 const SPAN_MS: u64 = 6_000;
 const LENGTH_MS: u64 = 24_000;
-/// When the account that asks everywhere begins to.
+/// Time at which the account at all hosts sends its first request.
 const FLOOD_FROM_MS: u64 = 4_000;
 
-/// Time until all hosts have heard of the flood. What they begin before that cannot be held back.
-const NOTICED_MS: u64 = 1_000;
-/// Largest ratio of what the two accounts may get in a span. The worst of three plays was 2.9 while
-/// what was begun left the window at once, 2.3 with use that fades, and 1.7 since each host guesses
-/// what the others begin.
-const MOST_APART: f64 = 1.9;
+/// Time until all hosts know of the flood. Requests that they start before that can't be held back.
+const NOTICE_MS: u64 = 1_000;
+/// Maximum ratio of the requests started for the two accounts in a span. The worst ratio of three runs is 2.9 if usage
+/// leaves the window at once, 2.3 if it fades, and 1.7 if each host also estimates what the others start.
+const MAX_RATIO: f64 = 1.9;
 
 fn flood(seed: u64) -> Load {
     let small = (3..13).map(|account| AccountLoad::steady(account, 4));
@@ -30,9 +29,9 @@
         only_host: Some(0),
         ..AccountLoad::steady(ONE_HOST, 80)
     };
-    let everywhere = AccountLoad {
+    let all_hosts = AccountLoad {
         from_ms: FLOOD_FROM_MS,
-        ..AccountLoad::steady(EVERYWHERE, 800)
+        ..AccountLoad::steady(ALL_HOSTS, 800)
     };
     Load {
         hosts: 40,
@@ -42,9 +41,9 @@
             shared_tokens: 1_000,
             own_tokens: 800,
         },
-        accounts: small.chain([one_host, everywhere]).collect(),
+        accounts: small.chain([one_host, all_hosts]).collect(),
         length_ms: LENGTH_MS,
-        returns: Returns::Told,
+        retry_policy: RetryPolicy::AsTold,
         seed,
     }
 }
@@ -54,28 +53,26 @@
     within.count()
 }
 
-/// Requests of both accounts in each span of the flood, half a second apart.
+/// Requests started for both accounts in each span of the flood; spans begin half a second apart.
 fn spans(seed: u64) -> Vec<(usize, usize)> {
-    let begun = play_begun(flood(seed));
-    let starts = (FLOOD_FROM_MS + NOTICED_MS..=LENGTH_MS - SPAN_MS).step_by(500);
+    let started_at_ms = play_started(flood(seed));
+    let starts = (FLOOD_FROM_MS + NOTICE_MS..=LENGTH_MS - SPAN_MS).step_by(500);
     let spans = starts.map(|from_ms| {
-        let within = |account| count_within(&begun[&account], from_ms, from_ms + SPAN_MS);
-        (within(ONE_HOST), within(EVERYWHERE))
+        let within = |account| count_within(&started_at_ms[&account], from_ms, from_ms + SPAN_MS);
+        (within(ONE_HOST), within(ALL_HOSTS))
     });
     spans.collect()
 }
 
-/// Callers of one account are refused for seconds while another gets several times as much.
-/// All hosts serve the other one. They hear of each other's begins half a second late, so that each
-/// of them takes its requests at the moment when it has room in the window, and all together begin
-/// twice its share; they stop until that leaves the window, and begin as much again.
-/// Two such bursts lie in six seconds, and after each the engines have no room for the first account.
+/// Guards against callers of an account at one host that are refused for seconds while an account at all hosts gets several
+/// times as much. Hosts learn of each other's starts half a second late, so that together they start twice its share when
+/// the window has room, and again when that has left the window: two bursts in six seconds that fill the engines.
 #[test]
-fn an_account_at_one_host_gets_its_part_beside_one_that_asks_everywhere() {
+fn an_account_at_one_host_gets_its_share_beside_one_at_all_hosts() {
     for seed in 1..=3 {
         let spans = spans(seed);
-        let is_fair = |(one_host, everywhere): &(usize, usize)| {
-            *everywhere as f64 <= *one_host as f64 * MOST_APART
+        let is_fair = |(one_host, all_hosts): &(usize, usize)| {
+            *all_hosts as f64 <= *one_host as f64 * MAX_RATIO
         };
         assert!(spans.iter().all(is_fair), "seed {seed}: {spans:?}");
     }
--- a/crates/fleet/tests/idle_connections.rs
+++ b/crates/fleet/tests/idle_connections.rs
@@ -1,4 +1,4 @@
-//! Connections that the hosts of a fleet keep open to one endpoint.
+//! Idle connections of all hosts of a fleet to one endpoint.
 
 mod support;
 
@@ -17,10 +17,10 @@
 use support::config;
 
 const MAX_CONNECTIONS: u32 = 530;
-/// Requests that the fleet has in progress on an endpoint, as a multiple of its slots.
+/// Number of requests of the fleet in progress on the endpoint: a multiple of its slots.
 const IN_PROGRESS: usize = 12;
 
-/// Guards against idle connections of many hosts that use up what an endpoint accepts, so that it resets requests.
+/// Guards against idle connections of many hosts that use up the endpoint's limit, so that it resets requests.
 #[parameterized(small = { 6 }, grown = { 78 }, large = { 300 }, largest = { 400 })]
 fn idle_connections_of_all_hosts_leave_room_for_requests(hosts: usize) {
     let listed = (1..=hosts as u64).map(|host| ListedHost {
@@ -38,11 +38,11 @@
     host.send(0, DispatchEvent::HostsListed(listed.collect()));
     let service = ServiceId::from(PLAIN);
     let idle = host.dispatcher.idle_connections(at(0), &service);
-    let in_all = idle * hosts + IN_PROGRESS;
-    // An endpoint accepts fewer than it states while requests wait there.
+    let connections = idle * hosts + IN_PROGRESS;
+    // While requests wait there, an endpoint accepts fewer connections than it states.
     assert!(
-        in_all <= MAX_CONNECTIONS as usize * 6 / 10,
-        "{in_all} connections"
+        connections <= MAX_CONNECTIONS as usize * 6 / 10,
+        "{connections} connections"
     );
 }
 
--- a/crates/fleet/tests/idle_engines.rs
+++ b/crates/fleet/tests/idle_engines.rs
@@ -1,4 +1,4 @@
-//! Engines that have room are used, also for accounts that have had their share.
+//! Engines with free capacity are used, also for accounts over their share.
 
 mod support;
 
@@ -11,10 +11,10 @@
 use support::Host;
 use support::engine_request;
 use support::load_play::AccountLoad;
-use support::load_play::Got;
 use support::load_play::Load;
 use support::load_play::Prompts;
-use support::load_play::Returns;
+use support::load_play::Results;
+use support::load_play::RetryPolicy;
 use support::load_play::play;
 use support::load_play::total;
 use support::prompt;
@@ -22,7 +22,7 @@
 const GREEDY: u64 = 1;
 const MODEST: u64 = 2;
 
-/// One account asks for more than its share on engines that could read twice as much.
+/// One account requests more than its share, of engines that could read twice as much.
 fn calm_flood(seed: u64) -> Load {
     let modest = (MODEST..8).map(|account| AccountLoad::steady(account, 6));
     let greedy = AccountLoad::steady(GREEDY, 40);
@@ -36,29 +36,29 @@
         },
         accounts: modest.chain([greedy]).collect(),
         length_ms: 10_000,
-        returns: Returns::Told,
+        retry_policy: RetryPolicy::AsTold,
         seed,
     }
 }
 
-/// Guards against callers that are refused while engines are idle.
+/// Guards against requests that are refused while engines are idle.
 #[test]
 fn an_account_over_its_share_is_served_while_engines_have_room() {
-    let mut greedy = Got::default();
-    let mut modest = Got::default();
+    let mut greedy = Results::default();
+    let mut modest = Results::default();
     for seed in 1..=3 {
         let mut got = play(calm_flood(seed));
         let of_greedy = got.remove(&GREEDY).expect("the account");
         greedy = sum(greedy, of_greedy);
         modest = sum(modest, total(&got));
     }
-    assert!(modest.in_time_part() >= 0.98, "{modest:?}");
-    assert!(greedy.in_time_part() >= 0.9, "{greedy:?}");
+    assert!(modest.in_time_ratio() >= 0.98, "{modest:?}");
+    assert!(greedy.in_time_ratio() >= 0.9, "{greedy:?}");
 }
 
-fn sum(one: Got, other: Got) -> Got {
-    Got {
-        asked: one.asked + other.asked,
+fn sum(one: Results, other: Results) -> Results {
+    Results {
+        requests: one.requests + other.requests,
         tries: one.tries + other.tries,
         in_time: one.in_time + other.in_time,
         late: one.late + other.late,
@@ -66,12 +66,12 @@
     }
 }
 
-/// Guards against a flood that keeps engines closed: refusals that follow each other closely must not count as signs
-/// that there is still no room.
+/// Guards against engines that stay unused in a flood: each refusal without a comparison of engines must not extend the
+/// time for which the host takes engines for full.
 #[test]
-fn engines_that_fall_idle_in_a_flood_are_used() {
+fn engines_that_become_idle_in_a_flood_are_used() {
     let mut host = Host::new(1);
-    // The account has had more than its share: another one asks for less, and has one request on each engine.
+    // The greedy account is over its share; the modest one requests less, and has one request on each engine.
     for subject in 0..60 {
         let (id, verdict) = host.arrive(0, engine_request(0, GREEDY, prompt(subject, 1_000)));
         assert!(matches!(verdict, Some(Verdict::Send(_))), "{verdict:?}");
--- a/crates/fleet/tests/late_knowledge.rs
+++ b/crates/fleet/tests/late_knowledge.rs
@@ -1,16 +1,16 @@
-//! Hosts that hear of each other's work some time after it has begun.
+//! Hosts that learn of each other's work some time after it was started.
 
 mod support;
 
 use support::load_play::AccountLoad;
-use support::load_play::Got;
 use support::load_play::Load;
 use support::load_play::Prompts;
-use support::load_play::Returns;
+use support::load_play::Results;
+use support::load_play::RetryPolicy;
 use support::load_play::play;
 use support::load_play::total;
 
-/// Short prompts that take nine tenths of the reading time of twelve engines, at twelve hosts.
+/// Short prompts that need nine tenths of the reading time of twelve engines, at twelve hosts.
 fn short_prompts(seed: u64) -> Load {
     Load {
         hosts: 12,
@@ -22,25 +22,24 @@
         },
         accounts: (1..=10).map(|it| AccountLoad::steady(it, 42)).collect(),
         length_ms: 8_000,
-        returns: Returns::Told,
+        retry_policy: RetryPolicy::AsTold,
         seed,
     }
 }
 
-/// Callers wait behind hundreds of others for their first event although most engines are idle.
-/// Between two reports all hosts know the same idle engine and all send their short prompts there;
-/// then they all know of another one.
+/// Guards against requests that wait behind hundreds of others although most engines are idle: between two reports all
+/// hosts know the same idle engine, and all send their short prompts there.
 ///
-/// Part of the callers that get their first event in time: 0.876 when each host compares all engines,
-/// 0.978 when it compares the homes of the prompt and two engines drawn for the request.
+/// Fraction of first events in time: 0.876 if each host compares all engines, 0.978 if it compares the homes of the prompt
+/// and two engines drawn for the request.
 #[test]
 fn short_prompts_do_not_meet_at_the_engine_that_seems_idle() {
-    let mut sum = Got::default();
+    let mut sum = Results::default();
     for seed in 1..=5 {
         let got = total(&play(short_prompts(seed)));
-        sum.asked += got.asked;
+        sum.requests += got.requests;
         sum.in_time += got.in_time;
         sum.late += got.late;
     }
-    assert!(sum.in_time_part() > 0.94, "{sum:?}");
+    assert!(sum.in_time_ratio() > 0.94, "{sum:?}");
 }
--- a/crates/fleet/tests/paused_endpoints.rs
+++ b/crates/fleet/tests/paused_endpoints.rs
@@ -21,7 +21,7 @@
 use support::load_play::AccountLoad;
 use support::load_play::Load;
 use support::load_play::Prompts;
-use support::load_play::Returns;
+use support::load_play::RetryPolicy;
 use support::load_play::TurningAway;
 use support::load_play::play;
 use support::load_play::play_turned_away;
@@ -59,7 +59,7 @@
         },
         accounts: (1..=8).map(|it| AccountLoad::steady(it, 20)).collect(),
         length_ms: 15_000,
-        returns: Returns::Told,
+        retry_policy: RetryPolicy::AsTold,
         seed,
     }
 }
@@ -91,7 +91,7 @@
         }
         println!("seed {seed}: calm {calm:?}, away {got:?}");
         assert!(
-            got.answered_part() >= 0.98 * calm.answered_part(),
+            got.answered_ratio() >= 0.98 * calm.answered_ratio(),
             "{got:?}"
         );
     }
--- a/crates/fleet/tests/placement.rs
+++ b/crates/fleet/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Where prompts are read when engines are full or fail.
+//! Choice of engines for prompts with shared parts when engines are full or fail.
 
 mod support;
 
@@ -47,7 +47,7 @@
     }
 }
 
-/// Sends requests that differ in their own part; returns how many each engine took.
+/// Sends requests that differ only in their own parts; returns the number of requests on each engine.
 fn spread(host: &mut Host, shared: u32, requests: u32) -> BTreeMap<String, usize> {
     let mut taken = BTreeMap::new();
     for own in 1..=requests {
@@ -58,8 +58,8 @@
     taken
 }
 
-/// Many requests about one subject come while its homes are full. They do not go to whichever engine
-/// has a slot, where each would have the long shared part read anew; they wait, or are refused.
+/// Guards against a long shared part that every engine reads: when the homes of a subject are full, its requests must wait
+/// or be refused, and not go to any engine with a free slot.
 #[test]
 fn a_long_shared_part_is_read_at_its_homes_only() {
     let taken = spread(&mut host_with_six_engines(1), 1_000, 20);
@@ -70,12 +70,12 @@
 }
 
 #[test]
-fn a_short_shared_part_is_read_wherever_there_is_room() {
+fn a_short_shared_part_is_read_by_any_engine_with_a_free_slot() {
     let taken = spread(&mut host_with_six_engines(1), 100, 24);
     assert!(taken.len() > 4, "{taken:?}");
 }
 
-/// Fails the home of a subject until it is no longer taken for sound; returns it.
+/// Lets a request at the home of a subject fail, so that the home counts as failing; returns the home.
 fn fail_home(host: &mut Host, failure: Failure) -> Arc<Endpoint> {
     let (id, home) = send(host, 0, prompt(1_000, 1)).expect("a home");
     host.send(0, DispatchEvent::AttemptFailed(id, failure));
@@ -83,8 +83,8 @@
     home
 }
 
-/// The home of a subject cannot be reached. Its requests meet at one other engine, on every host
-/// alike, so that the shared part is read once and not by each engine that has a slot.
+/// Guards against a shared part that several engines read after its home became unreachable: all hosts have to send the
+/// requests to the same other engine.
 #[test]
 fn requests_whose_home_is_lost_meet_at_one_other_engine() {
     let mut met = Vec::new();
@@ -101,8 +101,8 @@
     assert_eq!(met.len(), 1, "{met:?}");
 }
 
-/// An engine answers each request with an error. Bound to it, all requests about its subjects would
-/// fail; they move to another engine until some seconds later it is tried again.
+/// Guards against requests that all fail because their home answers with errors: they have to move to another engine, and
+/// back when the home is tried again some seconds later.
 #[test]
 fn prompts_leave_an_engine_that_fails_and_come_back() {
     let mut host = host_with_six_engines(1);
@@ -123,8 +123,7 @@
     assert_eq!(back.id, home.id);
 }
 
-/// An engine says that it is full. Its prompts stay with it: a moment later it has room again, and
-/// elsewhere their shared parts would have to be read anew.
+/// Guards against prompts that leave a home that is full for a moment: other engines would read their shared parts again.
 #[test]
 fn a_full_home_keeps_its_prompts() {
     let mut host = host_with_six_engines(1);
--- a/crates/fleet/tests/returning_callers.rs
+++ b/crates/fleet/tests/returning_callers.rs
@@ -1,4 +1,4 @@
-//! Callers that come back after a refusal: when they are told to, and what they then get.
+//! Callers that retry after a refusal: the delay that they are told, and the result of the retry.
 
 mod support;
 
@@ -19,22 +19,22 @@
 use support::endpoint;
 use support::engine_request;
 use support::load_play::AccountLoad;
-use support::load_play::Got;
 use support::load_play::Load;
 use support::load_play::Prompts;
-use support::load_play::Returns;
+use support::load_play::Results;
+use support::load_play::RetryPolicy;
 use support::load_play::play;
 use support::load_play::total;
 use support::prompt;
 use support::settings;
 
-/// An account that asks for little, and one that asks for more than its share.
+/// An account that requests little, and one that requests more than its share.
 const MODEST: u64 = 1;
 const GREEDY: u64 = 2;
 
-/// Both engines have some 2,000 tokens to read, 100 ms of work, up to which accounts within their
-/// share are taken. The greedy account has had more than the engines process in a window, and asked
-/// for thirty times as much. Returns its requests that are read.
+/// Returns a host and the requests of the greedy account that engines read. Both engines have about 2,000 tokens to read,
+/// which is 100 ms of work and the backlog up to which accounts within their share are admitted. More tokens were started
+/// for the greedy account than the engines process in a window, and thirty times as many were requested.
 fn loaded_host() -> (Host, Vec<RequestId>) {
     let mut host = Host::with(DispatcherSettings {
         share_window: at(400),
@@ -54,12 +54,11 @@
     (host, read)
 }
 
-/// All callers of an account come to one host, which refuses many of them once. When they come back
-/// they are refused again while accounts over their share take engines that fall idle: the account
-/// gets less than half of what others get, for seconds. A caller that comes back has less time left
-/// than its route allows; it is taken like any other, before accounts that have had more.
+/// Guards against retries that are refused again while accounts over their share get the engines that become idle, so that
+/// an account at one host gets less than half of what others get. A retry has less time left than its route allows, and
+/// has to be admitted like any request, before those of accounts with a larger share used.
 #[test]
-fn a_returning_caller_of_an_account_behind_its_share_is_taken() {
+fn a_returning_caller_of_an_account_behind_its_share_is_admitted() {
     let (mut host, read) = loaded_host();
     let mut arrival = engine_request(100, MODEST, prompt(5, 100));
     arrival.deadline = arrival.received_at + arrival.route.timeout.mul_f64(0.8);
@@ -72,10 +71,10 @@
     assert!(matches!(verdict, Verdict::Send(_)), "{verdict:?}");
 }
 
-/// The caller of an account that had its share is told that its request has not run, with a time to
-/// come back; the reading time of the engines is left to accounts that have had less.
+/// Guards against a caller of an account over its share that takes reading time from accounts with less, or is refused
+/// without a time to retry.
 #[test]
-fn a_caller_of_an_account_that_had_its_share_is_told_when_to_come_back() {
+fn a_caller_of_an_account_over_its_share_is_told_when_to_retry() {
     let (mut host, _) = loaded_host();
     let (id, verdict) = host.arrive(100, engine_request(100, GREEDY, prompt(5, 100)));
     let verdict = verdict.or_else(|| host.wait(100, id).map(|(_, verdict)| verdict));
@@ -85,7 +84,7 @@
     assert!(retry_after > at(0));
 }
 
-fn outlook(backlog_wait_ms: u64) -> RefusedRequest {
+fn refused_request(backlog_wait_ms: u64) -> RefusedRequest {
     RefusedRequest {
         latency_target: at(500),
         waited: at(0),
@@ -95,44 +94,46 @@
 }
 
 proptest! {
-    /// A caller that can still be served in time is told a moment after there is room and before it
-    /// is too late; one that cannot is told a later one than that. All moments are bounded.
+    /// A caller that can still be served in time is told a delay after which an engine has free capacity and the answer is
+    /// in time. Any other caller is told a longer delay. All delays are bounded.
     #[test]
-    fn the_time_told_is_honest(target_ms in 1..5_000_u64, waited_ms in 0..5_000_u64,
+    fn the_retry_delay_is_achievable_and_bounded(target_ms in 1..5_000_u64, waited_ms in 0..5_000_u64,
                                backlog_wait_ms in 0..5_000_u64, first_piece_ms in 0..5_000_u64, before in 0..50_usize) {
-        let outlook = RefusedRequest {
+        let refused = RefusedRequest {
             latency_target: at(target_ms),
             waited: at(waited_ms),
             backlog_wait: at(backlog_wait_ms),
             first_piece_delay: at(first_piece_ms),
         };
-        let mut returns = RetryDelays::default();
+        let mut retry_delays = RetryDelays::default();
         for _ in 0..before {
-            returns.after_refusal(outlook);
+            retry_delays.after_refusal(refused);
         }
-        let wait = returns.after_refusal(outlook);
-        prop_assert!(wait >= outlook.backlog_wait);
+        let wait = retry_delays.after_refusal(refused);
+        prop_assert!(wait >= refused.backlog_wait);
         prop_assert!(wait > Duration::ZERO);
-        prop_assert!(wait <= outlook.backlog_wait.max(at(2_000)) + at(1_000) || wait <= outlook.latency_target);
-        let ends = outlook.waited + wait + outlook.first_piece_delay;
-        let has_chance = outlook.waited + outlook.backlog_wait.max(outlook.latency_target.mul_f64(0.1)) + outlook.first_piece_delay <= outlook.latency_target;
-        prop_assert_eq!(has_chance, ends <= outlook.latency_target + Duration::from_nanos(10));
+        prop_assert!(wait <= refused.backlog_wait.max(at(2_000)) + at(1_000) || wait <= refused.latency_target);
+        let ends = refused.waited + wait + refused.first_piece_delay;
+        let has_chance = refused.waited + refused.backlog_wait.max(refused.latency_target.mul_f64(0.1)) + refused.first_piece_delay <= refused.latency_target;
+        prop_assert_eq!(has_chance, ends <= refused.latency_target + Duration::from_nanos(10));
     }
 }
 
-/// Callers that are refused in one moment would refuse each other again if they came back in one.
+/// Guards against callers that are refused at the same time, retry at the same time, and are refused again.
 #[test]
-fn callers_that_are_refused_together_come_back_one_after_another() {
-    let mut returns = RetryDelays::default();
-    let mut waits: Vec<_> = (0..20).map(|_| returns.after_refusal(outlook(0))).collect();
+fn callers_that_are_refused_together_retry_one_after_another() {
+    let mut retry_delays = RetryDelays::default();
+    let mut waits: Vec<_> = (0..20)
+        .map(|_| retry_delays.after_refusal(refused_request(0)))
+        .collect();
     waits.sort();
     let gaps = waits.windows(2).map(|pair| pair[1] - pair[0]);
     assert!(gaps.clone().min() >= Some(Duration::from_millis(2)));
     assert!(gaps.max() <= Some(Duration::from_millis(10)));
 }
 
-/// Two engines of 20 tokens a millisecond before four hosts, for eight seconds.
-fn load(accounts: Vec<AccountLoad>, returns: Returns, seed: u64) -> Load {
+/// A load for four hosts and two engines that read 20 tokens per millisecond, for eight seconds.
+fn load(accounts: Vec<AccountLoad>, retry_policy: RetryPolicy, seed: u64) -> Load {
     Load {
         hosts: 4,
         engines: 2,
@@ -143,18 +144,21 @@
         },
         accounts,
         length_ms: 8_000,
-        returns,
+        retry_policy,
         seed,
     }
 }
 
-/// What callers got when they came back as told, and when all came back after two seconds.
-fn compared(accounts: &[AccountLoad]) -> (Got, Got) {
-    let mut sums = [Got::default(); 2];
+/// Results when callers retry as told, and when all retry after two seconds.
+fn compare_policies(accounts: &[AccountLoad]) -> (Results, Results) {
+    let mut sums = [Results::default(); 2];
     for seed in 1..=5 {
-        for (sum, returns) in sums.iter_mut().zip([Returns::Told, Returns::Fixed(2_000)]) {
-            let got = total(&play(load(accounts.to_vec(), returns, seed)));
-            sum.asked += got.asked;
+        for (sum, retry_policy) in sums
+            .iter_mut()
+            .zip([RetryPolicy::AsTold, RetryPolicy::FixedMs(2_000)])
+        {
+            let got = total(&play(load(accounts.to_vec(), retry_policy, seed)));
+            sum.requests += got.requests;
             sum.tries += got.tries;
             sum.in_time += got.in_time;
             sum.late += got.late;
@@ -164,29 +168,29 @@
     (sums[0], sums[1])
 }
 
-/// One account asks for several times its share beside small ones.
+/// One account requests several times its share beside small ones.
 fn flood_load() -> Vec<AccountLoad> {
     let small = (2..8).map(|account| AccountLoad::steady(account, 3));
     small.chain([AccountLoad::steady(1, 40)]).collect()
 }
 
-/// All accounts together ask for more than the engines can do, all the time.
+/// All accounts together always request more than the engines can process.
 fn overload_load() -> Vec<AccountLoad> {
     (1..6)
         .map(|account| AccountLoad::steady(account, 14))
         .collect()
 }
 
-/// A burst of one second on a load that the engines can bear.
+/// A burst of one second in addition to a load that the engines can process.
 fn burst_load() -> Vec<AccountLoad> {
     let steady = (1..6).map(|account| AccountLoad::steady(account, 5));
-    let more = (1..6).map(|account| AccountLoad {
-        per_s: 25,
+    let burst = (1..6).map(|account| AccountLoad {
+        requests_per_s: 25,
         from_ms: 3_000,
         to_ms: 4_000,
         ..AccountLoad::steady(account, 0)
     });
-    steady.chain(more).collect()
+    steady.chain(burst).collect()
 }
 
 /// All callers of the largest account reach one host.
@@ -200,25 +204,25 @@
     accounts
 }
 
-/// Callers are served in time more often when they come back as told than when all come back after
-/// two seconds, by which time their answers are late for certain; and they try about as often.
+/// Guards against retry delays that help no caller: callers that retry as told have to be served in time more often than
+/// if all retry after two seconds, when their answers are late for certain, and with about as many tries.
 #[parameterized(
-    // Measured in time, told and fixed: 0.515 and 0.463.
+    // Fraction served in time, as told and after two seconds: 0.515 and 0.463.
     flood = { flood_load(), 0.03 },
     // 0.440 and 0.399.
     overload = { overload_load(), 0.02 },
-    // 0.550 and 0.540: two seconds later the burst is over, but so is their time.
+    // 0.550 and 0.540: after two seconds the burst is over, but the answers are late.
     burst = { burst_load(), 0.0 },
     // 0.541 and 0.494.
     one_host = { one_host_load(), 0.03 },
 )]
-fn callers_that_return_as_told_are_served_in_time_more_often(
+fn callers_that_retry_as_told_are_served_in_time_more_often(
     accounts: Vec<AccountLoad>,
-    least_gain: f64,
+    min_gain: f64,
 ) {
-    let (told, fixed) = compared(&accounts);
-    let gain = told.in_time_part() - fixed.in_time_part();
-    assert!(gain >= least_gain, "{told:?} against {fixed:?}");
-    let more_tries = told.tries_each() - fixed.tries_each();
+    let (told, fixed) = compare_policies(&accounts);
+    let gain = told.in_time_ratio() - fixed.in_time_ratio();
+    assert!(gain >= min_gain, "{told:?} against {fixed:?}");
+    let more_tries = told.tries_per_request() - fixed.tries_per_request();
     assert!(more_tries <= 0.05, "{told:?} against {fixed:?}");
 }
--- a/crates/fleet/tests/shares.rs
+++ b/crates/fleet/tests/shares.rs
@@ -1,4 +1,4 @@
-//! Shares of accounts, budgets of resends and placement, against simple oracles.
+//! Shares of accounts, limits on resends, and home endpoints, compared with simple oracles.
 
 use std::time::Duration;
 
@@ -16,21 +16,20 @@
 }
 
 proptest! {
-    /// Nobody gets more than asked, everything fits, and nobody could get more without another
-    /// getting less.
+    /// No account gets more than it requests, all shares fit, and no account could get more without another getting less.
     #[test]
-    fn the_level_is_max_min_fair(asked in prop::collection::vec(0.0..1_000.0_f64, 1..20), capacity in 1.0..5_000.0_f64) {
-        let level = max_min_share(asked.clone(), capacity);
-        let given: f64 = asked.iter().map(|ask| ask.min(level)).sum();
-        let total: f64 = asked.iter().sum();
-        if level.is_finite() {
+    fn the_share_is_max_min_fair(requested in prop::collection::vec(0.0..1_000.0_f64, 1..20), capacity in 1.0..5_000.0_f64) {
+        let share = max_min_share(requested.clone(), capacity);
+        let given: f64 = requested.iter().map(|request| request.min(share)).sum();
+        let total: f64 = requested.iter().sum();
+        if share.is_finite() {
             prop_assert!((given - capacity).abs() < 1e-6 * capacity.max(1.0));
         } else {
             prop_assert!(total <= capacity * (1.0 + 1e-9));
         }
     }
 
-    /// Hosts that keep to their parts stay within the fleet's bound together, in any window.
+    /// Hosts that each stay within their part together stay within the fleet's limit, in any window.
     #[test]
     fn resends_stay_within_the_bound(events in prop::collection::vec((0..400_u64, any::<bool>(), 0..3_usize), 1..400)) {
         let limits = ResendLimits { ratio: 0.2, min_extra: 12.0, window: at(10_000) };
@@ -52,9 +51,9 @@
         }
     }
 
-    /// An endpoint that comes or goes moves only prompts that it had or gets.
+    /// When an endpoint is removed, only prompts whose home it was get other homes.
     #[test]
-    fn only_what_must_move_moves(keys in prop::collection::vec(any::<u64>(), 1..50), gone in 0..9_u64) {
+    fn only_prompts_of_a_removed_endpoint_move(keys in prop::collection::vec(any::<u64>(), 1..50), gone in 0..9_u64) {
         let all: Vec<u64> = (0..9).map(|n| n * 7_919 + 13).collect();
         let left: Vec<u64> = all.iter().copied().filter(|e| *e != gone * 7_919 + 13).collect();
         for key in keys {
@@ -67,8 +66,8 @@
     }
 }
 
-/// The small account is served beside the large one: its standing stays low while the large one,
-/// which all hosts serve, is over its share on each of them although no host gave it much.
+/// Guards against an account that gets too much because each host counts only its own part: the large account, which all
+/// hosts serve, has to be over its share on each of them, and the small one below.
 #[test]
 fn an_account_that_is_spread_over_hosts_is_seen_as_a_whole() {
     let mut hosts: Vec<_> = (0..4).map(|_| AccountShares::new(at(4_000))).collect();
@@ -107,7 +106,7 @@
 }
 
 #[test]
-fn old_use_leaves_the_window() {
+fn old_usage_leaves_the_window() {
     let mut shares = AccountShares::new(at(4_000));
     shares.set_capacity(Some(100.0));
     shares.on_arrived(at(0), 1, 10_000.0);
@@ -118,7 +117,7 @@
     assert!(shares.share_used(1) < f64::EPSILON);
 }
 
-/// A host that falls silent must not hold an account's share for ever.
+/// Guards against reports of a silent host that count against an account for ever.
 #[test]
 fn a_silent_hosts_sums_are_dropped() {
     let mut shares = AccountShares::new(at(4_000));
@@ -133,8 +132,8 @@
     assert!(shares.share_used(1) < f64::EPSILON);
 }
 
-/// A film crew and the booking desk both ask for far more than there is. The crew's callers fill one
-/// small host, so that it gets little; what engines have left must not all go to the desk.
+/// Guards against an account that gets all remaining capacity while another one is backlogged. Both request far more than
+/// there is, but the callers of the backlogged one fill a small host, so that it gets little.
 #[test]
 fn a_backlogged_account_holds_those_far_ahead_back() {
     let mut shares = AccountShares::new(at(4_000));
@@ -152,10 +151,10 @@
     assert_eq!(shares.lead(4), Lead::Small);
 }
 
-/// An account whose host is cut off must not stop the whole fleet: up to half of the share another
-/// one goes on beside it, and at the whole share it waits.
+/// Guards against a backlogged account on a host that is cut off and that stops the whole fleet: another account goes on
+/// up to half of its share, and waits at its whole share.
 #[test]
-fn an_account_that_gets_nothing_holds_nobody_below_a_part_of_the_share() {
+fn an_account_that_gets_nothing_does_not_hold_back_others_below_half_their_share() {
     let lead_at = |given: f64| {
         let mut shares = AccountShares::new(at(4_000));
         shares.set_capacity(Some(1_000.0));
@@ -172,28 +171,28 @@
     assert_eq!(lead_at(2_000.0), Lead::TooLarge);
 }
 
-/// Begins 1,000 tokens of an account beside a backlogged one that got nothing; `asked_elsewhere` is
-/// what another host is asked for the account.
-fn after_begins(asked_elsewhere: f64) -> AccountShares {
+/// Starts 1,000 tokens of an account beside a backlogged one that got nothing. `requested_elsewhere` tokens of the account
+/// are requested from another host.
+fn after_starts(requested_elsewhere: f64) -> AccountShares {
     let (account, backlogged) = (1, 2);
     let mut shares = AccountShares::new(at(4_000));
     let mut other = AccountShares::new(at(4_000));
     shares.set_capacity(Some(1_000.0));
     shares.on_arrived(at(0), account, 10_000.0);
     shares.on_arrived(at(0), backlogged, 20_000.0);
-    other.on_arrived(at(0), account, asked_elsewhere);
+    other.on_arrived(at(0), account, requested_elsewhere);
     shares.on_report(at(100), 2, other.own());
     shares.tick(at(100));
     shares.on_started(at(100), account, 1_000.0);
     shares
 }
 
-/// All hosts see at the same moment that an account may go on, and together begin several times what
-/// there is room for before they hear of each other. Each expects the others to have begun as much as
-/// itself by what they are asked for, until they have told of it; the share that counts is not touched.
+/// Guards against hosts that see at the same time that an account may go on, and together start several times the free
+/// capacity before they receive each other's reports. Until then each host estimates what the others started; the share
+/// used does not include the estimate.
 #[test]
-fn a_host_counts_what_others_probably_began_like_it() {
-    let mut shares = after_begins(10_000.0);
+fn a_host_counts_estimated_starts_of_other_hosts() {
+    let mut shares = after_starts(10_000.0);
     assert_eq!(shares.lead(1), Lead::TooLarge);
     assert!((shares.share_used(1) - 0.5).abs() < 1e-9);
     shares.tick(at(490));
@@ -202,16 +201,16 @@
     assert_eq!(shares.lead(1), Lead::Small);
 }
 
-/// An account that one host serves is held to what it was given, and to nothing besides.
+/// Guards against an account that only this host serves, but is charged for starts at other hosts.
 #[test]
-fn nothing_is_guessed_of_hosts_that_are_not_asked() {
-    assert_eq!(after_begins(0.0).lead(1), Lead::Small);
+fn nothing_is_estimated_for_hosts_without_requests() {
+    assert_eq!(after_starts(0.0).lead(1), Lead::Small);
 }
 
-/// What an account began in a burst must not leave the window at once: all hosts would see the gap
-/// at the same time and fill it with the next burst. Steady use counts as much as a window of it.
+/// Guards against usage of a burst that leaves the window at once: all hosts would see the gap at the same time and fill
+/// it with the next burst. Steady usage has to count in full.
 #[test]
-fn a_burst_fades_and_steady_use_counts_in_full() {
+fn a_burst_fades_and_steady_usage_counts_in_full() {
     let capacity = 1_000.0;
     let mut burst = AccountShares::new(at(4_000));
     burst.set_capacity(Some(capacity));
@@ -219,18 +218,21 @@
     burst.on_started(at(0), 1, 2_000.0);
     let mut before = f64::INFINITY;
     for now in (0..6_000).step_by(50) {
-        // A second account keeps the level where it is.
+        // Requests of a second account keep the fair share constant.
         burst.on_arrived(at(now), 2, 10_000.0);
         burst.tick(at(now));
-        let standing = burst.share_used(1);
+        let share_used = burst.share_used(1);
         if before.is_finite() {
-            assert!(standing <= before, "{standing} after {before} at {now} ms");
             assert!(
-                before - standing <= 0.26,
-                "{standing} after {before} at {now} ms"
+                share_used <= before,
+                "{share_used} after {before} at {now} ms"
+            );
+            assert!(
+                before - share_used <= 0.26,
+                "{share_used} after {before} at {now} ms"
             );
         }
-        before = standing;
+        before = share_used;
     }
     assert!(before < f64::EPSILON);
 
@@ -241,22 +243,24 @@
         steady.on_started(at(now), 1, 50.0);
         steady.tick(at(now));
         if now >= 4_000 {
-            let standing = steady.share_used(1);
-            assert!((0.85..1.15).contains(&standing), "{standing} at {now} ms");
+            let share_used = steady.share_used(1);
+            assert!(
+                (0.85..1.15).contains(&share_used),
+                "{share_used} at {now} ms"
+            );
         }
     }
 }
 
-/// Callers of one account are held up by their host and wait all the time; what engines have left goes
-/// to another account, which other hosts serve, until it has 2.5 times as much. Beyond 1.6 times as much
-/// it waits, however idle the engines are; when nobody is backlogged it does not.
+/// Guards against an account that gets 2.5 times as much as a backlogged one, whose callers are limited by their host.
+/// Beyond 1.6 times as much an account has to wait, even if engines are idle; it does not wait if no account is backlogged.
 #[test]
 fn an_account_waits_when_it_is_too_far_ahead_of_a_backlogged_one() {
     let (backlogged, rival) = (1, 2);
-    let lead_at = |given: f64, asked: f64| {
+    let lead_at = |given: f64, requested: f64| {
         let mut shares = AccountShares::new(at(4_000));
         shares.set_capacity(Some(500.0));
-        shares.on_arrived(at(0), backlogged, asked);
+        shares.on_arrived(at(0), backlogged, requested);
         shares.on_started(at(0), backlogged, 1_000.0);
         shares.on_arrived(at(0), rival, 6_000.0);
         shares.on_started(at(0), rival, given);
--- a/crates/fleet/tests/support/load_play.rs
+++ b/crates/fleet/tests/support/load_play.rs
@@ -1,5 +1,5 @@
-//! Plays a load against the dispatchers of a fleet, without a network: callers that come back once
-//! after a refusal, engines that read prompts one after another, hosts that report to each other.
+//! Simulates a load on the dispatchers of a fleet without a network: callers that retry once after a refusal, engines that
+//! read prompts one after another, and hosts that exchange reports.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -33,33 +33,34 @@
 use super::live;
 use super::settings;
 
-/// Latency target of the requests, as in the support's route.
+/// Latency target of the requests, the same as in [`super::route`].
 const TARGET_MS: u64 = 250;
-/// Prompt tokens that an engine reads in a millisecond, and its time to a first event besides.
+/// Prompt tokens that an engine reads per millisecond.
 const TOKENS_PER_MS: u64 = 20;
-const BASE_MS: u64 = 25;
+/// Time from the end of reading to the first event.
+const FIRST_EVENT_MS: u64 = 25;
 /// Time from the first event to the last.
 const GENERATE_MS: u64 = 200;
-/// Time between two reports of a host.
-const REPORT_MS: u64 = 100;
-/// Way of a caller to a host and of its answer, each.
-const WAY_MS: u64 = 2;
+/// Interval of a host's reports.
+const REPORT_INTERVAL_MS: u64 = 100;
+/// One-way delay between a caller and a host, or a host and an engine.
+const NETWORK_DELAY_MS: u64 = 2;
 
-/// Requests that an engine runs at once: more than it can read prompts for.
+/// Maximum number of requests that an engine runs at the same time: more than it can read prompts for.
 const SLOTS: u32 = 64;
-/// What the operator states of each engine: it can do more, since shared parts are cached.
+/// Capacity that the operator states per engine. An engine can process more, since shared parts are cached.
 const STATED_TOKENS_PER_S: f64 = 30_000.0;
 
-/// When refused callers come back.
+/// When refused callers retry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Returns {
-    /// After the time that they are told.
-    Told,
-    /// After a fixed time, whatever they are told.
-    Fixed(u64),
+pub enum RetryPolicy {
+    /// After the delay that they are told.
+    AsTold,
+    /// After a fixed delay in milliseconds, whatever they are told.
+    FixedMs(u64),
 }
 
-/// A load.
+/// A load to simulate.
 #[derive(Debug, Clone)]
 pub struct Load {
     pub hosts: usize,
@@ -67,11 +68,11 @@
     pub prompts: Prompts,
     pub accounts: Vec<AccountLoad>,
     pub length_ms: u64,
-    pub returns: Returns,
+    pub retry_policy: RetryPolicy,
     pub seed: u64,
 }
 
-/// Prompts of a load. Each belongs to one of some subjects.
+/// Prompts of a load. Each prompt belongs to one subject.
 #[derive(Debug, Clone, Copy)]
 pub struct Prompts {
     pub subjects: u64,
@@ -80,14 +81,14 @@
     pub own_tokens: u32,
 }
 
-/// Callers' first tries of one account.
+/// First tries of the callers of one account.
 #[derive(Debug, Clone, Copy)]
 pub struct AccountLoad {
     pub account: u64,
-    pub per_s: u64,
+    pub requests_per_s: u64,
     pub from_ms: u64,
     pub to_ms: u64,
-    /// The host that all its callers reach; any host if there is none.
+    /// The host that all callers of the account reach; `None` if they reach any host.
     pub only_host: Option<usize>,
 }
 
@@ -106,11 +107,11 @@
 }
 
 impl AccountLoad {
-    /// An account that asks evenly for the whole time, at all hosts.
-    pub fn steady(account: u64, per_s: u64) -> Self {
+    /// Returns a constant load for the whole time, at all hosts.
+    pub fn steady(account: u64, requests_per_s: u64) -> Self {
         Self {
             account,
-            per_s,
+            requests_per_s,
             from_ms: 0,
             to_ms: u64::MAX,
             only_host: None,
@@ -118,33 +119,33 @@
     }
 }
 
-/// What callers of an account got.
+/// Results of the requests of an account.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Got {
-    pub asked: u64,
-    /// Tries, returns included.
+pub struct Results {
+    pub requests: u64,
+    /// Number of tries, retries included.
     pub tries: u64,
-    /// First events within the target, counted from the caller's first try.
+    /// First events within the latency target, which starts at the caller's first try.
     pub in_time: u64,
     pub late: u64,
     pub refused: u64,
 }
 
-impl Got {
-    pub fn in_time_part(self) -> f64 {
-        self.in_time as f64 / self.asked.max(1) as f64
+impl Results {
+    pub fn in_time_ratio(self) -> f64 {
+        self.in_time as f64 / self.requests.max(1) as f64
     }
 
-    pub fn answered_part(self) -> f64 {
-        (self.in_time + self.late) as f64 / self.asked.max(1) as f64
+    pub fn answered_ratio(self) -> f64 {
+        (self.in_time + self.late) as f64 / self.requests.max(1) as f64
     }
 
-    pub fn tries_each(self) -> f64 {
-        self.tries as f64 / self.asked.max(1) as f64
+    pub fn tries_per_request(self) -> f64 {
+        self.tries as f64 / self.requests.max(1) as f64
     }
 
     fn add(&mut self, other: Self) {
-        self.asked += other.asked;
+        self.requests += other.requests;
         self.tries += other.tries;
         self.in_time += other.in_time;
         self.late += other.late;
@@ -152,26 +153,26 @@
     }
 }
 
-/// Engines that turn every request away for a time and ask for pauses.
+/// Engines that reject every request for a time and ask for pauses.
 #[derive(Debug, Clone, Copy)]
 pub struct TurningAway {
-    /// Number of engines, the first ones.
+    /// Number of rejecting engines, the first ones of the fleet.
     pub engines: usize,
     pub from_ms: u64,
     pub to_ms: u64,
     pub pause_ms: u64,
 }
 
-/// What happened at engines that turned requests away.
+/// Requests at engines that rejected them.
 #[derive(Debug, Default)]
 pub struct TurnedAway {
-    /// When requests reached each engine from each host, in milliseconds.
+    /// Arrival times in milliseconds by host and engine.
     pub arrived: BTreeMap<(usize, u64), Vec<u64>>,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Step {
-    Refused(usize, RequestId, u64),
+    TurnedAway(usize, RequestId, u64),
     Try(usize),
     FirstEvent(usize, RequestId),
     End(usize, RequestId),
@@ -184,7 +185,7 @@
     account: u64,
     subject: u64,
     only_host: Option<usize>,
-    asked_at_ms: u64,
+    first_try_at_ms: u64,
     tries: u64,
 }
 
@@ -194,7 +195,7 @@
     cached: BTreeSet<u64>,
 }
 
-/// A load in play.
+/// A simulation in progress.
 pub struct Play {
     load: Load,
     hosts: Vec<Host>,
@@ -203,8 +204,8 @@
     waiting: BTreeMap<(usize, RequestId), usize>,
     steps: BinaryHeap<Reverse<(u64, Step)>>,
     random: SeededRandom,
-    got: BTreeMap<u64, Got>,
-    begun: BTreeMap<u64, Vec<u64>>,
+    results: BTreeMap<u64, Results>,
+    started_at_ms: BTreeMap<u64, Vec<u64>>,
     turning_away: Option<TurningAway>,
     turned_away: TurnedAway,
 }
@@ -221,32 +222,32 @@
     Arc::new(config)
 }
 
-/// Plays a load to its end; returns what each account's callers got.
-pub fn play(load: Load) -> BTreeMap<u64, Got> {
+/// Simulates a load to its end; returns the results of each account.
+pub fn play(load: Load) -> BTreeMap<u64, Results> {
     let mut play = Play::new(load);
     play.run();
-    play.got
+    play.results
 }
 
-/// Plays a load to its end; returns when each account's requests were sent to an engine, in
-/// milliseconds.
-pub fn play_begun(load: Load) -> BTreeMap<u64, Vec<u64>> {
+/// Simulates a load to its end; returns the times in milliseconds at which requests of each account were sent to an
+/// engine.
+pub fn play_started(load: Load) -> BTreeMap<u64, Vec<u64>> {
     let mut play = Play::new(load);
     play.run();
-    play.begun
+    play.started_at_ms
 }
 
-/// Plays a load to its end while some engines turn every request away.
-pub fn play_turned_away(load: Load, away: TurningAway) -> (BTreeMap<u64, Got>, TurnedAway) {
+/// Simulates a load to its end while some engines reject every request.
+pub fn play_turned_away(load: Load, away: TurningAway) -> (BTreeMap<u64, Results>, TurnedAway) {
     let mut play = Play::new(load);
     play.turning_away = Some(away);
     play.run();
-    (play.got, play.turned_away)
+    (play.results, play.turned_away)
 }
 
-/// Sums what all accounts got.
-pub fn total(got: &BTreeMap<u64, Got>) -> Got {
-    let mut total = Got::default();
+/// Returns the sum of the results of all accounts.
+pub fn total(got: &BTreeMap<u64, Results>) -> Results {
+    let mut total = Results::default();
     got.values().for_each(|got| total.add(*got));
     total
 }
@@ -280,17 +281,17 @@
             waiting: BTreeMap::new(),
             steps: BinaryHeap::new(),
             random: SeededRandom::new(load.seed),
-            got: BTreeMap::new(),
-            begun: BTreeMap::new(),
+            results: BTreeMap::new(),
+            started_at_ms: BTreeMap::new(),
             turning_away: None,
             turned_away: TurnedAway::default(),
             load,
         };
         for host in 0..play.hosts.len() {
             play.plan(0, Step::Tick(host));
-            // Hosts report one after another, as they were started.
+            // Hosts report at different times, as if started one after another.
             play.plan(
-                REPORT_MS * host as u64 / play.load.hosts as u64,
+                REPORT_INTERVAL_MS * host as u64 / play.load.hosts as u64,
                 Step::Report(host),
             );
         }
@@ -301,19 +302,19 @@
     fn plan_arrivals(&mut self) {
         for account in self.load.accounts.clone() {
             let to_ms = account.to_ms.min(self.load.length_ms);
-            let count = account.per_s * to_ms.saturating_sub(account.from_ms) / 1_000;
+            let count = account.requests_per_s * to_ms.saturating_sub(account.from_ms) / 1_000;
             for _ in 0..count {
-                let asked_at_ms = account.from_ms + self.random.below(to_ms - account.from_ms);
+                let first_try_at_ms = account.from_ms + self.random.below(to_ms - account.from_ms);
                 let caller = self.callers.len();
                 self.callers.push(Caller {
                     account: account.account,
                     subject: self.random.below(self.load.prompts.subjects),
                     only_host: account.only_host,
-                    asked_at_ms,
+                    first_try_at_ms,
                     tries: 0,
                 });
-                self.got.entry(account.account).or_default().asked += 1;
-                self.plan(asked_at_ms + WAY_MS, Step::Try(caller));
+                self.results.entry(account.account).or_default().requests += 1;
+                self.plan(first_try_at_ms + NETWORK_DELAY_MS, Step::Try(caller));
             }
         }
     }
@@ -329,7 +330,7 @@
                 return;
             }
             match step {
-                Step::Refused(host, id, engine) => self.on_turned_away(now_ms, host, id, engine),
+                Step::TurnedAway(host, id, engine) => self.on_turned_away(now_ms, host, id, engine),
                 Step::Try(caller) => self.on_try(now_ms, caller),
                 Step::FirstEvent(host, id) => self.on_first_event(now_ms, host, id),
                 Step::End(host, id) => self.send(now_ms, host, DispatchEvent::Completed(id)),
@@ -352,7 +353,7 @@
         let caller = &mut self.callers[number];
         caller.tries += 1;
         let account = caller.account;
-        self.got.entry(account).or_default().tries += 1;
+        self.results.entry(account).or_default().tries += 1;
         let id = RequestId(number as u64 * 2 + caller.tries);
         let prompt = self.load.prompts.prompt(caller.subject, number as u64);
         let arrival = Arrival {
@@ -385,21 +386,24 @@
                         .entry(key)
                         .or_default()
                         .push(now_ms);
-                    self.plan(now_ms + WAY_MS, Step::Refused(host, id, endpoint.key));
+                    self.plan(
+                        now_ms + NETWORK_DELAY_MS,
+                        Step::TurnedAway(host, id, endpoint.key),
+                    );
                     return;
                 }
-                self.begun.entry(account).or_default().push(now_ms);
+                self.started_at_ms.entry(account).or_default().push(now_ms);
                 let engine = self.engines.get_mut(&endpoint.key).expect("a known engine");
                 let prompts = self.load.prompts;
                 let shared_tokens = match engine.cached.insert(subject) {
                     true => prompts.shared_tokens,
                     false => 0,
                 };
-                let begin_ms = engine.free_at_ms.max(now_ms + 1);
+                let read_from_ms = engine.free_at_ms.max(now_ms + 1);
                 let tokens = u64::from(prompts.own_tokens + shared_tokens);
-                engine.free_at_ms = begin_ms + tokens / TOKENS_PER_MS;
-                let first_ms = engine.free_at_ms + BASE_MS;
-                self.plan(first_ms, Step::FirstEvent(host, id));
+                engine.free_at_ms = read_from_ms + tokens / TOKENS_PER_MS;
+                let first_event_ms = engine.free_at_ms + FIRST_EVENT_MS;
+                self.plan(first_event_ms, Step::FirstEvent(host, id));
             }
             Verdict::Refuse { retry_after, .. } => self.on_refused(now_ms, number, retry_after),
             Verdict::Fail(failure) => panic!("no attempt fails here: {failure:?}"),
@@ -429,20 +433,20 @@
     fn on_refused(&mut self, now_ms: u64, number: usize, retry_after: Duration) {
         let caller = self.callers[number];
         if caller.tries > 1 {
-            self.got.entry(caller.account).or_default().refused += 1;
+            self.results.entry(caller.account).or_default().refused += 1;
             return;
         }
-        let wait_ms = match self.load.returns {
-            Returns::Told => retry_after.as_millis() as u64,
-            Returns::Fixed(wait_ms) => wait_ms,
+        let wait_ms = match self.load.retry_policy {
+            RetryPolicy::AsTold => retry_after.as_millis() as u64,
+            RetryPolicy::FixedMs(wait_ms) => wait_ms,
         };
-        self.plan(now_ms + wait_ms + 2 * WAY_MS, Step::Try(number));
+        self.plan(now_ms + wait_ms + 2 * NETWORK_DELAY_MS, Step::Try(number));
     }
 
     fn on_first_event(&mut self, now_ms: u64, host: usize, id: RequestId) {
         let caller = self.callers[self.waiting[&(host, id)]];
-        let got = self.got.entry(caller.account).or_default();
-        match now_ms + WAY_MS <= caller.asked_at_ms + TARGET_MS {
+        let got = self.results.entry(caller.account).or_default();
+        match now_ms + NETWORK_DELAY_MS <= caller.first_try_at_ms + TARGET_MS {
             true => got.in_time += 1,
             false => got.late += 1,
         }
@@ -453,16 +457,16 @@
     fn report(&mut self, now_ms: u64, host: usize) {
         let due = self.hosts[host].dispatcher.reports_due(at(now_ms), live());
         for outgoing in due {
-            for addressee in outgoing.to {
+            for recipient in outgoing.to {
                 let report = PeerReport {
-                    included: addressee.included,
+                    included: recipient.included,
                     ..outgoing.report.clone()
                 };
                 // Hosts are numbered from 1.
-                let other = addressee.host as usize - 1;
+                let other = recipient.host as usize - 1;
                 self.send(now_ms, other, DispatchEvent::Reported(report));
             }
         }
-        self.plan(now_ms + REPORT_MS, Step::Report(host));
+        self.plan(now_ms + REPORT_INTERVAL_MS, Step::Report(host));
     }
 }
--- a/crates/fleet/tests/support/mod.rs
+++ b/crates/fleet/tests/support/mod.rs
@@ -104,7 +104,7 @@
     }
 }
 
-/// The state of a host that serves and has the store.
+/// State of a running host that the store answers.
 pub fn live() -> HostState {
     HostState {
         store_answers: true,
@@ -161,7 +161,7 @@
         decisions
     }
 
-    /// Hands in a request and returns its number with what was decided at once.
+    /// Passes a new request to the dispatcher; returns its number, and the decision if one was made at once.
     pub fn arrive(&mut self, now: u64, mut arrival: Arrival) -> (RequestId, Option<Verdict>) {
         let id = RequestId(self.next_request);
         self.next_request += 1;
@@ -170,7 +170,7 @@
         (id, verdict_of(id, decisions))
     }
 
-    /// Ticks until something is decided about the request, at most for two seconds.
+    /// Ticks until the request is decided, for at most two seconds.
     pub fn wait(&mut self, mut now: u64, id: RequestId) -> Option<(u64, Verdict)> {
         let end = now + 2_000;
         while now < end {
@@ -185,8 +185,8 @@
 }
 
 pub fn verdict_of(id: RequestId, decisions: Vec<Decision>) -> Option<Verdict> {
-    let mut of_request = decisions.into_iter().filter(|d| d.request == id);
-    of_request.next().map(|decision| decision.verdict)
+    let mut decisions = decisions.into_iter().filter(|d| d.request == id);
+    decisions.next().map(|decision| decision.verdict)
 }
 
 pub fn plain_request(now: u64, repeat: Repeat) -> Arrival {
