--- a/crates/fleet/src/account_shares.rs
+++ b/crates/fleet/src/account_shares.rs
@@ -12,7 +12,7 @@
 ///
 /// If usage counted in full until the end of its window, its end would leave a gap that all hosts see at the same time
 /// and fill before they receive each other's reports. One account would then repeatedly start in one second what it is
-/// due in several, and the engines' backlogs would make an account that only one host serves be refused meanwhile.
+/// due in several; meanwhile an account that only one host serves would be refused because of the engines' backlogs.
 const BUCKETS: u64 = 8;
 /// Maximum age of another host's report.
 const MAX_REPORT_AGE: Duration = Duration::from_millis(2_500);
--- a/crates/fleet/src/dispatcher.rs
+++ b/crates/fleet/src/dispatcher.rs
@@ -183,7 +183,7 @@
     endpoint: Arc<Endpoint>,
     load: Load,
     sent_at: Duration,
-    unread_tokens_ahead: f64,
+    unread_tokens_at_send: f64,
     has_first_piece: bool,
 }
 
--- a/crates/fleet/src/dispatcher/admission.rs
+++ b/crates/fleet/src/dispatcher/admission.rs
@@ -26,7 +26,7 @@
     /// engines have left. With a higher limit they take so much reading time that the first events of others are late.
     pub low_backlog_ratio: f64,
     /// Fraction of an engine's slots in use up to which it counts as idle. Only idle engines take requests of accounts
-    /// that are far ahead of a backlogged one. Without this exception such accounts are refused on calm days too.
+    /// that are far ahead of a backlogged one. Without this exception such accounts are refused under light load too.
     pub idle_slots_ratio: f64,
     /// Fraction of the latency target that a request may wait for an endpoint.
     pub queue_time_ratio: f64,
@@ -69,7 +69,7 @@
 /// this difference in time, all requests about a subject go to its first home, which alone caches the shared part.
 const SECOND_HOME_COST_MS: f64 = 30.0;
 /// Fraction of its slots in use up to which the second home takes a prompt with a long shared part. Each home has to read
-/// the shared part; without a second home more requests are refused on a calm day.
+/// the shared part; without a second home more requests are refused under light load.
 const SECOND_HOME_RATIO: f64 = 0.25;
 /// Fraction of the shared tokens that counts as memory of one request: several requests hold them together.
 const SHARED_MEMORY_RATIO: f64 = 0.3;
--- a/crates/fleet/src/dispatcher/attempts.rs
+++ b/crates/fleet/src/dispatcher/attempts.rs
@@ -68,7 +68,8 @@
         self.try_place(now, id, decisions);
     }
 
-    /// Sends a request to `endpoint`, unless it is suspected of crashing endpoints. Returns false if it has to wait.
+    /// Sends a request to `endpoint`, unless it is suspected of crashing endpoints. Returns false if the request stays in
+    /// the queue.
     pub(super) fn start(
         &mut self,
         now: Duration,
@@ -95,7 +96,7 @@
             endpoint: endpoint.clone(),
             load,
             sent_at: now,
-            unread_tokens_ahead: f64::from(unread_before) + f64::from(load.unread_tokens),
+            unread_tokens_at_send: f64::from(unread_before) + f64::from(load.unread_tokens),
             has_first_piece: false,
         });
         pending.sends += 1;
@@ -144,7 +145,8 @@
         self.loads.subtract_own(key, read);
         if has_prompt {
             let took = now.saturating_sub(attempt.sent_at);
-            self.speeds.observe(key, attempt.unread_tokens_ahead, took);
+            self.speeds
+                .observe(key, attempt.unread_tokens_at_send, took);
         }
         self.tick_early(now);
     }
--- a/crates/fleet/src/dispatcher/peers.rs
+++ b/crates/fleet/src/dispatcher/peers.rs
@@ -201,8 +201,8 @@
         self.peers.store_followers.role(now, before)
     }
 
-    /// Returns since when the store answers no host, if it is unavailable or has just recovered. A host that begins to
-    /// follow the store then must not take entries that are missing there for removed.
+    /// Returns the time since which the store has answered no host, if it is unavailable or has just recovered. A host that
+    /// starts to follow the store then must not treat entries that are missing there as removed.
     pub fn store_lost_since(&self) -> Option<Duration> {
         self.peers.store_outage.since()
     }
--- a/crates/fleet/src/load_shedding.rs
+++ b/crates/fleet/src/load_shedding.rs
@@ -4,8 +4,8 @@
 //! hosts of its data centre are idle. A request that is refused at once is retried at another host within its latency
 //! target. One that waits for the processor is late, and delays all others.
 //!
-//! Accounts furthest over their share are shed first. If the account played no part, requests of an account with little
-//! use would be refused while requests of one far over its share were sent.
+//! Accounts furthest over their share are shed first. If requests were shed regardless of their account, those of an
+//! account with little use would be refused while those of one far over its share were sent.
 
 use std::time::Duration;
 
@@ -23,7 +23,7 @@
 /// Largest shed ratio. The remaining requests show whether the host has time again.
 const MAX_SHED_RATIO: f64 = 0.98;
 /// Interval at which a host that sheds as much as it may of accounts over their share checks whether its delay still
-/// grows. While the delay shrinks, it sheds no more of other accounts.
+/// grows. While the delay shrinks, the shed ratio of other accounts is not increased.
 const TREND_INTERVAL: Duration = Duration::from_millis(100);
 /// Fraction of all requests up to which those of accounts over their share are too few to relieve the host.
 const FEW_OVER_SHARE_RATIO: f64 = 0.2;
@@ -75,7 +75,7 @@
     share_used: f64,
     /// Fraction of its requests that is shed.
     shed_ratio: f64,
-    /// Sum of `shed_ratio` over its requests since the last one that was shed; at 1 the next one is shed.
+    /// Accumulated `shed_ratio` of its requests. The request that brings it to 1 is shed.
     shed_due: f64,
 }
 
