--- a/crates/gateway/src/early_refusal.rs
+++ b/crates/gateway/src/early_refusal.rs
@@ -157,7 +157,8 @@
         gateway.record_shed(account_hash, prompt);
         return Some(refuse_busy(gateway, &refused));
     }
-    if !gateway.with_dispatcher(|dispatcher| dispatcher.refuses(received_at, account_hash)) {
+    if !gateway.with_dispatcher(|dispatcher| dispatcher.refuses_at_once(received_at, account_hash))
+    {
         return None;
     }
     let time_left = metadata.time_left.unwrap_or(route.timeout);
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -146,13 +146,13 @@
             log,
             reloadable: RefCell::new(ReloadableSettings::of(&settings)),
             settings,
-            pool: RefCell::new(EndpointPool::new(budget.most_idle_connections())),
+            pool: RefCell::new(EndpointPool::new(budget.max_idle_connections())),
             routes: RefCell::new(Rc::new(RouteTable::default())),
             max_header_bytes: Cell::new(limits.max_header_bytes),
             max_body_bytes: Cell::new(limits.max_body_bytes),
             idle_timeout: Cell::new(limits.idle_timeout),
             header_timeout: Cell::new(limits.header_timeout),
-            max_partial_heads: budget.most_half_heads(),
+            max_partial_heads: budget.max_partial_heads(),
             memory: SharedMemoryBudget::new(budget),
             stop_requested_at: watch::Sender::new(None),
             loop_lag: RefCell::new(LoopLag::default()),
@@ -242,7 +242,10 @@
         if failure == Failure::ConnectionLost {
             // The request may have crashed the endpoint. From here on its fingerprint identifies
             // it.
-            self.handle(DispatchEvent::Identified(id, outgoing.fingerprint()));
+            self.handle(DispatchEvent::FingerprintComputed(
+                id,
+                outgoing.fingerprint(),
+            ));
         }
         self.handle(DispatchEvent::AttemptFailed(id, failure));
         receiver
@@ -251,21 +254,21 @@
     /// Decides whether a prompt of `account` is shed to another host because this one lacks
     /// processor time.
     pub fn should_shed(&self, account: u64) -> bool {
-        let standing = self.with_dispatcher(|dispatcher| dispatcher.account_standing(account));
-        self.shedding.borrow_mut().takes_turn(account, standing)
+        let standing = self.with_dispatcher(|dispatcher| dispatcher.account_share_used(account));
+        self.shedding.borrow_mut().try_shed(account, standing)
     }
 
     /// Counts a prompt of `account` that was not shed.
     pub fn record_admitted(&self, account: u64) {
-        let standing = self.with_dispatcher(|dispatcher| dispatcher.account_standing(account));
-        self.shedding.borrow_mut().note_kept(account, standing);
+        let standing = self.with_dispatcher(|dispatcher| dispatcher.account_share_used(account));
+        self.shedding.borrow_mut().count_kept(account, standing);
     }
 
     /// Counts a prompt of `account` that was shed.
     pub fn record_shed(&self, account: u64, prompt: &Prompt) {
         let now = self.now();
         let mut dispatcher = self.dispatcher.borrow_mut();
-        dispatcher.on_shed(now, account, prompt.charge());
+        dispatcher.on_shed(now, account, prompt.charged_tokens());
     }
 
     /// Waits for the verdict of a receiver.
@@ -353,7 +356,7 @@
         self.loop_lag.borrow_mut().record(late);
         let now = self.now();
         let is_flooded = LoadShedding::is_late(late)
-            && self.with_dispatcher(|dispatcher| dispatcher.is_flooded(now));
+            && self.with_dispatcher(|dispatcher| dispatcher.has_excess_demand(now));
         let late_for_callers = match is_flooded {
             true => late,
             false => Duration::ZERO,
