--- a/crates/cli/src/config_commit.rs
+++ b/crates/cli/src/config_commit.rs
@@ -3,16 +3,16 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use sedgeridge_protocol::table::Check;
-use sedgeridge_protocol::table::Transact;
+use sedgeridge_protocol::table::RowWrite;
 use sedgeridge_protocol::table::TransactAnswer;
-use sedgeridge_protocol::table::Write;
+use sedgeridge_protocol::table::TransactRequest;
+use sedgeridge_protocol::table::VersionCheck;
 use sedgeridge_state::config_document::ConfigDocument;
 use sedgeridge_state::config_records::CONFIG_HEAD_KEY;
 use sedgeridge_state::config_records::ConfigChange;
 use sedgeridge_state::config_records::ConfigContent;
 use sedgeridge_state::config_records::ConfigHead;
-use sedgeridge_state::config_records::SNAPSHOT_INTERVAL;
+use sedgeridge_state::config_records::GENERATIONS_PER_SNAPSHOT;
 use sedgeridge_state::config_records::config_change_key;
 use sedgeridge_state::config_records::snapshot_generation;
 use serde::Serialize;
@@ -180,7 +180,7 @@
     }
 }
 
-fn transaction(accepted: &Accepted, change: &ConfigChange) -> Transact {
+fn transaction(accepted: &Accepted, change: &ConfigChange) -> TransactRequest {
     let head = ConfigHead {
         generation: change.generation,
         change_id: change.change_id.clone(),
@@ -191,14 +191,14 @@
         put(CONFIG_HEAD_KEY.to_owned(), &head),
         put(change_key.clone(), change),
     ];
-    writes.extend(outdated_keys(change.generation).map(|key| Write { key, value: None }));
-    Transact {
+    writes.extend(outdated_keys(change.generation).map(|key| RowWrite { key, value: None }));
+    TransactRequest {
         checks: vec![
-            Check {
+            VersionCheck {
                 key: CONFIG_HEAD_KEY.to_owned(),
                 version: accepted.head_version,
             },
-            Check {
+            VersionCheck {
                 key: change_key,
                 version: 0,
             },
@@ -207,9 +207,9 @@
     }
 }
 
-fn put(key: String, record: &impl Serialize) -> Write {
+fn put(key: String, record: &impl Serialize) -> RowWrite {
     let value = serde_json::to_string(record).expect("a record is plain data with text keys");
-    Write {
+    RowWrite {
         key,
         value: Some(value),
     }
@@ -219,9 +219,9 @@
 /// rows between stay, so a reader that holds an older head can still follow it.
 fn outdated_keys(generation: u64) -> impl Iterator<Item = String> {
     let is_snapshot = snapshot_generation(generation) == generation;
-    let end = generation.saturating_sub(SNAPSHOT_INTERVAL);
+    let end = generation.saturating_sub(GENERATIONS_PER_SNAPSHOT);
     let start = if is_snapshot {
-        end.saturating_sub(SNAPSHOT_INTERVAL)
+        end.saturating_sub(GENERATIONS_PER_SNAPSHOT)
     } else {
         end
     };
--- a/crates/cli/src/config_reference.rs
+++ b/crates/cli/src/config_reference.rs
@@ -1,7 +1,7 @@
 //! `config reference`: prints the reference page of all settings.
 
 use pico_args::Arguments;
-use sedgeridge_state::settings::reference::page;
+use sedgeridge_state::settings::reference::reference_page;
 
 use crate::arguments::finish;
 use crate::context::Context;
@@ -10,5 +10,5 @@
 /// Runs the command.
 pub fn run(arguments: &mut Arguments, _context: &impl Context) -> Result<String, CommandError> {
     finish(arguments)?;
-    Ok(page())
+    Ok(reference_page())
 }
--- a/crates/cli/src/config_store.rs
+++ b/crates/cli/src/config_store.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use sedgeridge_protocol::table::Read;
+use sedgeridge_protocol::table::ReadRequest;
 use sedgeridge_protocol::table::Row;
 use sedgeridge_state::config_document::ConfigDocument;
 use sedgeridge_state::config_records::CONFIG_HEAD_KEY;
@@ -105,9 +105,9 @@
     table: SocketAddr,
     keys: Vec<String>,
 ) -> Result<Vec<Row>, TableError> {
-    let read = Read {
+    let read = ReadRequest {
         keys,
-        ..Read::default()
+        ..ReadRequest::default()
     };
     client.read(table, &read).map(|answer| answer.rows)
 }
--- a/crates/cli/src/context.rs
+++ b/crates/cli/src/context.rs
@@ -3,10 +3,10 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use sedgeridge_protocol::table::Read;
 use sedgeridge_protocol::table::ReadAnswer;
-use sedgeridge_protocol::table::Transact;
+use sedgeridge_protocol::table::ReadRequest;
 use sedgeridge_protocol::table::TransactAnswer;
+use sedgeridge_protocol::table::TransactRequest;
 use thiserror::Error;
 
 /// The outside of a command.
@@ -27,11 +27,11 @@
     fn transact(
         &self,
         table: SocketAddr,
-        transact: &Transact,
+        transact: &TransactRequest,
     ) -> Result<TransactAnswer, TableError>;
 
     /// Reads rows.
-    fn read(&self, table: SocketAddr, read: &Read) -> Result<ReadAnswer, TableError>;
+    fn read(&self, table: SocketAddr, read: &ReadRequest) -> Result<ReadAnswer, TableError>;
 }
 
 /// Pages that routers serve to operators.
--- a/crates/cli/src/orders_add.rs
+++ b/crates/cli/src/orders_add.rs
@@ -3,11 +3,11 @@
 use std::net::SocketAddr;
 
 use pico_args::Arguments;
-use sedgeridge_protocol::table::Check;
 use sedgeridge_protocol::table::Row;
-use sedgeridge_protocol::table::Transact;
+use sedgeridge_protocol::table::RowWrite;
 use sedgeridge_protocol::table::TransactAnswer;
-use sedgeridge_protocol::table::Write;
+use sedgeridge_protocol::table::TransactRequest;
+use sedgeridge_protocol::table::VersionCheck;
 use sedgeridge_state::ids::EndpointId;
 use sedgeridge_state::lease_record::FencingNumber;
 use sedgeridge_state::order_record::EngineOrder;
@@ -107,12 +107,12 @@
     version: u64,
 ) -> Result<(), CommandError> {
     let key = order_key(&record.endpoint).to_string();
-    let transact = Transact {
-        checks: vec![Check {
+    let transact = TransactRequest {
+        checks: vec![VersionCheck {
             key: key.clone(),
             version,
         }],
-        writes: vec![Write {
+        writes: vec![RowWrite {
             key,
             value: Some(record.encode()),
         }],
--- a/crates/cli/src/orders_list.rs
+++ b/crates/cli/src/orders_list.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use pico_args::Arguments;
-use sedgeridge_protocol::table::Read;
+use sedgeridge_protocol::table::ReadRequest;
 use sedgeridge_protocol::table::Row;
 use sedgeridge_state::order_record::ORDER_PREFIX;
 use sedgeridge_state::order_record::OrderRecord;
@@ -32,9 +32,9 @@
     let json = arguments.contains("--json");
     let table = take_table(arguments)?;
     finish(arguments)?;
-    let read = Read {
+    let read = ReadRequest {
         prefix: Some(ORDER_PREFIX.to_owned()),
-        ..Read::default()
+        ..ReadRequest::default()
     };
     let rows: Vec<OrderRow> = fetch(context, table, &read)?
         .iter()
@@ -55,9 +55,9 @@
     table: SocketAddr,
     keys: Vec<String>,
 ) -> Result<Vec<Row>, CommandError> {
-    let read = Read {
+    let read = ReadRequest {
         keys,
-        ..Read::default()
+        ..ReadRequest::default()
     };
     fetch(client, table, &read)
 }
@@ -65,7 +65,7 @@
 fn fetch(
     client: &impl TableClient,
     table: SocketAddr,
-    read: &Read,
+    read: &ReadRequest,
 ) -> Result<Vec<Row>, CommandError> {
     let answer = client.read(table, read);
     let answer = answer.map_err(|error| CommandError::Failed(error.to_string()))?;
--- a/crates/cli/src/system.rs
+++ b/crates/cli/src/system.rs
@@ -8,11 +8,11 @@
 use std::time::Duration;
 
 use sedgeridge_protocol::table::READ_PATH;
-use sedgeridge_protocol::table::Read;
 use sedgeridge_protocol::table::ReadAnswer;
+use sedgeridge_protocol::table::ReadRequest;
 use sedgeridge_protocol::table::TRANSACT_PATH;
-use sedgeridge_protocol::table::Transact;
 use sedgeridge_protocol::table::TransactAnswer;
+use sedgeridge_protocol::table::TransactRequest;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use ureq::Agent;
@@ -74,12 +74,12 @@
     fn transact(
         &self,
         table: SocketAddr,
-        transact: &Transact,
+        transact: &TransactRequest,
     ) -> Result<TransactAnswer, TableError> {
         self.call_table(table, TRANSACT_PATH, transact)
     }
 
-    fn read(&self, table: SocketAddr, read: &Read) -> Result<ReadAnswer, TableError> {
+    fn read(&self, table: SocketAddr, read: &ReadRequest) -> Result<ReadAnswer, TableError> {
         self.call_table(table, READ_PATH, read)
     }
 }
--- a/crates/cli/tests/committed_files.rs
+++ b/crates/cli/tests/committed_files.rs
@@ -21,7 +21,7 @@
     let committed = fs::read_to_string(root().join("docs/settings.md")).unwrap();
 
     assert!(
-        committed == reference::page(),
+        committed == reference::reference_page(),
         "docs/settings.md differs; run `sedgeridge config reference > docs/settings.md`"
     );
 }
--- a/crates/cli/tests/config_linearizable/table.rs
+++ b/crates/cli/tests/config_linearizable/table.rs
@@ -13,11 +13,11 @@
 use sedgeridge_cli::context::TableClient;
 use sedgeridge_cli::context::TableError;
 use sedgeridge_coordination::random::SeededRandom;
-use sedgeridge_protocol::table::Read;
 use sedgeridge_protocol::table::ReadAnswer;
+use sedgeridge_protocol::table::ReadRequest;
 use sedgeridge_protocol::table::Row;
-use sedgeridge_protocol::table::Transact;
 use sedgeridge_protocol::table::TransactAnswer;
+use sedgeridge_protocol::table::TransactRequest;
 
 use crate::turns::Turns;
 
@@ -26,7 +26,7 @@
 pub struct Table {
     rows: BTreeMap<String, Row>,
     version: u64,
-    late: Vec<Transact>,
+    late: Vec<TransactRequest>,
     random: SeededRandom,
     faulty: bool,
 }
@@ -50,7 +50,7 @@
         self.faulty = false;
     }
 
-    fn apply(&mut self, transact: &Transact) -> TransactAnswer {
+    fn apply(&mut self, transact: &TransactRequest) -> TransactAnswer {
         let current = |key: &str| {
             let absent = Row {
                 key: key.to_owned(),
@@ -82,7 +82,7 @@
         TransactAnswer::Committed { version }
     }
 
-    fn transact(&mut self, transact: &Transact) -> Result<TransactAnswer, TableError> {
+    fn transact(&mut self, transact: &TransactRequest) -> Result<TransactAnswer, TableError> {
         if self.faulty && !self.late.is_empty() && self.random.below(3) == 0 {
             let late = self.late.remove(0);
             self.apply(&late);
@@ -108,7 +108,7 @@
         }
     }
 
-    fn read(&mut self, read: &Read) -> Result<ReadAnswer, TableError> {
+    fn read(&mut self, read: &ReadRequest) -> Result<ReadAnswer, TableError> {
         if self.faulty && self.random.below(8) == 0 {
             return Err(TableError::Unknown("lost".to_owned()));
         }
@@ -143,12 +143,12 @@
     fn transact(
         &self,
         _table: SocketAddr,
-        transact: &Transact,
+        transact: &TransactRequest,
     ) -> Result<TransactAnswer, TableError> {
         self.table().transact(transact)
     }
 
-    fn read(&self, _table: SocketAddr, read: &Read) -> Result<ReadAnswer, TableError> {
+    fn read(&self, _table: SocketAddr, read: &ReadRequest) -> Result<ReadAnswer, TableError> {
         self.table().read(read)
     }
 }
--- a/crates/cli/tests/configuration/commit.rs
+++ b/crates/cli/tests/configuration/commit.rs
@@ -9,10 +9,10 @@
 use sedgeridge_cli::config_store::Accepted;
 use sedgeridge_cli::config_store::read_accepted;
 use sedgeridge_cli::config_store::read_change;
-use sedgeridge_protocol::table::Transact;
+use sedgeridge_protocol::table::TransactRequest;
 use sedgeridge_state::config_document::ConfigDocument;
 use sedgeridge_state::config_records::ConfigContent;
-use sedgeridge_state::config_records::SNAPSHOT_INTERVAL;
+use sedgeridge_state::config_records::GENERATIONS_PER_SNAPSHOT;
 use yare::parameterized;
 
 use crate::fake::FakeContext;
@@ -63,19 +63,19 @@
 #[test]
 fn rows_stay_bounded_and_every_generation_reads_whole() {
     let context = started();
-    for number in 2..=3 * SNAPSHOT_INTERVAL + 2 {
+    for number in 2..=3 * GENERATIONS_PER_SNAPSHOT + 2 {
         let next = proposal("ana", &format!("name-{number}"));
         let change = commit(&context, table(), &accepted(&context), &next).unwrap();
         assert_eq!(change.generation, number);
         assert_eq!(accepted(&context).document, next.document);
-        assert!(context.row_count() as u64 <= 2 * SNAPSHOT_INTERVAL + 1);
+        assert!(context.row_count() as u64 <= 2 * GENERATIONS_PER_SNAPSHOT + 1);
     }
 }
 
 #[test]
 fn a_change_costs_two_reads_and_one_transaction() {
     let context = started();
-    for number in 2..=SNAPSHOT_INTERVAL + 1 {
+    for number in 2..=GENERATIONS_PER_SNAPSHOT + 1 {
         let (reads, transactions) = context.calls.get();
         let next = proposal("ana", &format!("name-{number}"));
         commit(&context, table(), &accepted(&context), &next).unwrap();
@@ -275,7 +275,7 @@
 
 fn times_committed(context: &FakeContext, name: &str) -> usize {
     let summary = format!("name {name}\"");
-    let holds = |transact: &&Transact| {
+    let holds = |transact: &&TransactRequest| {
         let values = transact
             .writes
             .iter()
--- a/crates/cli/tests/configuration/fake.rs
+++ b/crates/cli/tests/configuration/fake.rs
@@ -12,12 +12,12 @@
 use sedgeridge_cli::context::OperatorPages;
 use sedgeridge_cli::context::TableClient;
 use sedgeridge_cli::context::TableError;
-use sedgeridge_protocol::table::Check;
-use sedgeridge_protocol::table::Read;
 use sedgeridge_protocol::table::ReadAnswer;
+use sedgeridge_protocol::table::ReadRequest;
 use sedgeridge_protocol::table::Row;
-use sedgeridge_protocol::table::Transact;
 use sedgeridge_protocol::table::TransactAnswer;
+use sedgeridge_protocol::table::TransactRequest;
+use sedgeridge_protocol::table::VersionCheck;
 
 /// What happens to one call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -43,9 +43,9 @@
     /// Faults of the next reads; none when used up.
     pub read_faults: RefCell<VecDeque<Fault>>,
     /// Run once after the next transaction, as by another operator.
-    pub rival: RefCell<Option<Transact>>,
+    pub rival: RefCell<Option<TransactRequest>>,
     /// Every transaction that took effect.
-    pub committed: RefCell<Vec<Transact>>,
+    pub committed: RefCell<Vec<TransactRequest>>,
     /// Reads and transactions called so far.
     pub calls: Cell<(u64, u64)>,
     /// Pages by address and path.
@@ -63,9 +63,9 @@
     }
 
     /// Runs a transaction without faults.
-    pub fn apply(&self, transact: &Transact) -> TransactAnswer {
+    pub fn apply(&self, transact: &TransactRequest) -> TransactAnswer {
         let mut rows = self.rows.borrow_mut();
-        let version_of = |check: &Check| rows.get(&check.key).map_or(0, |row| row.0);
+        let version_of = |check: &VersionCheck| rows.get(&check.key).map_or(0, |row| row.0);
         let failed = transact
             .checks
             .iter()
@@ -121,7 +121,7 @@
     fn transact(
         &self,
         _table: SocketAddr,
-        transact: &Transact,
+        transact: &TransactRequest,
     ) -> Result<TransactAnswer, TableError> {
         let (reads, transactions) = self.calls.get();
         self.calls.set((reads, transactions + 1));
@@ -141,7 +141,7 @@
         answer
     }
 
-    fn read(&self, _table: SocketAddr, read: &Read) -> Result<ReadAnswer, TableError> {
+    fn read(&self, _table: SocketAddr, read: &ReadRequest) -> Result<ReadAnswer, TableError> {
         let (reads, transactions) = self.calls.get();
         self.calls.set((reads + 1, transactions));
         let fault = self.read_faults.borrow_mut().pop_front();
--- a/crates/cli/tests/orders.rs
+++ b/crates/cli/tests/orders.rs
@@ -12,8 +12,8 @@
 use pico_args::Arguments;
 use sedgeridge_cli::dispatch::dispatch;
 use sedgeridge_cli::error::CommandError;
-use sedgeridge_protocol::table::Transact;
-use sedgeridge_protocol::table::Write;
+use sedgeridge_protocol::table::RowWrite;
+use sedgeridge_protocol::table::TransactRequest;
 use yare::parameterized;
 
 use fake::FakeContext;
@@ -119,9 +119,9 @@
         .transact_faults
         .borrow_mut()
         .push_back(Fault::CallLost);
-    *context.rival.borrow_mut() = Some(Transact {
+    *context.rival.borrow_mut() = Some(TransactRequest {
         checks: Vec::new(),
-        writes: vec![Write {
+        writes: vec![RowWrite {
             key: "order/desk-1".into(),
             value,
         }],
--- a/crates/cli/tests/system_context.rs
+++ b/crates/cli/tests/system_context.rs
@@ -17,8 +17,8 @@
 use sedgeridge_cli::context::TableClient;
 use sedgeridge_cli::context::TableError;
 use sedgeridge_cli::system::SystemContext;
-use sedgeridge_protocol::table::Transact;
 use sedgeridge_protocol::table::TransactAnswer;
+use sedgeridge_protocol::table::TransactRequest;
 use yare::parameterized;
 
 /// Serves one call with a fixed answer, which may be cut off or empty.
@@ -50,7 +50,7 @@
 }
 
 fn transact(table: SocketAddr) -> Result<TransactAnswer, TableError> {
-    SystemContext::default().transact(table, &Transact::default())
+    SystemContext::default().transact(table, &TransactRequest::default())
 }
 
 #[test]
--- a/crates/coordination/src/orders.rs
+++ b/crates/coordination/src/orders.rs
@@ -295,7 +295,7 @@
         };
         match job.stage {
             Stage::WritingIntent | Stage::WritingEnd => self.write(now, endpoint, actions),
-            Stage::AwaitingFloor if !job.record.order.interrupts() => {
+            Stage::AwaitingFloor if !job.record.order.requires_idle_engine() => {
                 self.enter(endpoint, Stage::AwaitingSend);
                 self.send(now, endpoint, actions);
             }
--- a/crates/coordination/src/orders/settle.rs
+++ b/crates/coordination/src/orders/settle.rs
@@ -66,7 +66,7 @@
             };
             let endpoint = record.endpoint.clone();
             // The holder before may have announced this drain a moment ago.
-            if is_first_read && record.order.interrupts() {
+            if is_first_read && record.order.requires_idle_engine() {
                 self.pools.assume_heeded(&endpoint);
             }
             let is_old = known.get(&endpoint).is_some_and(|(_, v)| row.version <= *v);
@@ -102,7 +102,7 @@
         }
         self.jobs.remove(endpoint);
         self.pools.undrain(endpoint);
-        if record.order.interrupts() {
+        if record.order.requires_idle_engine() {
             actions.push(OrderAction::Undrain(endpoint.clone()));
         }
         actions.push(OrderAction::Ended {
--- a/crates/coordination/src/orders/view.rs
+++ b/crates/coordination/src/orders/view.rs
@@ -59,7 +59,7 @@
         let interrupting = self
             .jobs
             .iter()
-            .filter(|(_, j)| j.record.order.interrupts());
+            .filter(|(_, j)| j.record.order.requires_idle_engine());
         interrupting
             .flat_map(|(endpoint, _)| self.pools.pool_of(endpoint))
             .cloned()
--- a/crates/protocol/src/engine_orders.rs
+++ b/crates/protocol/src/engine_orders.rs
@@ -3,7 +3,7 @@
 use sedgeridge_state::lease_record::FencingNumber;
 use sedgeridge_state::order_record::EngineOrder;
 
-use crate::engine::EngineOrder as BorderOrder;
+use crate::engine::EngineOrder as WireOrder;
 use crate::engine::EngineState;
 use crate::engine::LoadedModel;
 use crate::engine::OrderKind;
@@ -16,23 +16,23 @@
 /// Engines have no form yet for orders to export or import KV cache.
 ///
 /// ```
-/// use sedgeridge_protocol::engine_orders::border_order;
+/// use sedgeridge_protocol::engine_orders::order_to_wire;
 /// use sedgeridge_state::lease_record::FencingNumber;
 /// use sedgeridge_state::order_record::EngineOrder;
 ///
-/// let order = border_order(&EngineOrder::Load("assistant/v2".into()), FencingNumber(7)).unwrap();
+/// let order = order_to_wire(&EngineOrder::Load("assistant/v2".into()), FencingNumber(7)).unwrap();
 /// assert_eq!(order.target, "assistant");
 /// assert_eq!(order.version.as_deref(), Some("v2"));
 /// assert_eq!(order.fencing, 7);
 /// ```
-pub fn border_order(order: &EngineOrder, fencing: FencingNumber) -> Option<BorderOrder> {
+pub fn order_to_wire(order: &EngineOrder, fencing: FencingNumber) -> Option<WireOrder> {
     let (kind, target, version) = match order {
         EngineOrder::Load(unit) => named(OrderKind::Load, unit),
         EngineOrder::Unload(unit) => named(OrderKind::Unload, unit),
         EngineOrder::ChangeRole(pool) => (OrderKind::Role, pool.as_str(), None),
         EngineOrder::ExportCache(_) | EngineOrder::ImportCache(_) => return None,
     };
-    Some(BorderOrder {
+    Some(WireOrder {
         fencing: fencing.0,
         kind,
         target: target.to_owned(),
--- a/crates/protocol/src/membership.rs
+++ b/crates/protocol/src/membership.rs
@@ -332,7 +332,7 @@
 
 fn read_digest(digest: &WireDigest) -> Result<TableDigest, PeerCodecError> {
     let parts: Result<[u32; DIGEST_PARTS], _> = digest.parts.as_slice().try_into();
-    let parts = parts.map_err(|_| PeerCodecError::WrongDigest(digest.parts.len()))?;
+    let parts = parts.map_err(|_| PeerCodecError::WrongDigestLength(digest.parts.len()))?;
     Ok(TableDigest {
         parts: Box::new(parts),
         notices: digest.notices,
--- a/crates/protocol/src/peer.rs
+++ b/crates/protocol/src/peer.rs
@@ -43,7 +43,7 @@
     UnknownFailure(u8),
     /// It summarises a member table in another number of parts.
     #[error("membership digest has {0} parts")]
-    WrongDigest(usize),
+    WrongDigestLength(usize),
 }
 
 /// First message on a connection: who speaks.
--- a/crates/protocol/src/table.rs
+++ b/crates/protocol/src/table.rs
@@ -12,16 +12,16 @@
 
 /// A transaction: every condition is checked, then every write is made, or none is.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct Transact {
+pub struct TransactRequest {
     /// Conditions on current versions.
-    pub checks: Vec<Check>,
+    pub checks: Vec<VersionCheck>,
     /// Writes made when every condition holds.
-    pub writes: Vec<Write>,
+    pub writes: Vec<RowWrite>,
 }
 
 /// Condition: the key stands at this version; version 0 means that the key is absent.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Check {
+pub struct VersionCheck {
     /// The key.
     pub key: String,
     /// The version it must have.
@@ -30,7 +30,7 @@
 
 /// A write; `value: None` deletes the key.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Write {
+pub struct RowWrite {
     /// The key.
     pub key: String,
     /// The new value.
@@ -55,7 +55,7 @@
 
 /// A read of single keys, or of all keys with a prefix.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct Read {
+pub struct ReadRequest {
     /// Keys to read.
     #[serde(default)]
     pub keys: Vec<String>,
--- a/crates/protocol/tests/engine_orders.rs
+++ b/crates/protocol/tests/engine_orders.rs
@@ -2,8 +2,8 @@
 
 use sedgeridge_protocol::engine::EngineState;
 use sedgeridge_protocol::engine::LoadedModel;
-use sedgeridge_protocol::engine_orders::border_order;
 use sedgeridge_protocol::engine_orders::is_in_effect;
+use sedgeridge_protocol::engine_orders::order_to_wire;
 use sedgeridge_state::lease_record::FencingNumber;
 use sedgeridge_state::order_record::EngineOrder;
 use yare::parameterized;
@@ -43,5 +43,5 @@
 )]
 fn engines_have_no_form_for_cache_orders(kind: &str) {
     let order = EngineOrder::from_kind(kind, "cache-1").unwrap();
-    assert_eq!(border_order(&order, FencingNumber(1)), None);
+    assert_eq!(order_to_wire(&order, FencingNumber(1)), None);
 }
--- a/crates/slopes/src/memory_table.rs
+++ b/crates/slopes/src/memory_table.rs
@@ -126,31 +126,31 @@
 fn body_bytes(action: &StoreAction) -> u64 {
     let body = match action {
         StoreAction::Transact { checks, writes, .. } => {
-            let checks = checks.iter().map(|check| table::Check {
+            let checks = checks.iter().map(|check| table::VersionCheck {
                 key: check.key.to_string(),
                 version: check.version,
             });
-            let writes = writes.iter().map(|write| table::Write {
+            let writes = writes.iter().map(|write| table::RowWrite {
                 key: write.key.to_string(),
                 value: write.value.as_deref().map(str::to_owned),
             });
-            serde_json::to_vec(&table::Transact {
+            serde_json::to_vec(&table::TransactRequest {
                 checks: checks.collect(),
                 writes: writes.collect(),
             })
         }
         StoreAction::Read { query, .. } => serde_json::to_vec(&match query {
-            StoreQuery::Keys(keys) => table::Read {
+            StoreQuery::Keys(keys) => table::ReadRequest {
                 keys: keys.iter().map(ToString::to_string).collect(),
-                ..table::Read::default()
+                ..table::ReadRequest::default()
             },
             StoreQuery::Prefix {
                 prefix,
                 after_version,
-            } => table::Read {
+            } => table::ReadRequest {
                 prefix: Some(prefix.to_string()),
                 after_version: *after_version,
-                ..table::Read::default()
+                ..table::ReadRequest::default()
             },
         }),
     };
--- a/crates/standins/src/table_store.rs
+++ b/crates/standins/src/table_store.rs
@@ -4,12 +4,12 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use sedgeridge_protocol::table::Check;
-use sedgeridge_protocol::table::Read;
 use sedgeridge_protocol::table::ReadAnswer;
+use sedgeridge_protocol::table::ReadRequest;
 use sedgeridge_protocol::table::Row;
-use sedgeridge_protocol::table::Transact;
 use sedgeridge_protocol::table::TransactAnswer;
+use sedgeridge_protocol::table::TransactRequest;
+use sedgeridge_protocol::table::VersionCheck;
 
 /// How long earlier rows are kept for stale reads.
 const HISTORY: Duration = Duration::from_secs(60);
@@ -31,7 +31,7 @@
 
 impl TableStore {
     /// Runs a transaction: every condition is checked, then every write is made, or none is.
-    pub fn transact(&mut self, now: Duration, transact: Transact) -> TransactAnswer {
+    pub fn transact(&mut self, now: Duration, transact: TransactRequest) -> TransactAnswer {
         let rows: Vec<Row> = transact
             .checks
             .iter()
@@ -51,12 +51,12 @@
     }
 
     /// Reads the current rows.
-    pub fn read(&self, read: &Read) -> ReadAnswer {
+    pub fn read(&self, read: &ReadRequest) -> ReadAnswer {
         select(&self.rows, read)
     }
 
     /// Reads the rows as they stood at an earlier time.
-    pub fn read_as_of(&self, at: Duration, read: &Read) -> ReadAnswer {
+    pub fn read_as_of(&self, at: Duration, read: &ReadRequest) -> ReadAnswer {
         let mut rows = self.rows.clone();
         for replaced in self.replaced.iter().rev() {
             if replaced.at <= at {
@@ -72,7 +72,7 @@
         select(&rows, read)
     }
 
-    fn mismatch(&self, check: &Check) -> Option<Row> {
+    fn mismatch(&self, check: &VersionCheck) -> Option<Row> {
         let row = self.row(&check.key);
         (row.version != check.version).then_some(row)
     }
@@ -111,7 +111,7 @@
     }
 }
 
-fn select(rows: &BTreeMap<String, Row>, read: &Read) -> ReadAnswer {
+fn select(rows: &BTreeMap<String, Row>, read: &ReadRequest) -> ReadAnswer {
     let mut found: BTreeMap<&str, &Row> = BTreeMap::new();
     for key in &read.keys {
         if let Some(row) = rows.get(key) {
--- a/crates/standins/tests/table.rs
+++ b/crates/standins/tests/table.rs
@@ -5,12 +5,12 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use sedgeridge_protocol::table::Check;
-use sedgeridge_protocol::table::Read;
+use sedgeridge_protocol::table::ReadRequest;
 use sedgeridge_protocol::table::Row;
-use sedgeridge_protocol::table::Transact;
+use sedgeridge_protocol::table::RowWrite;
 use sedgeridge_protocol::table::TransactAnswer;
-use sedgeridge_protocol::table::Write;
+use sedgeridge_protocol::table::TransactRequest;
+use sedgeridge_protocol::table::VersionCheck;
 use sedgeridge_standins::answer::mix;
 use sedgeridge_standins::configs::platform::TableConfig;
 use sedgeridge_standins::rate_limit::RateLimit;
@@ -22,18 +22,18 @@
 
 const NOW: Duration = Duration::from_secs(1);
 
-fn transact(checks: &[(&str, u64)], writes: &[(&str, Option<&str>)]) -> Transact {
-    Transact {
+fn transact(checks: &[(&str, u64)], writes: &[(&str, Option<&str>)]) -> TransactRequest {
+    TransactRequest {
         checks: checks
             .iter()
-            .map(|(key, version)| Check {
+            .map(|(key, version)| VersionCheck {
                 key: (*key).into(),
                 version: *version,
             })
             .collect(),
         writes: writes
             .iter()
-            .map(|(key, value)| Write {
+            .map(|(key, value)| RowWrite {
                 key: (*key).into(),
                 value: value.map(Into::into),
             })
@@ -41,11 +41,11 @@
     }
 }
 
-fn prefix(prefix: &str, after_version: u64) -> Read {
-    Read {
+fn prefix(prefix: &str, after_version: u64) -> ReadRequest {
+    ReadRequest {
         prefix: Some(prefix.into()),
         after_version,
-        ..Read::default()
+        ..ReadRequest::default()
     }
 }
 
@@ -89,7 +89,7 @@
     let mut store = TableStore::default();
     let writes = ["x/2", "x/1", "y", "z"].map(|key| (key, Some("v")));
     store.transact(NOW, transact(&[], &writes));
-    let read = Read {
+    let read = ReadRequest {
         keys: vec!["z".into(), "x/1".into(), "none".into()],
         ..prefix("x/", 0)
     };
--- a/crates/state/src/config_records.rs
+++ b/crates/state/src/config_records.rs
@@ -16,7 +16,7 @@
 /// Prefix of the keys of all [`ConfigChange`]s.
 pub const CONFIG_CHANGE_PREFIX: &str = "config/gen/";
 /// Generations from one snapshot to the next; a reader applies fewer deltas than this.
-pub const SNAPSHOT_INTERVAL: u64 = 64;
+pub const GENERATIONS_PER_SNAPSHOT: u64 = 64;
 
 /// The configuration in force.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -73,7 +73,7 @@
 /// assert_eq!(snapshot_generation(65), 65);
 /// ```
 pub fn snapshot_generation(generation: u64) -> u64 {
-    generation - generation.saturating_sub(1) % SNAPSHOT_INTERVAL
+    generation - generation.saturating_sub(1) % GENERATIONS_PER_SNAPSHOT
 }
 
 impl ConfigContent {
--- a/crates/state/src/order_record.rs
+++ b/crates/state/src/order_record.rs
@@ -85,10 +85,10 @@
     /// ```
     /// use sedgeridge_state::order_record::EngineOrder;
     ///
-    /// assert!(EngineOrder::Load("assistant/v2".into()).interrupts());
-    /// assert!(!EngineOrder::ExportCache("cache-1".into()).interrupts());
+    /// assert!(EngineOrder::Load("assistant/v2".into()).requires_idle_engine());
+    /// assert!(!EngineOrder::ExportCache("cache-1".into()).requires_idle_engine());
     /// ```
-    pub fn interrupts(&self) -> bool {
+    pub fn requires_idle_engine(&self) -> bool {
         matches!(self, Self::Load(_) | Self::Unload(_) | Self::ChangeRole(_))
     }
 
--- a/crates/state/src/settings.rs
+++ b/crates/state/src/settings.rs
@@ -24,7 +24,7 @@
 pub use error::Rejection;
 pub use error::SettingsError;
 pub use load::Layers;
-pub use load::Source;
+pub use load::SettingsFile;
 pub use load::load;
 pub use load::load_layers;
 pub(crate) use load::load_raw;
--- a/crates/state/src/settings/assemble.rs
+++ b/crates/state/src/settings/assemble.rs
@@ -68,7 +68,7 @@
 
     fn whole(&self, key: &str) -> u64 {
         match self.value(key) {
-            Some(Value::Whole(number)) => *number,
+            Some(Value::Integer(number)) => *number,
             other => panic!("{key} is a whole number in the schema, not {other:?}"),
         }
     }
--- a/crates/state/src/settings/checks.rs
+++ b/crates/state/src/settings/checks.rs
@@ -114,7 +114,7 @@
 
 fn check_unique_addresses(sections: &[MergedSection], findings: &mut Vec<Finding>) {
     let mut owners = BTreeMap::new();
-    for section in sections.iter().filter(|s| s.schema.named) {
+    for section in sections.iter().filter(|s| s.schema.is_named) {
         for key in section.schema.keys {
             let Some(entry) = section.entries.get(key.name) else {
                 continue;
@@ -188,7 +188,7 @@
         let Some(entry) = pool.entries.get("floor") else {
             continue;
         };
-        if matches!(entry.value, Some(Value::Whole(floor)) if floor > count) {
+        if matches!(entry.value, Some(Value::Integer(floor)) if floor > count) {
             let rejection =
                 above_limit(entry, format!("at most {count}, the endpoints of the pool"));
             findings.push(finding(pool, entry, "floor", rejection));
@@ -199,11 +199,11 @@
 fn check_upper_limits(sections: &[MergedSection], findings: &mut Vec<Finding>) {
     for (kind, lower, upper) in UPPER_LIMITS {
         for section in of_kind(sections, kind) {
-            let Some(Value::Whole(most)) = value(section, upper) else {
+            let Some(Value::Integer(most)) = value(section, upper) else {
                 continue;
             };
             let entry = &section.entries[lower];
-            if matches!(entry.value, Some(Value::Whole(number)) if number > *most) {
+            if matches!(entry.value, Some(Value::Integer(number)) if number > *most) {
                 let rejection = above_limit(entry, format!("at most {most}, the value of {upper}"));
                 findings.push(finding(section, entry, lower, rejection));
             }
@@ -213,7 +213,7 @@
 
 fn above_limit(entry: &Entry, expected: String) -> Rejection {
     let found = match entry.value {
-        Some(Value::Whole(number)) => number.to_string(),
+        Some(Value::Integer(number)) => number.to_string(),
         _ => String::new(),
     };
     Rejection::new(Problem::OutOfRange { expected, found }, None)
--- a/crates/state/src/settings/effective.rs
+++ b/crates/state/src/settings/effective.rs
@@ -43,17 +43,17 @@
 ///
 /// ```
 /// use sedgeridge_state::settings::Layers;
-/// use sedgeridge_state::settings::Source;
-/// use sedgeridge_state::settings::effective::effective;
+/// use sedgeridge_state::settings::SettingsFile;
+/// use sedgeridge_state::settings::effective::effective_settings;
 /// let layers = Layers {
-///     base: Source { text: "[fleet]\nname = demo\n", name: "base.ini" },
+///     base: SettingsFile { text: "[fleet]\nname = demo\n", name: "base.ini" },
 ///     overlay: None,
 ///     overrides: &[],
 /// };
-/// let text = effective(&layers).unwrap().to_string();
+/// let text = effective_settings(&layers).unwrap().to_string();
 /// assert!(text.starts_with("[fleet]\n# base.ini:2\nname = demo\n"));
 /// ```
-pub fn effective(layers: &Layers<'_>) -> Result<EffectiveSettings, Vec<SettingsError>> {
+pub fn effective_settings(layers: &Layers<'_>) -> Result<EffectiveSettings, Vec<SettingsError>> {
     let merged = merge(raw_layers(layers))?;
     let mut sections = Vec::new();
     for schema in SECTIONS {
--- a/crates/state/src/settings/layers.rs
+++ b/crates/state/src/settings/layers.rs
@@ -122,7 +122,7 @@
                 return None;
             }
         };
-        if schema.named && role != LayerRole::Base {
+        if schema.is_named && role != LayerRole::Base {
             let rejection = self.unknown_title(schema, &id);
             self.report(place, title, "", rejection);
             return None;
@@ -214,7 +214,7 @@
             file: base_file.clone(),
             line: 1,
         };
-        for schema in SECTIONS.iter().filter(|schema| !schema.named) {
+        for schema in SECTIONS.iter().filter(|schema| !schema.is_named) {
             self.position_for(LayerRole::Base, &schema.name.into(), &place);
         }
         let mut missing = Vec::new();
@@ -274,7 +274,7 @@
         let near = nearest(kind, SECTIONS.iter().map(|s| s.name));
         return Err(unknown(near.map(did_you_mean)));
     };
-    match (schema.named, id) {
+    match (schema.is_named, id) {
         (true, Some(id)) => Ok((schema, check_name(id)?)),
         (false, None) => Ok((schema, "".into())),
         (true, None) => Err(unknown(Some(format!("write [{kind}.NAME]")))),
--- a/crates/state/src/settings/load.rs
+++ b/crates/state/src/settings/load.rs
@@ -12,12 +12,12 @@
 use super::lines::RawPair;
 use super::lines::RawSection;
 use super::lines::split;
-use super::overrides::OVERRIDE_FILE;
+use super::overrides::OVERRIDE_FILE_NAME;
 use super::overrides::Override;
 
 /// A text and the file name to report findings under.
 #[derive(Debug, Clone, Copy)]
-pub struct Source<'a> {
+pub struct SettingsFile<'a> {
     /// Content.
     pub text: &'a str,
     /// File name.
@@ -28,9 +28,9 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Layers<'a> {
     /// What holds everywhere.
-    pub base: Source<'a>,
+    pub base: SettingsFile<'a>,
     /// What differs at the site.
-    pub overlay: Option<Source<'a>>,
+    pub overlay: Option<SettingsFile<'a>>,
     /// What the command line sets; it may set every key.
     pub overrides: &'a [Override],
 }
@@ -51,11 +51,11 @@
     overlay: Option<(&str, &str)>,
 ) -> Result<Settings, Vec<SettingsError>> {
     load_layers(&Layers {
-        base: Source {
+        base: SettingsFile {
             text: base_text,
             name: base_name,
         },
-        overlay: overlay.map(|(text, name)| Source { text, name }),
+        overlay: overlay.map(|(text, name)| SettingsFile { text, name }),
         overrides: &[],
     })
 }
@@ -65,10 +65,10 @@
 /// ```
 /// use sedgeridge_state::settings::Layers;
 /// use sedgeridge_state::settings::Override;
-/// use sedgeridge_state::settings::Source;
+/// use sedgeridge_state::settings::SettingsFile;
 /// use sedgeridge_state::settings::load_layers;
 /// let layers = Layers {
-///     base: Source { text: "[fleet]\nname = demo\n", name: "base.ini" },
+///     base: SettingsFile { text: "[fleet]\nname = demo\n", name: "base.ini" },
 ///     overlay: None,
 ///     overrides: &[Override::parse("front.max_queue=512").unwrap()],
 /// };
@@ -111,14 +111,14 @@
     );
     raw.push(RawLayer {
         role: LayerRole::Overrides,
-        file: OVERRIDE_FILE.into(),
+        file: OVERRIDE_FILE_NAME.into(),
         sections: override_sections(layers.overrides),
         bad_lines: Vec::new(),
     });
     raw
 }
 
-fn text_layer(role: LayerRole, source: Source<'_>) -> RawLayer {
+fn text_layer(role: LayerRole, source: SettingsFile<'_>) -> RawLayer {
     let (sections, bad_lines) = split(source.text);
     RawLayer {
         role,
--- a/crates/state/src/settings/overrides.rs
+++ b/crates/state/src/settings/overrides.rs
@@ -5,7 +5,7 @@
 use thiserror::Error;
 
 /// File name under which findings in overrides are reported.
-pub const OVERRIDE_FILE: &str = "--set";
+pub const OVERRIDE_FILE_NAME: &str = "--set";
 
 /// One `--set section.key=value`.
 #[derive(Debug, Clone, PartialEq, Eq)]
--- a/crates/state/src/settings/reference.rs
+++ b/crates/state/src/settings/reference.rs
@@ -25,10 +25,10 @@
 /// Writes the page.
 ///
 /// ```
-/// let page = sedgeridge_state::settings::reference::page();
+/// let page = sedgeridge_state::settings::reference::reference_page();
 /// assert!(page.contains("## [account.NAME]"));
 /// ```
-pub fn page() -> String {
+pub fn reference_page() -> String {
     let mut page = HEAD.to_owned();
     for section in SECTIONS {
         write_section(&mut page, section);
@@ -37,7 +37,7 @@
 }
 
 fn write_section(page: &mut String, section: &SectionSchema) {
-    let suffix = if section.named { ".NAME" } else { "" };
+    let suffix = if section.is_named { ".NAME" } else { "" };
     let rows = section.keys.iter().map(|key| {
         let fallback = match key.fallback {
             Fallback::Mandatory => "must be given".to_owned(),
--- a/crates/state/src/settings/schema.rs
+++ b/crates/state/src/settings/schema.rs
@@ -26,7 +26,7 @@
     /// Name before the dot, or the whole name.
     pub name: &'static str,
     /// Whether it is written `[name.NAME]` and may stand many times.
-    pub named: bool,
+    pub is_named: bool,
     /// What it describes.
     pub doc: &'static str,
     /// Its keys.
@@ -52,7 +52,7 @@
 #[derive(Debug)]
 pub enum ValueKind {
     /// A whole number.
-    Whole {
+    Integer {
         /// Its unit.
         unit: Unit,
         /// Least accepted value.
@@ -110,7 +110,7 @@
 }
 
 const fn whole(unit: Unit, min: u64, max: u64) -> ValueKind {
-    ValueKind::Whole { unit, min, max }
+    ValueKind::Integer { unit, min, max }
 }
 
 const fn key(
@@ -180,7 +180,7 @@
     /// ```
     pub fn expected(&self) -> String {
         match self {
-            Self::Whole { unit, min, max } => format!("{} from {min} to {max}", unit.noun()),
+            Self::Integer { unit, min, max } => format!("{} from {min} to {max}", unit.noun()),
             Self::Choice(choices) => format!("one of {}", choices.join(", ")),
             Self::Flag => "yes or no".to_owned(),
             Self::Name => "a name of letters, digits, `-` and `_`".to_owned(),
--- a/crates/state/src/settings/schema/general.rs
+++ b/crates/state/src/settings/schema/general.rs
@@ -19,7 +19,7 @@
 /// Schema of `[fleet]`.
 pub(super) const FLEET: SectionSchema = SectionSchema {
     name: "fleet",
-    named: false,
+    is_named: false,
     doc: "What names this deployment.",
     keys: &[key(
         "name",
@@ -33,7 +33,7 @@
 /// Schema of `[front]`.
 pub(super) const FRONT: SectionSchema = SectionSchema {
     name: "front",
-    named: false,
+    is_named: false,
     doc: "Limits towards callers.",
     keys: &[
         key(
@@ -112,7 +112,7 @@
 /// Schema of `[fair]`.
 pub(super) const FAIR: SectionSchema = SectionSchema {
     name: "fair",
-    named: false,
+    is_named: false,
     doc: "The order between client accounts. The baselines `router`, `fifo` and `random` are for comparison.",
     keys: &[
         key(
@@ -184,7 +184,7 @@
 /// Schema of `[retry]`.
 pub(super) const RETRY: SectionSchema = SectionSchema {
     name: "retry",
-    named: false,
+    is_named: false,
     doc: "Repeated attempts.",
     keys: &[
         key(
@@ -214,7 +214,7 @@
 /// Schema of `[health]`.
 pub(super) const HEALTH: SectionSchema = SectionSchema {
     name: "health",
-    named: false,
+    is_named: false,
     doc: "Endpoints that fail.",
     keys: &[
         key(
@@ -279,7 +279,7 @@
 /// Schema of `[membership]`.
 pub(super) const MEMBERSHIP: SectionSchema = SectionSchema {
     name: "membership",
-    named: false,
+    is_named: false,
     doc: "Heartbeats between routers.",
     keys: &[
         key(
@@ -351,7 +351,7 @@
 /// Schema of `[platform]`.
 pub(super) const PLATFORM: SectionSchema = SectionSchema {
     name: "platform",
-    named: false,
+    is_named: false,
     doc: "The platform's services, and where the configuration in force comes from.",
     keys: &[
         key(
--- a/crates/state/src/settings/schema/topology.rs
+++ b/crates/state/src/settings/schema/topology.rs
@@ -20,7 +20,7 @@
 /// Schema of `[site.NAME]`.
 pub(super) const SITE: SectionSchema = SectionSchema {
     name: "site",
-    named: true,
+    is_named: true,
     doc: "A site (data centre).",
     keys: &[key(
         "region",
@@ -34,7 +34,7 @@
 /// Schema of `[host.NAME]`.
 pub(super) const HOST: SectionSchema = SectionSchema {
     name: "host",
-    named: true,
+    is_named: true,
     doc: "A host that runs one router.",
     keys: &[
         key(
@@ -78,7 +78,7 @@
 /// Schema of `[pool.NAME]`.
 pub(super) const POOL: SectionSchema = SectionSchema {
     name: "pool",
-    named: true,
+    is_named: true,
     doc: "Endpoints that share the same work.",
     keys: &[
         key(
@@ -101,7 +101,7 @@
 /// Schema of `[service.NAME]`.
 pub(super) const SERVICE: SectionSchema = SectionSchema {
     name: "service",
-    named: true,
+    is_named: true,
     doc: "What callers address: a model service by the request's `model` field, a plain service by the path `/services/NAME/...`.",
     keys: &[
         key(
@@ -131,7 +131,7 @@
 /// Schema of `[endpoint.NAME]`.
 pub(super) const ENDPOINT: SectionSchema = SectionSchema {
     name: "endpoint",
-    named: true,
+    is_named: true,
     doc: "One model engine or plain service process.",
     keys: &[
         key(
@@ -169,7 +169,7 @@
 /// Schema of `[account.NAME]`.
 pub(super) const ACCOUNT: SectionSchema = SectionSchema {
     name: "account",
-    named: true,
+    is_named: true,
     doc: "A client account.",
     keys: &[
         key(
--- a/crates/state/src/settings/value.rs
+++ b/crates/state/src/settings/value.rs
@@ -21,7 +21,7 @@
 /// A checked value.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) enum Value {
-    Whole(u64),
+    Integer(u64),
     Flag(bool),
     Text(Arc<str>),
     Address(SocketAddr),
@@ -30,7 +30,7 @@
 impl fmt::Display for Value {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Whole(number) => write!(f, "{number}"),
+            Self::Integer(number) => write!(f, "{number}"),
             Self::Flag(true) => f.write_str("yes"),
             Self::Flag(false) => f.write_str("no"),
             Self::Text(text) => f.write_str(text),
@@ -42,7 +42,7 @@
 /// Checks a text against the kind of value its key takes.
 pub(super) fn check_value(kind: &ValueKind, text: &str) -> Result<Value, Rejection> {
     match kind {
-        ValueKind::Whole { unit, min, max } => check_whole(kind, *unit, *min..=*max, text),
+        ValueKind::Integer { unit, min, max } => check_whole(kind, *unit, *min..=*max, text),
         ValueKind::Choice(choices) => check_choice(kind, choices, text),
         ValueKind::Flag => check_flag(kind, text),
         ValueKind::Name => check_name(text).map(Value::Text),
@@ -79,7 +79,7 @@
         let hint = format!("the nearest accepted value is {nearest}");
         return Err(Rejection::new(problem, hint));
     }
-    Ok(Value::Whole(number))
+    Ok(Value::Integer(number))
 }
 
 fn reject_number(
--- a/crates/state/tests/settings/layers.rs
+++ b/crates/state/tests/settings/layers.rs
@@ -13,7 +13,7 @@
 use sedgeridge_state::settings::RequestClass;
 use sedgeridge_state::settings::RetrySettings;
 use sedgeridge_state::settings::Settings;
-use sedgeridge_state::settings::Source;
+use sedgeridge_state::settings::SettingsFile;
 use sedgeridge_state::settings::load;
 use sedgeridge_state::settings::load_layers;
 use sedgeridge_state::settings::schema::SECTIONS;
@@ -59,11 +59,11 @@
         .map(|argument| Override::parse(argument).unwrap())
         .collect();
     let layers = Layers {
-        base: Source {
+        base: SettingsFile {
             text: BASE,
             name: "base.ini",
         },
-        overlay: overlay.map(|text| Source {
+        overlay: overlay.map(|text| SettingsFile {
             text,
             name: "site-north.ini",
         }),
@@ -122,7 +122,7 @@
 fn counts_of_the_schema_fit_the_typed_fields() {
     for section in SECTIONS {
         for key in section.keys {
-            if let ValueKind::Whole { unit, min, max } = key.kind {
+            if let ValueKind::Integer { unit, min, max } = key.kind {
                 let wide = matches!(unit, Unit::Milliseconds | Unit::Bytes);
                 assert!(wide || u32::try_from(max).is_ok(), "{}", key.name);
                 assert!(min <= max, "{}", key.name);
--- a/crates/state/tests/settings/refusal.rs
+++ b/crates/state/tests/settings/refusal.rs
@@ -3,7 +3,7 @@
 use sedgeridge_state::settings::Layers;
 use sedgeridge_state::settings::Override;
 use sedgeridge_state::settings::SettingsError;
-use sedgeridge_state::settings::Source;
+use sedgeridge_state::settings::SettingsFile;
 use sedgeridge_state::settings::load_layers;
 
 pub const BASE_NAME: &str = "base.ini";
@@ -85,11 +85,11 @@
 
 pub fn findings(base: &str, overlay: &str, overrides: &[Override]) -> Vec<SettingsError> {
     let layers = Layers {
-        base: Source {
+        base: SettingsFile {
             text: base,
             name: BASE_NAME,
         },
-        overlay: Some(Source {
+        overlay: Some(SettingsFile {
             text: overlay,
             name: OVERLAY_NAME,
         }),
--- a/crates/transport/src/coordinator_calls.rs
+++ b/crates/transport/src/coordinator_calls.rs
@@ -19,8 +19,8 @@
 use sedgeridge_protocol::coordinator::DrainRequest;
 use sedgeridge_protocol::engine::EngineState;
 use sedgeridge_protocol::engine::ORDERS_PATH;
-use sedgeridge_protocol::engine_orders::border_order;
 use sedgeridge_protocol::engine_orders::is_in_effect;
+use sedgeridge_protocol::engine_orders::order_to_wire;
 use sedgeridge_state::ids::EndpointId;
 use sedgeridge_state::order_record::EngineOrder;
 use serde::Serialize;
@@ -193,7 +193,7 @@
     /// lease was last checked. Sent then, it would reach an engine that obeys the next holder by
     /// now, and one that ignores fencing numbers would obey both.
     fn send(&self, order: &SendOrder, address: SocketAddr) -> EngineAnswer {
-        let Some(body) = border_order(&order.order, order.fencing) else {
+        let Some(body) = order_to_wire(&order.order, order.fencing) else {
             return EngineAnswer::Refused;
         };
         if order.not_after <= self.clock.now() + CONNECT_TIMEOUT {
--- a/crates/transport/src/settings_files.rs
+++ b/crates/transport/src/settings_files.rs
@@ -9,9 +9,9 @@
 use sedgeridge_state::settings::Override;
 use sedgeridge_state::settings::Settings;
 use sedgeridge_state::settings::SettingsError;
-use sedgeridge_state::settings::Source;
+use sedgeridge_state::settings::SettingsFile;
 use sedgeridge_state::settings::effective::EffectiveSettings;
-use sedgeridge_state::settings::effective::effective;
+use sedgeridge_state::settings::effective::effective_settings;
 use sedgeridge_state::settings::load_layers;
 use thiserror::Error;
 
@@ -98,7 +98,7 @@
         &self,
         overrides: &[Override],
     ) -> Result<EffectiveSettings, ReadSettingsError> {
-        effective(&self.layers(overrides)).map_err(ReadSettingsError::Refused)
+        effective_settings(&self.layers(overrides)).map_err(ReadSettingsError::Refused)
     }
 
     /// Gives the text of the base file.
@@ -135,8 +135,8 @@
 }
 
 impl NamedText {
-    fn source(&self) -> Source<'_> {
-        Source {
+    fn source(&self) -> SettingsFile<'_> {
+        SettingsFile {
             text: &self.text,
             name: &self.name,
         }
--- a/crates/transport/src/table_calls.rs
+++ b/crates/transport/src/table_calls.rs
@@ -17,15 +17,15 @@
 use sedgeridge_coordination::store_call::StoreQuery;
 use sedgeridge_coordination::store_call::StoreResult;
 use sedgeridge_coordination::store_call::StoreRow;
-use sedgeridge_protocol::table::Check;
 use sedgeridge_protocol::table::READ_PATH;
-use sedgeridge_protocol::table::Read;
 use sedgeridge_protocol::table::ReadAnswer;
+use sedgeridge_protocol::table::ReadRequest;
 use sedgeridge_protocol::table::Row;
+use sedgeridge_protocol::table::RowWrite;
 use sedgeridge_protocol::table::TRANSACT_PATH;
-use sedgeridge_protocol::table::Transact;
 use sedgeridge_protocol::table::TransactAnswer;
-use sedgeridge_protocol::table::Write;
+use sedgeridge_protocol::table::TransactRequest;
+use sedgeridge_protocol::table::VersionCheck;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use ureq::Agent;
@@ -141,17 +141,17 @@
     pub fn run(&self, action: &StoreAction) -> StoreResult {
         let result = match action {
             StoreAction::Transact { checks, writes, .. } => {
-                let transact = Transact {
+                let transact = TransactRequest {
                     checks: checks
                         .iter()
-                        .map(|check| Check {
+                        .map(|check| VersionCheck {
                             key: check.key.to_string(),
                             version: check.version,
                         })
                         .collect(),
                     writes: writes
                         .iter()
-                        .map(|write| Write {
+                        .map(|write| RowWrite {
                             key: write.key.to_string(),
                             value: write.value.as_deref().map(str::to_owned),
                         })
@@ -166,17 +166,17 @@
             }
             StoreAction::Read { query, .. } => {
                 let read = match query {
-                    StoreQuery::Keys(keys) => Read {
+                    StoreQuery::Keys(keys) => ReadRequest {
                         keys: keys.iter().map(ToString::to_string).collect(),
-                        ..Read::default()
+                        ..ReadRequest::default()
                     },
                     StoreQuery::Prefix {
                         prefix,
                         after_version,
-                    } => Read {
+                    } => ReadRequest {
                         prefix: Some(prefix.to_string()),
                         after_version: *after_version,
-                        ..Read::default()
+                        ..ReadRequest::default()
                     },
                 };
                 self.post(READ_PATH, &read, |answer: ReadAnswer| {
--- a/crates/transport/tests/coordinator/table.rs
+++ b/crates/transport/tests/coordinator/table.rs
@@ -8,11 +8,11 @@
 use std::thread;
 
 use sedgeridge_protocol::table::READ_PATH;
-use sedgeridge_protocol::table::Read;
 use sedgeridge_protocol::table::ReadAnswer;
+use sedgeridge_protocol::table::ReadRequest;
 use sedgeridge_protocol::table::Row;
-use sedgeridge_protocol::table::Transact;
 use sedgeridge_protocol::table::TransactAnswer;
+use sedgeridge_protocol::table::TransactRequest;
 use tiny_http::Response;
 use tiny_http::Server;
 
@@ -94,7 +94,7 @@
 }
 
 impl TableState {
-    fn read(&self, read: &Read) -> ReadAnswer {
+    fn read(&self, read: &ReadRequest) -> ReadAnswer {
         let wanted = |row: &&Row| {
             let by_prefix = read.prefix.as_ref().is_some_and(|p| row.key.starts_with(p));
             let newer = row.version > read.after_version;
@@ -105,7 +105,7 @@
         }
     }
 
-    fn write(&mut self, transact: &Transact) -> (u16, String) {
+    fn write(&mut self, transact: &TransactRequest) -> (u16, String) {
         let prefix = self.faulty_prefix;
         let is_faulty = transact.writes.iter().any(|w| w.key.starts_with(prefix));
         match self.fault {
@@ -122,7 +122,7 @@
         }
     }
 
-    fn transact(&mut self, transact: &Transact) -> TransactAnswer {
+    fn transact(&mut self, transact: &TransactRequest) -> TransactAnswer {
         let current = |key: &str| {
             let absent = Row {
                 key: key.to_owned(),
