--- a/crates/protocol/src/chat.rs
+++ b/crates/protocol/src/chat.rs
@@ -1,27 +1,27 @@
-//! The chat-completions form that callers and model engines speak.
+//! JSON messages of the chat completions API, as callers and model engines use it.
 
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::object_only::objects;
+use crate::object_only::deserialize_objects;
 
-/// Path of the chat-completions call.
+/// Path of the chat completions API.
 pub const CHAT_PATH: &str = "/v1/chat/completions";
-/// Data of the event that ends a stream.
+/// Data of the server-sent event that ends a stream.
 pub const STREAM_END: &str = "[DONE]";
 
 /// A chat request.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ChatRequest {
-    /// The model service asked for.
+    /// Name of the model service.
     pub model: String,
     /// The conversation so far.
-    #[serde(deserialize_with = "objects")]
+    #[serde(deserialize_with = "deserialize_objects")]
     pub messages: Vec<ChatMessage>,
-    /// Whether the answer comes as server-sent events.
+    /// Whether the answer is streamed as server-sent events.
     #[serde(default)]
     pub stream: bool,
-    /// Most output tokens wanted; a rough hint of the cost.
+    /// Maximum number of output tokens; also a rough estimate of the cost.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub max_tokens: Option<u32>,
 }
@@ -29,20 +29,20 @@
 /// One message of a conversation.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ChatMessage {
-    /// Who speaks: `system`, `user` or `assistant`.
+    /// Author of the message: `system`, `user` or `assistant`.
     pub role: String,
-    /// What is said.
+    /// Text of the message.
     pub content: String,
 }
 
-/// A whole answer, given when `stream` is false.
+/// A complete answer, returned when `stream` is false.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ChatAnswer {
-    /// Attempt that made the answer.
+    /// Id of the attempt that produced the answer.
     pub id: String,
     /// Always `chat.completion`.
     pub object: String,
-    /// The answers; engines here give exactly one.
+    /// The generated answers; engines return exactly one.
     pub choices: Vec<ChatChoice>,
     /// Tokens used.
     pub usage: Usage,
@@ -55,40 +55,40 @@
     pub index: u32,
     /// The message.
     pub message: ChatMessage,
-    /// Why it ended: `stop` or `length`.
+    /// Why generation ended: `stop` or `length`.
     pub finish_reason: String,
 }
 
 /// One event of a streamed answer.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ChatChunk {
-    /// Attempt that makes the answer.
+    /// Id of the attempt that produces the answer.
     pub id: String,
     /// Always `chat.completion.chunk`.
     pub object: String,
-    /// What is new; exactly one entry.
+    /// The added text; exactly one entry.
     pub choices: Vec<ChunkChoice>,
     /// Tokens used, on the last event only.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub usage: Option<Usage>,
 }
 
-/// What one event of a stream adds.
+/// Text that one event adds to a streamed answer.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ChunkChoice {
     /// Position among the answers.
     pub index: u32,
-    /// The text that is new.
+    /// The added text.
     pub delta: ChunkDelta,
-    /// Why it ended, on the last event only.
+    /// Why generation ended; on the last event only.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub finish_reason: Option<String>,
 }
 
-/// New text of a stream.
+/// Text added to a streamed answer.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct ChunkDelta {
-    /// Text of one or more output tokens; a token here ends with one space.
+    /// Text of one or more output tokens; each token ends with one space.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub content: Option<String>,
 }
--- a/crates/protocol/src/engine_orders.rs
+++ b/crates/protocol/src/engine_orders.rs
@@ -1,4 +1,5 @@
-//! Orders to engines between their typed form and the engines' own.
+//! Converts engine orders to the engines' JSON form, and reads an order's effect from the engine's
+//! state.
 
 use sedgeridge_state::lease_record::FencingNumber;
 use sedgeridge_state::order_record::EngineOrder;
@@ -8,12 +9,12 @@
 use crate::engine::LoadedModel;
 use crate::engine::OrderKind;
 
-/// Stands between the name of a model or adapter and its version.
+/// Separates the name of a model or adapter from its version.
 const VERSION_SEPARATOR: char = '/';
 
-/// Returns the order as engines read it; none if they have no form for it.
+/// Converts an order to the engines' JSON form; `None` if engines have no such order.
 ///
-/// Engines have no form yet for orders to export or import KV cache.
+/// Engines have no orders yet to export or import KV cache.
 ///
 /// ```
 /// use sedgeridge_protocol::engine_orders::order_to_wire;
@@ -27,8 +28,8 @@
 /// ```
 pub fn order_to_wire(order: &EngineOrder, fencing: FencingNumber) -> Option<WireOrder> {
     let (kind, target, version) = match order {
-        EngineOrder::Load(unit) => named(OrderKind::Load, unit),
-        EngineOrder::Unload(unit) => named(OrderKind::Unload, unit),
+        EngineOrder::Load(artifact) => versioned_order(OrderKind::Load, artifact),
+        EngineOrder::Unload(artifact) => versioned_order(OrderKind::Unload, artifact),
         EngineOrder::ChangeRole(pool) => (OrderKind::Role, pool.as_str(), None),
         EngineOrder::ExportCache(_) | EngineOrder::ImportCache(_) => return None,
     };
@@ -40,7 +41,7 @@
     })
 }
 
-/// Tells whether an order is in effect on an engine; none if its state does not say.
+/// Returns whether an order is in effect on an engine; `None` if the engine's state does not tell.
 ///
 /// ```
 /// use sedgeridge_protocol::engine::EngineState;
@@ -53,31 +54,31 @@
 /// ```
 pub fn is_in_effect(order: &EngineOrder, state: &EngineState) -> Option<bool> {
     match order {
-        EngineOrder::Load(unit) => Some(is_loaded(unit, state)),
-        EngineOrder::Unload(unit) => {
-            let (name, _) = split_version(unit);
+        EngineOrder::Load(artifact) => Some(is_loaded(artifact, state)),
+        EngineOrder::Unload(artifact) => {
+            let (name, _) = split_version(artifact);
             let unloaded = state.unloaded.iter().any(|known| known == name);
-            Some(unloaded && !is_loaded(unit, state))
+            Some(unloaded && !is_loaded(artifact, state))
         }
         EngineOrder::ChangeRole(pool) => Some(state.role.as_deref() == Some(pool.as_str())),
         EngineOrder::ExportCache(_) | EngineOrder::ImportCache(_) => None,
     }
 }
 
-fn named(kind: OrderKind, unit: &str) -> (OrderKind, &str, Option<&str>) {
-    let (name, version) = split_version(unit);
+fn versioned_order(kind: OrderKind, artifact: &str) -> (OrderKind, &str, Option<&str>) {
+    let (name, version) = split_version(artifact);
     (kind, name, version)
 }
 
-fn split_version(unit: &str) -> (&str, Option<&str>) {
-    match unit.rsplit_once(VERSION_SEPARATOR) {
+fn split_version(artifact: &str) -> (&str, Option<&str>) {
+    match artifact.rsplit_once(VERSION_SEPARATOR) {
         Some((name, version)) => (name, Some(version)),
-        None => (unit, None),
+        None => (artifact, None),
     }
 }
 
-fn is_loaded(unit: &str, state: &EngineState) -> bool {
-    let (name, version) = split_version(unit);
+fn is_loaded(artifact: &str, state: &EngineState) -> bool {
+    let (name, version) = split_version(artifact);
     let matches = |model: &LoadedModel| {
         let same_version = version.is_none() || model.version.as_deref() == version;
         model.name == name && same_version
--- a/crates/protocol/src/ledger.rs
+++ b/crates/protocol/src/ledger.rs
@@ -1,14 +1,14 @@
-//! What an endpoint really did, as its stand-in recorded it.
+//! Ledger of a stand-in endpoint: the requests and orders it received, and their results.
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Path that answers the ledger as JSON lines.
+/// Path that returns the ledger as JSON lines.
 pub const LEDGER_PATH: &str = "/ledger";
-/// Path that empties the ledger.
+/// Path that clears the ledger.
 pub const LEDGER_RESET_PATH: &str = "/ledger/reset";
 
-/// One line of a ledger.
+/// One line of the ledger.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "record", rename_all = "snake_case")]
 pub enum LedgerRecord {
@@ -18,26 +18,26 @@
     Order(OrderRecord),
 }
 
-/// One run of a request; a request that never left the waiting line has none.
+/// One run of a request; a request that never left the queue has none.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RunRecord {
-    /// Number of the run in this ledger; a later line of the same number replaces an earlier one.
+    /// Number of the run in this ledger; a later line with the same number replaces an earlier one.
     pub run_id: u64,
-    /// Caller request.
+    /// Id of the caller's request.
     pub request_id: Option<String>,
-    /// Attempt of the router.
+    /// Id of the router's attempt.
     pub attempt_id: Option<String>,
-    /// Client account.
+    /// Name of the client account.
     pub account: Option<String>,
-    /// Model of an engine, path of a plain service.
+    /// Model of an engine, or path of a plain service.
     pub service: String,
-    /// The endpoint that ran it.
+    /// Endpoint that ran the request.
     pub endpoint: String,
-    /// Arrival at the endpoint, in Unix time.
+    /// Unix time of arrival at the endpoint.
     pub arrived_at_ms: f64,
-    /// Start on a slot, in Unix time.
+    /// Unix time of the start on a slot.
     pub started_at_ms: f64,
-    /// End on the slot, in Unix time; absent while it runs.
+    /// Unix time of the end on the slot; absent while the request runs.
     pub ended_at_ms: Option<f64>,
     /// Input tokens.
     pub input_tokens: u64,
@@ -45,41 +45,41 @@
     pub cached_tokens: u64,
     /// Position of the first output token of this run.
     pub first_token: u64,
-    /// Output tokens of this run; tokens charged on a plain service.
+    /// Output tokens of this run, or tokens charged by a plain service.
     pub output_tokens: u64,
-    /// How it ended.
+    /// Outcome of the run.
     pub outcome: RunOutcome,
-    /// Key of the request's content.
+    /// Key derived from the request's content.
     pub request_key: u64,
-    /// Caller's key for a request that may not be repeated.
+    /// Caller's key for a request that must run at most once.
     pub idempotency_key: Option<String>,
 }
 
-/// How a run ended.
+/// Outcome of a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RunOutcome {
-    /// It still runs.
+    /// The request is still running.
     Running,
-    /// It ran to its end.
+    /// The request completed.
     Finished,
-    /// Its connection was closed before the end.
+    /// The connection was closed before the request completed.
     Cancelled,
-    /// The endpoint stopped abruptly.
+    /// The endpoint crashed.
     Crashed,
 }
 
 /// One order to an engine.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct OrderRecord {
-    /// The engine.
+    /// Name of the engine.
     pub endpoint: String,
-    /// Receipt, in Unix time.
+    /// Unix time of receipt.
     pub received_at_ms: f64,
-    /// The order.
+    /// The order as received.
     pub order: crate::engine::EngineOrder,
-    /// Whether it took effect.
+    /// Whether the engine applied it.
     pub accepted: bool,
-    /// Highest fencing number seen before it.
+    /// Highest fencing number that the engine had seen before this order.
     pub highest_fencing: u64,
 }
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,4 +1,5 @@
-//! Border types and codecs: what crosses a process boundary, as typed Rust values.
+//! Types and codecs of the messages that processes exchange: HTTP and JSON with callers, endpoints,
+//! operators and the platform, CBOR between routers.
 
 pub mod chat;
 pub mod coordinator;
--- a/crates/protocol/src/membership.rs
+++ b/crates/protocol/src/membership.rs
@@ -1,6 +1,7 @@
-//! Membership messages as CBOR datagrams.
+//! Encodes membership messages as CBOR datagrams.
 //!
-//! One-letter names keep a probe in a few dozen bytes; see [`crate::peer`] for the reason.
+//! One-letter field names keep a probe within a few dozen bytes; [`crate::peer`] says why that
+//! matters.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -161,11 +162,11 @@
 /// ```
 pub fn encode(message: &Message) -> Vec<u8> {
     to_cbor(&WireMessage {
-        from: wire_record(&message.from),
+        from: record_to_wire(&message.from),
         config_generation: message.config_generation,
-        updates: message.updates.iter().map(wire_update).collect(),
-        notices: message.notices.iter().map(wire_notice).collect(),
-        body: wire_body(&message.body),
+        updates: message.updates.iter().map(update_to_wire).collect(),
+        notices: message.notices.iter().map(notice_to_wire).collect(),
+        body: body_to_wire(&message.body),
     })
 }
 
@@ -173,19 +174,19 @@
 ///
 /// # Errors
 ///
-/// Refuses bytes that are not a membership message.
+/// Returns an error if the bytes are not a membership message.
 pub fn decode(bytes: &[u8]) -> Result<Message, PeerCodecError> {
     let message: WireMessage = from_cbor(bytes)?;
     Ok(Message {
-        from: read_record(&message.from),
+        from: record_from_wire(&message.from),
         config_generation: message.config_generation,
-        updates: message.updates.iter().map(read_update).collect(),
-        notices: message.notices.iter().map(read_notice).collect(),
-        body: read_body(&message.body)?,
+        updates: message.updates.iter().map(update_from_wire).collect(),
+        notices: message.notices.iter().map(notice_from_wire).collect(),
+        body: body_from_wire(&message.body)?,
     })
 }
 
-fn wire_record(record: &MemberRecord) -> WireRecord {
+fn record_to_wire(record: &MemberRecord) -> WireRecord {
     WireRecord {
         host: record.member.host.as_str().to_owned(),
         incarnation: record.member.incarnation.0,
@@ -200,7 +201,7 @@
     }
 }
 
-fn read_record(record: &WireRecord) -> MemberRecord {
+fn record_from_wire(record: &WireRecord) -> MemberRecord {
     MemberRecord {
         member: Member {
             host: HostId::from(record.host.as_str()),
@@ -217,21 +218,21 @@
     }
 }
 
-fn wire_update(update: &Update) -> WireUpdate {
+fn update_to_wire(update: &Update) -> WireUpdate {
     WireUpdate {
-        record: wire_record(&update.record),
+        record: record_to_wire(&update.record),
         accuser: update.accuser.as_ref().map(|host| host.as_str().to_owned()),
     }
 }
 
-fn read_update(update: &WireUpdate) -> Update {
+fn update_from_wire(update: &WireUpdate) -> Update {
     Update {
-        record: read_record(&update.record),
+        record: record_from_wire(&update.record),
         accuser: update.accuser.as_deref().map(HostId::from),
     }
 }
 
-fn wire_notice(notice: &Notice) -> WireNotice {
+fn notice_to_wire(notice: &Notice) -> WireNotice {
     match notice {
         Notice::EndpointLeaving {
             endpoint,
@@ -250,7 +251,7 @@
     }
 }
 
-fn read_notice(notice: &WireNotice) -> Notice {
+fn notice_from_wire(notice: &WireNotice) -> Notice {
     match notice {
         WireNotice::EndpointLeaving {
             endpoint,
@@ -269,7 +270,7 @@
     }
 }
 
-fn wire_body(body: &Body) -> WireBody {
+fn body_to_wire(body: &Body) -> WireBody {
     match body {
         Body::Probe { sequence } => WireBody::Probe(*sequence),
         Body::ProbeAck { sequence } => WireBody::ProbeAck(*sequence),
@@ -279,19 +280,19 @@
         },
         Body::ProbeNack { sequence } => WireBody::ProbeNack(*sequence),
         Body::Gossip => WireBody::Gossip,
-        Body::SyncRequest { digest } => WireBody::SyncRequest(wire_digest(digest)),
+        Body::SyncRequest { digest } => WireBody::SyncRequest(digest_to_wire(digest)),
         Body::SyncTable {
             records,
             answer_wanted,
         } => WireBody::SyncTable {
-            records: records.iter().map(wire_record).collect(),
-            answer_wanted: answer_wanted.as_ref().map(wire_digest),
+            records: records.iter().map(record_to_wire).collect(),
+            answer_wanted: answer_wanted.as_ref().map(digest_to_wire),
         },
         Body::Outranked { incarnation } => WireBody::Outranked(incarnation.0),
     }
 }
 
-fn read_body(body: &WireBody) -> Result<Body, PeerCodecError> {
+fn body_from_wire(body: &WireBody) -> Result<Body, PeerCodecError> {
     Ok(match body {
         WireBody::Probe(sequence) => Body::Probe {
             sequence: *sequence,
@@ -308,14 +309,14 @@
         },
         WireBody::Gossip => Body::Gossip,
         WireBody::SyncRequest(digest) => Body::SyncRequest {
-            digest: read_digest(digest)?,
+            digest: digest_from_wire(digest)?,
         },
         WireBody::SyncTable {
             records,
             answer_wanted,
         } => Body::SyncTable {
-            records: records.iter().map(read_record).collect(),
-            answer_wanted: answer_wanted.as_ref().map(read_digest).transpose()?,
+            records: records.iter().map(record_from_wire).collect(),
+            answer_wanted: answer_wanted.as_ref().map(digest_from_wire).transpose()?,
         },
         WireBody::Outranked(incarnation) => Body::Outranked {
             incarnation: Incarnation(*incarnation),
@@ -323,14 +324,14 @@
     })
 }
 
-fn wire_digest(digest: &TableDigest) -> WireDigest {
+fn digest_to_wire(digest: &TableDigest) -> WireDigest {
     WireDigest {
         parts: digest.parts.to_vec(),
         notices: digest.notices,
     }
 }
 
-fn read_digest(digest: &WireDigest) -> Result<TableDigest, PeerCodecError> {
+fn digest_from_wire(digest: &WireDigest) -> Result<TableDigest, PeerCodecError> {
     let parts: Result<[u32; DIGEST_PARTS], _> = digest.parts.as_slice().try_into();
     let parts = parts.map_err(|_| PeerCodecError::WrongDigestLength(digest.parts.len()))?;
     Ok(TableDigest {
--- a/crates/protocol/src/object_only.rs
+++ b/crates/protocol/src/object_only.rs
@@ -1,7 +1,7 @@
-//! Reads values that must be JSON objects.
+//! Deserializes values that must be JSON objects.
 //!
-//! A derived `Deserialize` also takes a list with the fields in order. An endpoint that reads the
-//! same body by the book would refuse it, or take it for something else.
+//! A derived `Deserialize` also accepts a list of the fields in order. An endpoint that parses the
+//! same body strictly would refuse it, or interpret it differently.
 
 use std::fmt;
 use std::marker::PhantomData;
@@ -12,7 +12,7 @@
 use serde::de::Visitor;
 use serde::de::value::MapAccessDeserializer;
 
-/// A value that was an object.
+/// A value that was deserialized from an object.
 pub(crate) struct ObjectOnly<T>(pub(crate) T);
 
 impl<'de, T: Deserialize<'de>> Deserialize<'de> for ObjectOnly<T> {
@@ -35,8 +35,8 @@
     }
 }
 
-/// Reads a list of objects.
-pub(crate) fn objects<'de, D, T>(deserializer: D) -> Result<Vec<T>, D::Error>
+/// Deserializes a list of objects.
+pub(crate) fn deserialize_objects<'de, D, T>(deserializer: D) -> Result<Vec<T>, D::Error>
 where
     D: Deserializer<'de>,
     T: Deserialize<'de>,
--- a/crates/protocol/src/operator.rs
+++ b/crates/protocol/src/operator.rs
@@ -1,7 +1,7 @@
-//! JSON pages that a router serves to operators.
+//! JSON messages of a router's operator API.
 //!
-//! Fields added later have defaults, so that a command line of one release reads the pages of
-//! another while hosts are replaced.
+//! Fields added later have defaults, because during an upgrade the command-line tool of one
+//! release reads the answers of routers of another.
 
 use std::net::SocketAddr;
 
@@ -15,140 +15,140 @@
 /// Path of [`AccountsPage`].
 pub const ACCOUNTS_PATH: &str = "/operator/accounts";
 
-/// One router's view of itself and of the fleet.
+/// Status of one router and its view of the fleet.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouterStatus {
-    /// The host.
+    /// Name of the host.
     pub host: String,
-    /// Site it stands in.
+    /// Site of the host.
     #[serde(default)]
     pub site: String,
-    /// Which run of the host this is.
+    /// Incarnation of the host: it grows with each restart.
     pub incarnation: u64,
-    /// Whether new requests are welcome.
+    /// Whether the router accepts new requests.
     pub ready: bool,
     /// Whether the router is stopping.
     pub stopping: bool,
-    /// Requests that wait.
+    /// Requests waiting in this router.
     pub waiting: u64,
-    /// Requests that run.
+    /// Requests run by this router.
     pub running: u64,
-    /// Generation of the configuration in force; 0 when it comes from files.
+    /// Generation of the active configuration; 0 if it comes from files.
     #[serde(default)]
     pub config_generation: u64,
-    /// Pools whose home this router is.
+    /// Number of pools whose home is this router.
     #[serde(default)]
     pub homes: u64,
-    /// Live members of the fleet.
+    /// Number of live members of the fleet.
     #[serde(default)]
     pub members: u64,
-    /// The other routers, as this one believes them to be.
+    /// The other routers and their states as seen by this one.
     #[serde(default)]
     pub member_list: Vec<MemberRow>,
 }
 
-/// One other router.
+/// One other router as seen by the router asked.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberRow {
-    /// The host.
+    /// Name of the host.
     pub host: String,
-    /// Its run.
+    /// Incarnation of the host.
     pub incarnation: u64,
-    /// What is believed of it.
+    /// Membership state.
     pub state: MemberState,
 }
 
-/// What a router believes of another.
+/// Membership state of a router as seen by another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MemberState {
-    /// It answers.
+    /// It answers probes.
     Live,
-    /// It left a probe unanswered and has time to refute.
+    /// It did not answer a probe, and has time to refute the suspicion.
     Suspected,
-    /// It finishes its requests and takes no new ones.
+    /// It finishes its requests and accepts no new ones.
     Leaving,
-    /// It is gone.
+    /// It is considered dead.
     Dead,
 }
 
 /// One router's view of the endpoints.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointsPage {
-    /// In the order of the settings.
+    /// Endpoints in the order of the settings.
     pub endpoints: Vec<EndpointRow>,
 }
 
-/// One endpoint.
+/// One endpoint as seen by the router asked.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointRow {
-    /// The endpoint.
+    /// Name of the endpoint.
     pub endpoint: String,
     /// Pool it belongs to.
     pub pool: String,
-    /// Site it stands in.
+    /// Site of the endpoint.
     pub site: String,
-    /// Where it listens.
+    /// Address it listens on.
     pub address: SocketAddr,
-    /// What is believed of it.
+    /// State as seen by the router asked.
     pub state: EndpointState,
-    /// Requests it may run at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Requests that run, by its last load report.
+    /// Running requests, according to its last load report.
     #[serde(default)]
     pub running: u32,
-    /// Requests admitted but not yet in the batch, by its last load report.
+    /// Requests admitted but not yet in the batch, according to its last load report.
     #[serde(default)]
     pub waiting: u32,
-    /// Age of that report; absent when there is none.
+    /// Age of that report; absent if there is none.
     #[serde(default)]
     pub report_age_ms: Option<u64>,
-    /// Requests that the fleet may hold on it now.
+    /// Number of slots that the fleet may use now.
     #[serde(default)]
     pub usable_slots: u32,
-    /// Requests that the fleet holds on it.
+    /// Number of slots that the fleet uses.
     #[serde(default)]
     pub occupied_slots: u32,
-    /// Host that is the home of its pool; empty when there is none.
+    /// Host that is the home of its pool; empty if there is none.
     #[serde(default)]
     pub home: String,
 }
 
-/// What a router believes of an endpoint.
+/// State of an endpoint as seen by a router.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EndpointState {
-    /// It takes work.
+    /// It accepts work.
     Serving,
-    /// It failed too often and gets no work for a time.
+    /// It failed too often and temporarily gets no work.
     Ejected,
-    /// It finishes its work and takes no more.
+    /// It finishes its work and accepts no more.
     Leaving,
-    /// Only the home of its pool knows; the router asked is not.
+    /// Unknown here: only the home of its pool knows, and that is another router.
     HomedElsewhere,
 }
 
-/// One router's view of the client accounts that are active.
+/// One router's view of the active client accounts.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AccountsPage {
-    /// In order of pool and name.
+    /// Accounts in order of pool and name.
     pub accounts: Vec<AccountRow>,
 }
 
 /// One client account's requests for one pool.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AccountRow {
-    /// The account.
+    /// Name of the client account.
     pub account: String,
-    /// Share relative to other accounts.
+    /// Weight of the account's share relative to other accounts.
     pub weight: u32,
-    /// The pool.
+    /// Name of the pool.
     #[serde(default)]
     pub pool: String,
-    /// Its requests that wait in this router.
+    /// Its requests waiting in this router.
     pub waiting: u64,
-    /// Its requests that this router runs.
+    /// Its requests run by this router.
     pub running: u64,
-    /// Service that it received through this router since that started.
+    /// Service that it has received through this router since the router started.
     pub service_tokens: u64,
 }
--- a/crates/protocol/src/peer.rs
+++ b/crates/protocol/src/peer.rs
@@ -1,8 +1,8 @@
-//! Messages between routers, as CBOR.
+//! Encodes and decodes messages between routers as CBOR.
 //!
-//! Field names are one letter on the wire: control traffic is bounded per node, and names would be
-//! the larger part of a small message. Reading turns them into the typed messages of the
-//! `sedgeridge-coordination` crate or refuses them.
+//! Field names on the wire have one letter: control traffic is limited per node, and full names
+//! would be the larger part of a small message. Decoding returns the typed messages of the
+//! `sedgeridge-coordination` crate, or an error.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -17,36 +17,36 @@
 use sedgeridge_state::settings::RequestClass;
 
 use crate::peer_config::WireConfig;
-use crate::peer_config::read_config;
-use crate::peer_config::wire_config;
+use crate::peer_config::config_from_wire;
+use crate::peer_config::config_to_wire;
 use crate::peer_poison::WirePoison;
-use crate::peer_poison::read_poison;
-use crate::peer_poison::wire_poison;
+use crate::peer_poison::poison_from_wire;
+use crate::peer_poison::poison_to_wire;
 use crate::peer_report::WireReport;
-use crate::peer_report::read_report;
-use crate::peer_report::wire_report;
+use crate::peer_report::report_from_wire;
+use crate::peer_report::report_to_wire;
 
-/// Largest message that is read.
+/// Maximum size of a message that is read.
 pub const MAX_PEER_MESSAGE_BYTES: usize = 16 << 20;
 
-/// Why a peer message is refused.
+/// Reason why a peer message is refused.
 #[derive(Debug, Error)]
 pub enum PeerCodecError {
-    /// It is no CBOR, or no message known here.
-    #[error("peer message does not decode: {0}")]
+    /// It is not CBOR, or not a known message.
+    #[error("cannot decode peer message: {0}")]
     Malformed(String),
-    /// It names something that cannot be.
-    #[error("peer message holds an unknown class {0}")]
+    /// It holds an unknown request class.
+    #[error("peer message has an unknown request class: {0}")]
     UnknownClass(u8),
-    /// It names a failure that is not known here.
-    #[error("peer message holds an unknown failure {0}")]
+    /// It holds an unknown kind of failure.
+    #[error("peer message has an unknown failure kind: {0}")]
     UnknownFailure(u8),
-    /// It summarises a member table in another number of parts.
+    /// Its digest of the member table has the wrong number of parts.
     #[error("membership digest has {0} parts")]
     WrongDigestLength(usize),
 }
 
-/// First message on a connection: who speaks.
+/// First message on a connection: identifies the sender.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WireHello {
     #[serde(rename = "h")]
@@ -107,7 +107,7 @@
     *value == 0
 }
 
-/// Encodes the hello of a member.
+/// Encodes the hello message of a member.
 pub fn encode_hello(member: &Member) -> Vec<u8> {
     to_cbor(&WireHello {
         host: member.host.as_str().to_owned(),
@@ -115,11 +115,11 @@
     })
 }
 
-/// Decodes a hello.
+/// Decodes a hello message.
 ///
 /// # Errors
 ///
-/// Refuses bytes that are not a hello.
+/// Returns an error if the bytes are not a hello message.
 pub fn decode_hello(bytes: &[u8]) -> Result<Member, PeerCodecError> {
     let hello: WireHello = from_cbor(bytes)?;
     Ok(Member {
@@ -143,30 +143,30 @@
 /// ```
 pub fn encode(message: &PeerMessage) -> Vec<u8> {
     to_cbor(&match message {
-        PeerMessage::Report(report) => WireMessage::Report(wire_report(report)),
-        PeerMessage::Grant(grant) => WireMessage::Grant(wire_grant(grant)),
+        PeerMessage::Report(report) => WireMessage::Report(report_to_wire(report)),
+        PeerMessage::Grant(grant) => WireMessage::Grant(grant_to_wire(grant)),
         PeerMessage::FullReportWanted { pool } => {
             WireMessage::FullReportWanted(pool.as_str().to_owned())
         }
-        PeerMessage::Poison(notice) => WireMessage::Poison(wire_poison(notice)),
-        PeerMessage::Config(message) => WireMessage::Config(wire_config(message)),
+        PeerMessage::Poison(notice) => WireMessage::Poison(poison_to_wire(notice)),
+        PeerMessage::Config(message) => WireMessage::Config(config_to_wire(message)),
     })
 }
 
-/// Decodes a message that `from` sent.
+/// Decodes a message sent by `from`.
 ///
 /// # Errors
 ///
-/// Refuses bytes that are not a message.
+/// Returns an error if the bytes are not a message.
 pub fn decode(bytes: &[u8], from: &Member) -> Result<PeerMessage, PeerCodecError> {
     Ok(match from_cbor(bytes)? {
-        WireMessage::Report(report) => PeerMessage::Report(read_report(&report, from)?),
-        WireMessage::Grant(grant) => PeerMessage::Grant(read_grant(&grant, from)?),
+        WireMessage::Report(report) => PeerMessage::Report(report_from_wire(&report, from)?),
+        WireMessage::Grant(grant) => PeerMessage::Grant(grant_from_wire(&grant, from)?),
         WireMessage::FullReportWanted(pool) => PeerMessage::FullReportWanted {
             pool: pool.as_str().into(),
         },
-        WireMessage::Poison(notice) => PeerMessage::Poison(read_poison(&notice)),
-        WireMessage::Config(message) => PeerMessage::Config(read_config(message)),
+        WireMessage::Poison(notice) => PeerMessage::Poison(poison_from_wire(&notice)),
+        WireMessage::Config(message) => PeerMessage::Config(config_from_wire(message)),
     })
 }
 
@@ -180,14 +180,14 @@
     ciborium::from_reader(bytes).map_err(|error| PeerCodecError::Malformed(error.to_string()))
 }
 
-pub(crate) fn wire_class(class: RequestClass) -> u8 {
+pub(crate) fn class_to_wire(class: RequestClass) -> u8 {
     match class {
         RequestClass::Interactive => 0,
         RequestClass::Deferred => 1,
     }
 }
 
-pub(crate) fn read_class(class: u8) -> Result<RequestClass, PeerCodecError> {
+pub(crate) fn class_from_wire(class: u8) -> Result<RequestClass, PeerCodecError> {
     match class {
         0 => Ok(RequestClass::Interactive),
         1 => Ok(RequestClass::Deferred),
@@ -195,7 +195,7 @@
     }
 }
 
-pub(crate) fn wire_grant_id(id: &GrantId) -> WireGrantId {
+pub(crate) fn grant_id_to_wire(id: &GrantId) -> WireGrantId {
     WireGrantId {
         host: id.home.host.as_str().to_owned(),
         incarnation: id.home.incarnation.0,
@@ -203,7 +203,7 @@
     }
 }
 
-pub(crate) fn read_grant_id(id: &WireGrantId) -> GrantId {
+pub(crate) fn grant_id_from_wire(id: &WireGrantId) -> GrantId {
     GrantId {
         home: Member {
             host: HostId::from(id.host.as_str()),
@@ -213,18 +213,18 @@
     }
 }
 
-fn wire_grant(grant: &Grant) -> WireGrant {
+fn grant_to_wire(grant: &Grant) -> WireGrant {
     WireGrant {
         sequence: grant.id.sequence,
         pool: grant.pool.as_str().to_owned(),
         endpoint: grant.endpoint.as_str().to_owned(),
         account: grant.account.as_str().to_owned(),
-        class: wire_class(grant.class),
+        class: class_to_wire(grant.class),
         contended: grant.contended,
     }
 }
 
-fn read_grant(grant: &WireGrant, from: &Member) -> Result<Grant, PeerCodecError> {
+fn grant_from_wire(grant: &WireGrant, from: &Member) -> Result<Grant, PeerCodecError> {
     Ok(Grant {
         id: GrantId {
             home: from.clone(),
@@ -233,7 +233,7 @@
         pool: grant.pool.as_str().into(),
         endpoint: grant.endpoint.as_str().into(),
         account: grant.account.as_str().into(),
-        class: read_class(grant.class)?,
+        class: class_from_wire(grant.class)?,
         contended: grant.contended,
     })
 }
--- a/crates/protocol/src/peer_config.rs
+++ b/crates/protocol/src/peer_config.rs
@@ -1,4 +1,4 @@
-//! Configuration messages between routers; part of [`crate::peer`].
+//! Wire form of configuration messages between routers; part of [`crate::peer`].
 
 use std::sync::Arc;
 
@@ -42,7 +42,7 @@
     content: ConfigContent,
 }
 
-pub(crate) fn wire_config(message: &ConfigMessage) -> WireConfig {
+pub(crate) fn config_to_wire(message: &ConfigMessage) -> WireConfig {
     match message {
         ConfigMessage::GenerationWanted => WireConfig::GenerationWanted,
         ConfigMessage::GenerationInForce(generation) => {
@@ -54,12 +54,12 @@
         },
         ConfigMessage::Changes { call, items } => WireConfig::Changes {
             call: call.0,
-            items: items.iter().map(wire_item).collect(),
+            items: items.iter().map(item_to_wire).collect(),
         },
     }
 }
 
-pub(crate) fn read_config(message: WireConfig) -> ConfigMessage {
+pub(crate) fn config_from_wire(message: WireConfig) -> ConfigMessage {
     match message {
         WireConfig::GenerationWanted => ConfigMessage::GenerationWanted,
         WireConfig::GenerationInForce(generation) => {
@@ -71,12 +71,12 @@
         },
         WireConfig::Changes { call, items } => ConfigMessage::Changes {
             call: CallId(call),
-            items: items.into_iter().map(read_item).collect(),
+            items: items.into_iter().map(item_from_wire).collect(),
         },
     }
 }
 
-fn wire_item(item: &ConfigItem<ConfigContent>) -> WireItem {
+fn item_to_wire(item: &ConfigItem<ConfigContent>) -> WireItem {
     let (ConfigItemContent::Whole(content) | ConfigItemContent::Delta(content)) = &item.content;
     WireItem {
         generation: item.generation.0,
@@ -84,11 +84,11 @@
     }
 }
 
-fn read_item(item: WireItem) -> ConfigItem<ConfigContent> {
+fn item_from_wire(item: WireItem) -> ConfigItem<ConfigContent> {
     config_item(item.generation, item.content)
 }
 
-/// Makes the item of a generation from its recorded content.
+/// Creates the item of a generation from its stored content.
 ///
 /// ```
 /// use sedgeridge_coordination::config_events::{ConfigItemContent, Generation};
--- a/crates/protocol/src/peer_poison.rs
+++ b/crates/protocol/src/peer_poison.rs
@@ -1,4 +1,4 @@
-//! News of requests that crash endpoints; part of [`crate::peer`].
+//! Wire form of notices about requests that crash endpoints; part of [`crate::peer`].
 
 use std::time::Duration;
 
@@ -26,7 +26,7 @@
     Finished,
 }
 
-pub(crate) fn wire_poison(notice: &PoisonNotice) -> WirePoison {
+pub(crate) fn poison_to_wire(notice: &PoisonNotice) -> WirePoison {
     WirePoison {
         fingerprint: notice.fingerprint.0.to_be_bytes(),
         news: match &notice.news {
@@ -42,7 +42,7 @@
     }
 }
 
-pub(crate) fn read_poison(notice: &WirePoison) -> PoisonNotice {
+pub(crate) fn poison_from_wire(notice: &WirePoison) -> PoisonNotice {
     PoisonNotice {
         fingerprint: Fingerprint(u128::from_be_bytes(notice.fingerprint)),
         news: match &notice.news {
--- a/crates/protocol/src/peer_report.rs
+++ b/crates/protocol/src/peer_report.rs
@@ -1,4 +1,5 @@
-//! Reports of entry routers to homes; part of [`crate::peer`].
+//! Wire form of the reports that entry routers send to the home of a pool; part of
+//! [`crate::peer`].
 
 use sedgeridge_coordination::attempt_results::AttemptFailed;
 use sedgeridge_coordination::attempt_results::EndpointResult;
@@ -14,13 +15,13 @@
 
 use crate::peer::PeerCodecError;
 use crate::peer::WireGrantId;
+use crate::peer::class_from_wire;
+use crate::peer::class_to_wire;
+use crate::peer::grant_id_from_wire;
+use crate::peer::grant_id_to_wire;
 use crate::peer::is_false;
 use crate::peer::is_zero;
 use crate::peer::is_zero_u32;
-use crate::peer::read_class;
-use crate::peer::read_grant_id;
-use crate::peer::wire_class;
-use crate::peer::wire_grant_id;
 
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct WireReport {
@@ -100,54 +101,54 @@
     total_tokens: u64,
 }
 
-pub(crate) fn wire_report(report: &EntryReport) -> WireReport {
+pub(crate) fn report_to_wire(report: &EntryReport) -> WireReport {
     WireReport {
         pool: report.pool.as_str().to_owned(),
         sequence: report.sequence,
         full: report.full,
         grants_received: report.grants_received,
-        demand: report.demand.iter().map(wire_demand).collect(),
-        holdings: report.holdings.iter().map(wire_holding).collect(),
-        ended: report.ended.iter().map(wire_grant_id).collect(),
-        served: report.served.iter().map(wire_served).collect(),
-        results: report.results.iter().map(wire_result).collect(),
+        demand: report.demand.iter().map(demand_to_wire).collect(),
+        holdings: report.holdings.iter().map(holding_to_wire).collect(),
+        ended: report.ended.iter().map(grant_id_to_wire).collect(),
+        served: report.served.iter().map(served_to_wire).collect(),
+        results: report.results.iter().map(result_to_wire).collect(),
     }
 }
 
-pub(crate) fn wire_demand(demand: &Demand) -> WireDemand {
+pub(crate) fn demand_to_wire(demand: &Demand) -> WireDemand {
     WireDemand {
         account: demand.account.as_str().to_owned(),
-        class: wire_class(demand.class),
+        class: class_to_wire(demand.class),
         waiting: demand.waiting,
         head_cost_tokens: demand.head_cost_tokens,
         head_prefix: demand.head_prefix.map(|prefix| prefix.0),
     }
 }
 
-pub(crate) fn wire_holding(holding: &Holding) -> WireHolding {
+pub(crate) fn holding_to_wire(holding: &Holding) -> WireHolding {
     WireHolding {
-        grant: wire_grant_id(&holding.grant),
+        grant: grant_id_to_wire(&holding.grant),
         endpoint: holding.endpoint.as_str().to_owned(),
         account: holding.account.as_str().to_owned(),
         estimate_tokens: holding.estimate_tokens,
     }
 }
 
-pub(crate) fn wire_served(served: &Served) -> WireServed {
+pub(crate) fn served_to_wire(served: &Served) -> WireServed {
     WireServed {
         account: served.account.as_str().to_owned(),
         total_tokens: served.total_tokens,
     }
 }
 
-pub(crate) fn read_report(
+pub(crate) fn report_from_wire(
     report: &WireReport,
     from: &Member,
 ) -> Result<EntryReport, PeerCodecError> {
     let demand: Result<Vec<Demand>, PeerCodecError> =
-        report.demand.iter().map(read_demand).collect();
+        report.demand.iter().map(demand_from_wire).collect();
     let results: Result<Vec<EndpointResult>, PeerCodecError> =
-        report.results.iter().map(read_result).collect();
+        report.results.iter().map(result_from_wire).collect();
     Ok(EntryReport {
         from: from.clone(),
         pool: report.pool.as_str().into(),
@@ -155,40 +156,40 @@
         full: report.full,
         grants_received: report.grants_received,
         demand: demand?,
-        holdings: report.holdings.iter().map(read_holding).collect(),
-        ended: report.ended.iter().map(read_grant_id).collect(),
-        served: report.served.iter().map(read_served).collect(),
+        holdings: report.holdings.iter().map(holding_from_wire).collect(),
+        ended: report.ended.iter().map(grant_id_from_wire).collect(),
+        served: report.served.iter().map(served_from_wire).collect(),
         results: results?,
     })
 }
 
-pub(crate) fn read_demand(demand: &WireDemand) -> Result<Demand, PeerCodecError> {
+pub(crate) fn demand_from_wire(demand: &WireDemand) -> Result<Demand, PeerCodecError> {
     Ok(Demand {
         account: demand.account.as_str().into(),
-        class: read_class(demand.class)?,
+        class: class_from_wire(demand.class)?,
         waiting: demand.waiting,
         head_cost_tokens: demand.head_cost_tokens,
         head_prefix: demand.head_prefix.map(PrefixHash),
     })
 }
 
-pub(crate) fn read_holding(holding: &WireHolding) -> Holding {
+pub(crate) fn holding_from_wire(holding: &WireHolding) -> Holding {
     Holding {
-        grant: read_grant_id(&holding.grant),
+        grant: grant_id_from_wire(&holding.grant),
         endpoint: holding.endpoint.as_str().into(),
         account: holding.account.as_str().into(),
         estimate_tokens: holding.estimate_tokens,
     }
 }
 
-pub(crate) fn read_served(served: &WireServed) -> Served {
+pub(crate) fn served_from_wire(served: &WireServed) -> Served {
     Served {
         account: served.account.as_str().into(),
         total_tokens: served.total_tokens,
     }
 }
 
-pub(crate) fn wire_result(result: &EndpointResult) -> WireResult {
+pub(crate) fn result_to_wire(result: &EndpointResult) -> WireResult {
     WireResult {
         endpoint: result.endpoint.as_str().to_owned(),
         answered: result.answered,
@@ -198,17 +199,17 @@
             .failures
             .iter()
             .map(|failure| WireFailure {
-                kind: wire_failure(failure.kind),
+                kind: failure_to_wire(failure.kind),
                 started_ago_ms: failure.started_ago_ms,
             })
             .collect(),
     }
 }
 
-pub(crate) fn read_result(result: &WireResult) -> Result<EndpointResult, PeerCodecError> {
+pub(crate) fn result_from_wire(result: &WireResult) -> Result<EndpointResult, PeerCodecError> {
     let failures = result.failures.iter().map(|failure| {
         Ok(AttemptFailed {
-            kind: read_failure(failure.kind)?,
+            kind: failure_from_wire(failure.kind)?,
             started_ago_ms: failure.started_ago_ms,
         })
     });
@@ -221,8 +222,8 @@
     })
 }
 
-/// Failures by their number on the wire; the order never changes.
-const FAILURES: [FailureKind; 6] = [
+/// Kinds of failure, indexed by their number on the wire. The order must never change.
+const FAILURE_KINDS: [FailureKind; 6] = [
     FailureKind::ConnectFailed,
     FailureKind::ConnectionLost,
     FailureKind::TimedOut,
@@ -231,12 +232,12 @@
     FailureKind::ReportMissing,
 ];
 
-pub(crate) fn wire_failure(kind: FailureKind) -> u8 {
-    let position = FAILURES.iter().position(|known| *known == kind);
+pub(crate) fn failure_to_wire(kind: FailureKind) -> u8 {
+    let position = FAILURE_KINDS.iter().position(|known| *known == kind);
     position.map_or(u8::MAX, |position| position as u8)
 }
 
-pub(crate) fn read_failure(number: u8) -> Result<FailureKind, PeerCodecError> {
-    let kind = FAILURES.get(usize::from(number)).copied();
+pub(crate) fn failure_from_wire(number: u8) -> Result<FailureKind, PeerCodecError> {
+    let kind = FAILURE_KINDS.get(usize::from(number)).copied();
     kind.ok_or(PeerCodecError::UnknownFailure(number))
 }
--- a/crates/protocol/src/platform.rs
+++ b/crates/protocol/src/platform.rs
@@ -1,29 +1,27 @@
-//! Calls of the platform's object store, host list and weight store.
+//! Paths and JSON messages of the platform's object store, host list and weight store.
 
 use std::net::SocketAddr;
 
 use serde::Deserialize;
 use serde::Serialize;
 
-/// Path of the object store: PUT, GET and DELETE on `/v1/objects/KEY`, GET on the path itself
-/// lists keys, with the query `prefix=` only those that start with it.
+/// Path of the object store: PUT, GET and DELETE on `/v1/objects/KEY`. GET on the path itself lists
+/// keys; the query `prefix=` limits the list to keys with that prefix.
 pub const OBJECTS_PATH: &str = "/v1/objects";
 /// Path of the host list.
 pub const HOSTS_PATH: &str = "/v1/hosts";
-/// Path of the weight store; GET on `/v1/weights/NAME`.
+/// Path of the weight store: GET on `/v1/weights/NAME`.
 pub const WEIGHTS_PATH: &str = "/v1/weights";
 
-/// Keys in the object store, in order.
+/// Sorted list of keys in the object store.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ObjectList {
-    /// The keys.
     pub keys: Vec<String>,
 }
 
-/// The host list as it was some time ago.
+/// The host list as of `age_ms` ago.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostList {
-    /// The hosts.
     pub hosts: Vec<Host>,
     /// Age of the list.
     pub age_ms: u64,
@@ -33,22 +31,22 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Host {
-    /// Its name.
+    /// Name of the host.
     pub name: String,
-    /// Where it listens.
+    /// Address it listens on.
     pub address: SocketAddr,
-    /// Its site.
+    /// Site of the host.
     pub site: String,
-    /// Whether it stays.
+    /// Whether the host stays or is leaving.
     pub state: HostState,
 }
 
-/// Whether a host stays.
+/// State of a host in the host list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum HostState {
-    /// It takes work.
+    /// It accepts work.
     Live,
-    /// It is about to go.
+    /// It is about to be removed.
     Leaving,
 }
--- a/crates/protocol/src/table.rs
+++ b/crates/protocol/src/table.rs
@@ -1,6 +1,7 @@
-//! Calls of the platform's transactional table service.
+//! Paths and JSON messages of the platform's transactional table service.
 //!
-//! `POST /v1/transact` runs all operations or none; `POST /v1/read` reads keys or a key range.
+//! `POST /v1/transact` applies all operations or none; `POST /v1/read` reads single keys or all
+//! keys with a prefix.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -10,43 +11,39 @@
 /// Path of the read call.
 pub const READ_PATH: &str = "/v1/read";
 
-/// A transaction: every condition is checked, then every write is made, or none is.
+/// A transaction: all writes are made if all conditions hold, otherwise none.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct TransactRequest {
-    /// Conditions on current versions.
+    /// Conditions on the current versions of keys.
     pub checks: Vec<VersionCheck>,
-    /// Writes made when every condition holds.
+    /// Writes made if all conditions hold.
     pub writes: Vec<RowWrite>,
 }
 
-/// Condition: the key stands at this version; version 0 means that the key is absent.
+/// Condition that a key has this version; version 0 means that the key is absent.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct VersionCheck {
-    /// The key.
     pub key: String,
-    /// The version it must have.
     pub version: u64,
 }
 
-/// A write; `value: None` deletes the key.
+/// Write of one key; `value: None` deletes it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RowWrite {
-    /// The key.
     pub key: String,
-    /// The new value.
     pub value: Option<String>,
 }
 
-/// Answer to a transaction. HTTP status 200 either way; 429 and 503 carry no body.
+/// Answer to a transaction, with HTTP status 200 for both results; 429 and 503 have no body.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "result", rename_all = "snake_case")]
 pub enum TransactAnswer {
-    /// Every write was made, at this version.
+    /// All writes were made, at this version.
     Committed {
-        /// Store-wide version, higher than any given before.
+        /// Store-wide version, higher than all earlier ones.
         version: u64,
     },
-    /// Nothing was written; these rows did not match.
+    /// Nothing was written; at least one condition failed.
     Conflict {
         /// Current rows of the keys whose condition failed.
         rows: Vec<Row>,
@@ -62,7 +59,7 @@
     /// Prefix to scan.
     #[serde(default)]
     pub prefix: Option<String>,
-    /// Rows with this version or a lower one are left out.
+    /// Only rows with a higher version are returned.
     #[serde(default)]
     pub after_version: u64,
 }
@@ -70,17 +67,14 @@
 /// Answer to a read: the rows that exist, in key order.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct ReadAnswer {
-    /// The rows.
     pub rows: Vec<Row>,
 }
 
 /// One row; an absent key has version 0 and no value.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Row {
-    /// The key.
     pub key: String,
-    /// Version of the last write, 0 when absent.
+    /// Version of the last write; 0 if the key is absent.
     pub version: u64,
-    /// The value.
     pub value: Option<String>,
 }
--- a/crates/protocol/tests/engine_orders.rs
+++ b/crates/protocol/tests/engine_orders.rs
@@ -1,4 +1,4 @@
-//! Whether an order is in effect, by what the engine says of itself.
+//! Tests of the conversion of engine orders, and of reading their effect from the engine's state.
 
 use sedgeridge_protocol::engine::EngineState;
 use sedgeridge_protocol::engine::LoadedModel;
@@ -41,7 +41,7 @@
     export = { "export_cache" },
     import = { "import_cache" },
 )]
-fn engines_have_no_form_for_cache_orders(kind: &str) {
+fn engines_have_no_cache_orders(kind: &str) {
     let order = EngineOrder::from_kind(kind, "cache-1").unwrap();
     assert_eq!(order_to_wire(&order, FencingNumber(1)), None);
 }
--- a/crates/protocol/tests/peer.rs
+++ b/crates/protocol/tests/peer.rs
@@ -1,4 +1,4 @@
-//! Messages between routers, there and back, and what becomes of bytes that are none.
+//! Tests of the codec for messages between routers: round trips, truncated and corrupt input.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn every_message_comes_back_as_it_went() {
+fn every_message_round_trips() {
     for message in messages() {
         let bytes = encode(&message);
         assert_eq!(decode(&bytes, &sender()).unwrap(), message);
@@ -146,31 +146,31 @@
     assert_eq!(decode_hello(&encode_hello(&sender())).unwrap(), sender());
 }
 
-// A peer of another version, or a broken link, sends half a message. It must be refused as a whole:
-// half a report would withdraw demand that still waits.
+// A peer of another version or a broken connection may deliver part of a message. It must be
+// refused: a partial report would withdraw demand that is still waiting.
 #[test]
-fn a_message_cut_anywhere_is_refused() {
+fn truncated_messages_are_refused() {
     for message in messages() {
         let bytes = encode(&message);
         for len in 0..bytes.len() {
             assert!(
                 decode(&bytes[..len], &sender()).is_err(),
-                "{message:?} cut at {len}"
+                "{message:?} truncated to {len} bytes"
             );
         }
     }
 }
 
-// A stranger sends whatever it likes. No byte may bring the router down, and what decodes after a
-// byte was changed is a message like any other, for the parts to check.
+// Input may come from an unknown sender. A corrupt byte must not crash the decoder. A message that
+// still decodes is checked by its receiver like any other.
 #[test]
-fn no_single_wrong_byte_brings_the_reader_down() {
+fn no_single_corrupt_byte_crashes_the_decoder() {
     let bytes = encode(&PeerMessage::Report(report()));
     for position in 0..bytes.len() {
-        for wrong in [0x00, 0x1b, 0x7f, 0x9f, 0xbf, 0xff] {
-            let mut changed = bytes.clone();
-            changed[position] = wrong;
-            let _ = decode(&changed, &sender());
+        for corrupt in [0x00, 0x1b, 0x7f, 0x9f, 0xbf, 0xff] {
+            let mut corrupted = bytes.clone();
+            corrupted[position] = corrupt;
+            let _ = decode(&corrupted, &sender());
         }
     }
 }
