--- a/crates/state/src/claim_record.rs
+++ b/crates/state/src/claim_record.rs
@@ -1,4 +1,4 @@
-//! The record that lets a request which may not be repeated run at most once.
+//! Records in the table service that make a non-repeatable request run at most once.
 
 use std::sync::Arc;
 
@@ -10,56 +10,57 @@
 use crate::ids::Incarnation;
 use crate::ids::Member;
 
-/// First part of every claim's key.
+/// Prefix of the table keys of all claims.
 pub const CLAIM_PREFIX: &str = "claim/";
 
-/// Hash of a request body; tells a repeat from another request under the same idempotency key.
+/// Hash of a request body; distinguishes a repeat from another request with the same idempotency
+/// key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct BodyHash(pub u64);
 
-/// Row of one idempotency key of one client account.
+/// Row for one idempotency key of one client account.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ClaimRecord {
-    /// The attempt that holds the claim; only its router run may dispatch.
+    /// Attempt that holds the claim; only the router incarnation that made it may dispatch.
     pub attempt: AttemptId,
-    /// Body the key was first used with.
+    /// Hash of the body that the key was first used with.
     pub body_hash: BodyHash,
     /// Unix time after which the row may be deleted.
     pub expires_at_ms: u64,
-    /// What is known of the run.
+    /// Known state of the request.
     pub state: ClaimState,
 }
 
-/// What is known of a claimed request.
+/// Known state of a claimed request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimState {
-    /// The attempt may dispatch, or has.
+    /// The attempt may dispatch the request, or has done so.
     Open,
-    /// The attempt never dispatched and never will.
+    /// The attempt has not dispatched the request and never will.
     Released,
     /// The request ran.
     Ran(RecordedAnswer),
-    /// The attempt dispatched and cannot tell whether the request ran.
+    /// The attempt dispatched the request and cannot tell whether it ran.
     Unknown,
 }
 
-/// Answer kept for repeats.
+/// Answer stored for repeats of the request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RecordedAnswer {
     /// HTTP status.
     pub status: u16,
-    /// Body, if kept.
+    /// Body, if stored.
     pub body: RecordedBody,
 }
 
-/// Body kept for repeats.
+/// Answer body stored for repeats of the request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RecordedBody {
     /// The body itself.
     Inline(Arc<str>),
     /// Name of the body in the object store.
     Object(Arc<str>),
-    /// Larger than is kept.
+    /// Not stored, because it is too large.
     Omitted,
 }
 
@@ -77,7 +78,7 @@
 }
 
 impl ClaimRecord {
-    /// Returns the row's value.
+    /// Encodes the row's value.
     ///
     /// ```
     /// use sedgeridge_state::claim_record::*;
@@ -110,7 +111,7 @@
         fields.finish()
     }
 
-    /// Reads a row's value; `None` if it is no claim that this release knows.
+    /// Decodes a row's value; `None` if this release does not know its format.
     ///
     /// ```
     /// assert_eq!(sedgeridge_state::claim_record::ClaimRecord::decode("state=open"), None);
@@ -161,10 +162,10 @@
     Some(RecordedAnswer { status, body })
 }
 
-/// First part of the key of every index row.
+/// Prefix of the keys of all index rows.
 pub const CLAIM_INDEX_PREFIX: &str = "claim-index/";
 
-/// Time covered by one bucket of the index.
+/// Time span of one bucket of the index.
 pub const CLAIM_BUCKET_MS: u64 = 60_000;
 
 /// Returns the bucket of claims that expire at this Unix time.
@@ -176,7 +177,7 @@
     expires_at_ms / CLAIM_BUCKET_MS
 }
 
-/// Returns the first part of the index keys of a bucket.
+/// Returns the key prefix of the index rows of a bucket.
 ///
 /// ```
 /// use sedgeridge_state::claim_record::claim_bucket_prefix;
@@ -187,7 +188,7 @@
     Arc::from(format!("{CLAIM_INDEX_PREFIX}{bucket:010}/"))
 }
 
-/// Keys claimed by one transaction, so that they can be found when they expire.
+/// Index row: the keys claimed by one transaction, to find them when they expire.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ClaimIndex {
     /// Keys of the claims.
@@ -195,7 +196,8 @@
 }
 
 impl ClaimIndex {
-    /// Returns the key of the index row that goes with a claim.
+    /// Returns the key of a transaction's index row, given the expiry time that selects the bucket
+    /// and the attempt of the first claim.
     ///
     /// ```
     /// use sedgeridge_state::claim_record::ClaimIndex;
@@ -205,12 +207,12 @@
     /// let first = AttemptId { member, sequence: 3 };
     /// assert_eq!(&*ClaimIndex::key(120_000, &first), "claim-index/0000000002/r1.2.3");
     /// ```
-    pub fn key(expires_at_ms: u64, first: &AttemptId) -> Arc<str> {
+    pub fn key(expires_at_ms: u64, first_attempt: &AttemptId) -> Arc<str> {
         let prefix = claim_bucket_prefix(claim_bucket(expires_at_ms));
-        Arc::from(format!("{prefix}{first}"))
+        Arc::from(format!("{prefix}{first_attempt}"))
     }
 
-    /// Returns the row's value.
+    /// Encodes the row's value.
     ///
     /// ```
     /// use sedgeridge_state::claim_record::ClaimIndex;
@@ -226,7 +228,7 @@
         fields.finish()
     }
 
-    /// Reads a row's value.
+    /// Decodes a row's value.
     ///
     /// ```
     /// use sedgeridge_state::claim_record::ClaimIndex;
--- a/crates/state/src/config_document.rs
+++ b/crates/state/src/config_document.rs
@@ -1,5 +1,5 @@
-//! A whole configuration as data: the base and the overlay of each site, compared and edited by
-//! section.
+//! A complete configuration as data: the base and the overlay of each site. Documents are compared
+//! and edited section by section.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -13,43 +13,43 @@
 use crate::settings::lines::RawLayer;
 use crate::settings::lines::RawPair;
 use crate::settings::lines::RawSection;
-use crate::settings::lines::split;
+use crate::settings::lines::split_sections;
 use crate::settings::load_raw;
 
-/// File name under which findings in an accepted base are reported.
-const BASE_NAME: &str = "(configuration)";
+/// File name reported for findings in an accepted base.
+const BASE_FILE_NAME: &str = "(configuration)";
 
-/// Keys and values of one section.
+/// Keys and values of one section, sorted by key.
 pub type Pairs = BTreeMap<Arc<str>, Arc<str>>;
 
-/// One layer: its sections by header.
+/// One layer: sections by header.
 pub type Layer = BTreeMap<Arc<str>, Pairs>;
 
-/// A whole configuration.
+/// A complete configuration.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigDocument {
-    /// What holds everywhere.
+    /// Settings that apply at every site.
     pub base: Layer,
-    /// What differs, by site.
+    /// Settings that differ from the base, by site.
     pub overlays: BTreeMap<Arc<str>, Layer>,
 }
 
-/// Replaces or removes one section.
+/// Replacement or removal of one section.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SectionEdit {
-    /// Site of the overlay, none for the base.
+    /// Site of the overlay; `None` for the base.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub site: Option<Arc<str>>,
     /// Header of the section.
     pub section: Arc<str>,
-    /// Its keys and values; none removes it.
+    /// New keys and values; `None` removes the section.
     pub pairs: Option<Pairs>,
 }
 
 impl ConfigDocument {
-    /// Makes a document of the texts of a base file and of overlays by site.
+    /// Creates a document from the texts of a base file and of overlays by site.
     ///
-    /// The texts must have passed [`crate::settings::load`]; what it refuses is left out here.
+    /// The texts must have passed [`crate::settings::load`]; malformed lines are skipped here.
     ///
     /// ```
     /// use sedgeridge_state::config_document::ConfigDocument;
@@ -59,15 +59,15 @@
     pub fn from_texts(base: &str, overlays: &[(&str, &str)]) -> Self {
         let overlays = overlays
             .iter()
-            .map(|(site, text)| (Arc::from(*site), layer_of(text)))
+            .map(|(site, text)| (Arc::from(*site), parse_layer(text)))
             .filter(|(_, layer)| !layer.is_empty());
         Self {
-            base: layer_of(base),
+            base: parse_layer(base),
             overlays: overlays.collect(),
         }
     }
 
-    /// Loads the settings of a site; of the base alone when the site has no overlay.
+    /// Loads the settings of a site, from the base alone if the site has no overlay.
     ///
     /// ```
     /// use sedgeridge_state::config_document::ConfigDocument;
@@ -75,10 +75,10 @@
     /// assert_eq!(document.settings("north").unwrap().fleet.name, "demo");
     /// ```
     pub fn settings(&self, site: &str) -> Result<Settings, Vec<SettingsError>> {
-        let mut layers = vec![raw_layer(LayerRole::Base, BASE_NAME, &self.base)];
+        let mut layers = vec![to_raw_layer(LayerRole::Base, BASE_FILE_NAME, &self.base)];
         if let Some(overlay) = self.overlays.get(site) {
             let name = format!("(configuration of {site})");
-            layers.push(raw_layer(LayerRole::Overlay, &name, overlay));
+            layers.push(to_raw_layer(LayerRole::Overlay, &name, overlay));
         }
         load_raw(layers)
     }
@@ -108,7 +108,7 @@
         edits
     }
 
-    /// Applies edits.
+    /// Applies edits in order.
     ///
     /// ```
     /// use sedgeridge_state::config_document::ConfigDocument;
@@ -132,9 +132,9 @@
     }
 }
 
-fn layer_of(text: &str) -> Layer {
+fn parse_layer(text: &str) -> Layer {
     let mut layer = Layer::new();
-    let (sections, _) = split(text);
+    let (sections, _) = split_sections(text);
     for section in sections {
         let pairs = section.pairs.into_iter();
         let pairs = pairs.map(|pair| (pair.key, pair.value));
@@ -143,9 +143,9 @@
     layer
 }
 
-/// Makes a layer without a detour by its text, which would be parsed on every host with every
-/// change. Lines are counted as if it was written out.
-fn raw_layer(role: LayerRole, file: &str, layer: &Layer) -> RawLayer {
+/// Converts a layer directly, because every host would otherwise have to format and parse it at
+/// every change. Lines are numbered as in the layer's text form.
+fn to_raw_layer(role: LayerRole, file: &str, layer: &Layer) -> RawLayer {
     let mut lines = 1..;
     let mut next_line = || lines.next().expect("lines have no end");
     let sections = layer.iter().map(|(name, pairs)| {
@@ -165,7 +165,7 @@
         role,
         file: file.into(),
         sections: sections.collect(),
-        bad_lines: Vec::new(),
+        malformed_lines: Vec::new(),
     }
 }
 
@@ -175,7 +175,7 @@
         section: section.clone(),
         pairs: pairs.cloned(),
     };
-    let put = after
+    let replaced = after
         .iter()
         .filter(|(section, pairs)| before.get(*section) != Some(*pairs))
         .map(|(section, pairs)| edit(section, Some(pairs)));
@@ -183,5 +183,5 @@
         .keys()
         .filter(|section| !after.contains_key(*section))
         .map(|section| edit(section, None));
-    put.chain(removed).collect()
+    replaced.chain(removed).collect()
 }
--- a/crates/state/src/config_records.rs
+++ b/crates/state/src/config_records.rs
@@ -1,9 +1,9 @@
 //! Records of the accepted configuration in the platform's table service.
 //!
-//! A change is accepted by one conditional transaction: [`ConfigHead`] is replaced, on condition
-//! that it stands at the version that was read, and the [`ConfigChange`] of the new generation is
-//! added. Generations have no gaps, and a change is never rewritten. So whoever finds a change at
-//! a generation knows for good which operator won it.
+//! A change is accepted by one conditional transaction, which replaces [`ConfigHead`] if it still
+//! has the version that was read, and adds the [`ConfigChange`] of the new generation. Generations
+//! have no gaps, and a change is never rewritten. The change stored for a generation therefore
+//! shows reliably which of several concurrent operators succeeded.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -15,32 +15,33 @@
 pub const CONFIG_HEAD_KEY: &str = "config/head";
 /// Prefix of the keys of all [`ConfigChange`]s.
 pub const CONFIG_CHANGE_PREFIX: &str = "config/gen/";
-/// Generations from one snapshot to the next; a reader applies fewer deltas than this.
+/// Number of generations from one snapshot to the next; a reader applies fewer deltas than this.
 pub const GENERATIONS_PER_SNAPSHOT: u64 = 64;
 
-/// The configuration in force.
+/// Pointer to the active configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigHead {
-    /// Generation in force.
+    /// Generation of the active configuration.
     pub generation: u64,
-    /// Change that made it.
+    /// Id of the change that created this generation.
     pub change_id: String,
-    /// Newest generation that is stored whole; the later ones are deltas.
+    /// Newest generation that is stored as a snapshot; later ones are deltas.
     pub snapshot_generation: u64,
 }
 
-/// The change that made one generation.
+/// The change that created one generation.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigChange {
-    /// Generation made by this change.
+    /// Generation created by this change.
     pub generation: u64,
-    /// Random name of the change. It settles a lost answer: who finds it in the table won.
+    /// Random id of the change. If the answer to the commit is lost, this id in the table shows
+    /// that the change was accepted.
     pub change_id: String,
-    /// Who asked for it.
+    /// Author of the change.
     pub author: String,
-    /// What it does, in a line.
+    /// One-line description of the change.
     pub summary: String,
-    /// Content.
+    /// New content.
     pub content: ConfigContent,
 }
 
@@ -48,13 +49,13 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ConfigContent {
-    /// The whole configuration.
+    /// The complete configuration.
     Snapshot(ConfigDocument),
-    /// What differs from the generation before.
+    /// Differences from the previous generation.
     Delta(Vec<SectionEdit>),
 }
 
-/// Names the key of a generation; keys sort as the generations do.
+/// Returns the table key of a generation. Keys sort in the order of the generations.
 ///
 /// ```
 /// use sedgeridge_state::config_records::config_change_key;
@@ -64,7 +65,7 @@
     format!("{CONFIG_CHANGE_PREFIX}{generation:020}")
 }
 
-/// Finds the newest generation, up to this one, that is stored whole.
+/// Returns the newest generation, up to this one, that is stored as a snapshot.
 ///
 /// ```
 /// use sedgeridge_state::config_records::snapshot_generation;
@@ -77,7 +78,7 @@
 }
 
 impl ConfigContent {
-    /// Makes the document of this generation from that of the one before.
+    /// Returns the document of this generation, given that of the previous one.
     ///
     /// ```
     /// use sedgeridge_state::config_document::ConfigDocument;
--- a/crates/state/src/fields.rs
+++ b/crates/state/src/fields.rs
@@ -1,8 +1,8 @@
-//! Text encoding of the records kept in the table service: `name=value` fields, one a line.
+//! Text encoding of the records in the table service: `name=value` fields, one per line.
 //!
-//! Records are written by one release and read by another while hosts are replaced, so unknown
-//! fields are skipped. A format of a few lines keeps a parser out of the decision layer's
-//! dependency tree, and an operator can read a row as it stands.
+//! During an upgrade, records written by one release are read by another, so unknown fields are
+//! skipped. The format needs no parser library among the decision layer's dependencies, and an
+//! operator can read a row without tools.
 
 use std::collections::BTreeMap;
 
@@ -47,7 +47,7 @@
         self
     }
 
-    /// Returns the text.
+    /// Returns the text of the record.
     ///
     /// ```
     /// assert_eq!(sedgeridge_state::fields::FieldWriter::default().finish(), "");
@@ -57,7 +57,7 @@
     }
 }
 
-/// Looks up the fields of one record.
+/// Reads the fields of one record.
 #[derive(Debug)]
 pub struct FieldReader<'a> {
     fields: BTreeMap<&'a str, &'a str>,
@@ -75,7 +75,7 @@
         Self { fields }
     }
 
-    /// Returns a field without its escapes.
+    /// Returns the unescaped value of a field.
     ///
     /// ```
     /// let reader = sedgeridge_state::fields::FieldReader::parse("state=open");
@@ -94,7 +94,7 @@
         Some(value)
     }
 
-    /// Returns a field as a number.
+    /// Returns the value of a field as a number.
     ///
     /// ```
     /// let reader = sedgeridge_state::fields::FieldReader::parse("number=seven");
--- a/crates/state/src/fingerprint.rs
+++ b/crates/state/src/fingerprint.rs
@@ -1,17 +1,17 @@
-//! Tells whether two requests are the same: the same body from the same client account.
+//! Fingerprints of requests, equal for the same body from the same client account.
 
 use sha2::Digest;
 use sha2::Sha256;
 
 use crate::ids::AccountId;
 
-/// Bytes of the digest that are kept.
-const KEPT_BYTES: usize = 16;
+/// Number of leading bytes of the digest that form the fingerprint.
+const FINGERPRINT_BYTES: usize = 16;
 
-/// Identifies what a request asks for; equal on every router.
+/// Identifies a request by client account and body; the same on every router.
 ///
-/// It is cut from a cryptographic digest: with a weaker one, an account could make up a request
-/// that passes for another account's, and have that one refused.
+/// It is a truncated cryptographic digest. With a weaker hash, an account could construct a request
+/// with the same fingerprint as another account's request, and get that request refused.
 ///
 /// ```
 /// use sedgeridge_state::fingerprint::Fingerprint;
@@ -25,15 +25,15 @@
 pub struct Fingerprint(pub u128);
 
 impl Fingerprint {
-    /// Returns the fingerprint of a request.
+    /// Computes the fingerprint of a request.
     pub fn of(account: &AccountId, body: &[u8]) -> Self {
         let mut hash = Sha256::new();
         hash.update((account.as_str().len() as u64).to_be_bytes());
         hash.update(account.as_str());
         hash.update(body);
         let digest = hash.finalize();
-        let mut kept = [0; KEPT_BYTES];
-        kept.copy_from_slice(&digest[..KEPT_BYTES]);
-        Self(u128::from_be_bytes(kept))
+        let mut bytes = [0; FINGERPRINT_BYTES];
+        bytes.copy_from_slice(&digest[..FINGERPRINT_BYTES]);
+        Self(u128::from_be_bytes(bytes))
     }
 }
--- a/crates/state/src/ids.rs
+++ b/crates/state/src/ids.rs
@@ -1,16 +1,16 @@
-//! Names and identifiers used on every layer.
+//! Names and ids that all crates use.
 
 use std::fmt;
 use std::sync::Arc;
 
-macro_rules! shared_name {
+macro_rules! string_id {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
         #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// Borrows the name.
+            /// Returns the name as a string slice.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -30,8 +30,8 @@
     };
 }
 
-shared_name!(
-    /// Names a client account, such as `crew-07`.
+string_id!(
+    /// Name of a client account, such as `crew-07`.
     ///
     /// ```
     /// let account = sedgeridge_state::ids::AccountId::from("crew-07");
@@ -39,52 +39,50 @@
     /// ```
     AccountId
 );
-shared_name!(
-    /// Names a service that callers address, such as `desk-assistant`.
+string_id!(
+    /// Name of a service that callers request, such as `desk-assistant`.
     ServiceId
 );
-shared_name!(
-    /// Names a pool: the endpoints that share the work of one or more services.
+string_id!(
+    /// Name of a pool: the endpoints that share the work of one or more services.
     PoolId
 );
-shared_name!(
-    /// Names an endpoint, such as `desk-3`.
+string_id!(
+    /// Name of an endpoint, such as `desk-3`.
     EndpointId
 );
-shared_name!(
-    /// Names a site (a data centre).
+string_id!(
+    /// Name of a site (a data centre).
     SiteId
 );
-shared_name!(
-    /// Names a host of the fleet, that is one router process.
+string_id!(
+    /// Name of a host of the fleet, which runs one router process.
     HostId
 );
-shared_name!(
-    /// Identifies one caller request; unique across the fleet.
+string_id!(
+    /// Id of one caller request; unique across the fleet.
     RequestId
 );
 
-/// Counts the starts of one host. A restarted host comes back with a higher incarnation.
+/// Identifies one run of a host. A restarted host has a higher incarnation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Incarnation(pub u64);
 
-/// One run of one host: what a peer message is signed with.
+/// One run of one host, named as the sender of its peer messages.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Member {
-    /// The host that runs.
     pub host: HostId,
-    /// Which of its runs this is.
     pub incarnation: Incarnation,
 }
 
-/// Identifies one attempt to run a request on an endpoint.
+/// Id of one attempt to run a request on an endpoint.
 ///
-/// Answers are matched by this id, so a late or crossed answer never reaches another request.
+/// Answers are matched by this id, so a late or misrouted answer never reaches another request.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId {
-    /// The router run that made the attempt.
+    /// Router incarnation that made the attempt.
     pub member: Member,
-    /// Position among the attempts of that run.
+    /// Sequence number among the attempts of that incarnation.
     pub sequence: u64,
 }
 
--- a/crates/state/src/lease_record.rs
+++ b/crates/state/src/lease_record.rs
@@ -1,4 +1,4 @@
-//! The coordinator's lease as it stands in the table.
+//! Record of the coordinator's lease in the table service.
 
 use crate::fields::FieldReader;
 use crate::fields::FieldWriter;
@@ -6,32 +6,34 @@
 use crate::ids::Incarnation;
 use crate::ids::Member;
 
-/// Key of the lease; written at each renewal. Never deleted, or fencing numbers would start again.
+/// Key of the lease; written at each renewal. The row is never deleted, because fencing numbers
+/// would start again.
 pub const LEASE_KEY: &str = "lease/coordinator";
 
-/// Key of the holder's epoch; written only when the holder changes, so that its version can be a
-/// condition of everything the holder writes.
+/// Key of the holder's epoch. It is written only when the holder changes, so its version can be a
+/// condition of all the holder's writes.
 pub const EPOCH_KEY: &str = "lease/coordinator-epoch";
 
-/// Grows with each change of holder. Engines that check it refuse orders with an older one.
+/// Number that grows with each change of the lease holder. Engines that check it refuse orders with
+/// a lower number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct FencingNumber(pub u64);
 
 /// Row of the lease.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LeaseRecord {
-    /// Who holds it, or held it last.
+    /// Process that holds the lease, or held it last.
     pub holder: Member,
-    /// Number of this holder's epoch.
+    /// Fencing number of this holder's epoch.
     pub fencing: FencingNumber,
-    /// Counts the renewals of this epoch.
+    /// Number of renewals in this epoch.
     pub renewal: u64,
-    /// Whether the holder gave it back.
+    /// Whether the holder released the lease.
     pub released: bool,
 }
 
 impl LeaseRecord {
-    /// Returns the row's value.
+    /// Encodes the row's value.
     ///
     /// ```
     /// use sedgeridge_state::ids::*;
@@ -56,7 +58,7 @@
         fields.finish()
     }
 
-    /// Reads a row's value.
+    /// Decodes a row's value; `None` if a field is missing or malformed.
     ///
     /// ```
     /// assert_eq!(sedgeridge_state::lease_record::LeaseRecord::decode("fencing=3"), None);
--- a/crates/state/src/lib.rs
+++ b/crates/state/src/lib.rs
@@ -1,5 +1,5 @@
-//! Typed state of the router fleet: names, the effective configuration, service ledgers and the
-//! records kept in the platform's table service.
+//! Typed state of the router fleet: names and ids, the effective configuration and the records
+//! stored in the platform's table service.
 //!
 //! This crate does no I/O, starts no threads and reads no clock.
 
--- a/crates/state/src/order_record.rs
+++ b/crates/state/src/order_record.rs
@@ -1,4 +1,4 @@
-//! The intent of an order to an engine, written before the order is sent.
+//! Records of orders to engines in the table service, written before the order is sent.
 
 use std::sync::Arc;
 
@@ -8,10 +8,10 @@
 use crate::ids::PoolId;
 use crate::lease_record::FencingNumber;
 
-/// First part of every order's key.
+/// Prefix of the table keys of all orders.
 pub const ORDER_PREFIX: &str = "order/";
 
-/// What an engine is told to do. Every order names the state it leads to, so a repeat is harmless.
+/// An order to an engine. It names the state to reach, so it is idempotent.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum EngineOrder {
     /// Load a model, adapter or version from the weight store.
@@ -26,10 +26,10 @@
     ImportCache(Arc<str>),
 }
 
-/// How far an order has come.
+/// Progress of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderState {
-    /// It may have been sent; whoever holds the lease completes it.
+    /// It may have been sent; the holder of the lease completes it.
     Intended,
     /// It is in effect.
     Done,
@@ -38,7 +38,7 @@
 }
 
 impl OrderState {
-    /// Returns the state's name.
+    /// Returns the state's name in stored records.
     ///
     /// ```
     /// assert_eq!(sedgeridge_state::order_record::OrderState::Done.as_str(), "done");
@@ -52,18 +52,15 @@
     }
 }
 
-/// Row of the newest order to an endpoint; a later order replaces it.
+/// Row of the newest order for an endpoint; a later order replaces it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OrderRecord {
-    /// The endpoint.
     pub endpoint: EndpointId,
-    /// Position among the orders to the endpoint.
+    /// Sequence number among the orders for the endpoint.
     pub number: u64,
-    /// Epoch that wrote the row; 0 if an operator did.
+    /// Fencing number of the epoch that wrote the row; 0 if an operator wrote it.
     pub fencing: FencingNumber,
-    /// The order.
     pub order: EngineOrder,
-    /// How far it has come.
     pub state: OrderState,
 }
 
@@ -80,7 +77,7 @@
 }
 
 impl EngineOrder {
-    /// Tells whether the engine must have no work in progress while it obeys.
+    /// Returns whether the engine must have no work in progress while it applies the order.
     ///
     /// ```
     /// use sedgeridge_state::order_record::EngineOrder;
@@ -92,7 +89,7 @@
         matches!(self, Self::Load(_) | Self::Unload(_) | Self::ChangeRole(_))
     }
 
-    /// Tells whether the engine reads from the weight store.
+    /// Returns whether the engine reads from the weight store to apply the order.
     ///
     /// ```
     /// use sedgeridge_state::order_record::EngineOrder;
@@ -103,7 +100,7 @@
         matches!(self, Self::Load(_))
     }
 
-    /// Returns the kind's name and what the order is about.
+    /// Returns the name of the kind and the subject: the artifact, pool or object of the order.
     ///
     /// ```
     /// use sedgeridge_state::order_record::EngineOrder;
@@ -113,15 +110,15 @@
     /// ```
     pub fn kind_and_subject(&self) -> (&'static str, &str) {
         match self {
-            Self::Load(unit) => ("load", unit),
-            Self::Unload(unit) => ("unload", unit),
+            Self::Load(artifact) => ("load", artifact),
+            Self::Unload(artifact) => ("unload", artifact),
             Self::ChangeRole(pool) => ("change_role", pool.as_str()),
             Self::ExportCache(object) => ("export_cache", object),
             Self::ImportCache(object) => ("import_cache", object),
         }
     }
 
-    /// Reads a kind's name and what the order is about.
+    /// Parses the name of a kind and the subject; `None` if the kind is unknown.
     ///
     /// ```
     /// use sedgeridge_state::order_record::EngineOrder;
@@ -144,7 +141,7 @@
 }
 
 impl OrderRecord {
-    /// Returns the row's value.
+    /// Encodes the row's value.
     ///
     /// ```
     /// use sedgeridge_state::lease_record::FencingNumber;
@@ -172,7 +169,7 @@
         fields.finish()
     }
 
-    /// Reads a row's value.
+    /// Decodes a row's value; `None` if a field is missing or malformed.
     ///
     /// ```
     /// assert_eq!(sedgeridge_state::order_record::OrderRecord::decode("number=1"), None);
--- a/crates/state/src/settings.rs
+++ b/crates/state/src/settings.rs
@@ -1,7 +1,7 @@
-//! The effective configuration: the base file after the overlay of one site is merged into it.
+//! The effective configuration: the base file merged with the overlay of one site.
 //!
-//! [`Settings`] is plain data with defaults. Reading, merging and checking the INI files is the
-//! work of the loader, which accepts a file as a whole or refuses it with every error found.
+//! [`Settings`] is plain data with defaults. The loader parses, merges and checks the INI files; it
+//! either accepts them or returns all errors found.
 
 mod assemble;
 mod checks;
@@ -41,7 +41,7 @@
 pub use value::check_name;
 pub use value::check_setting;
 
-/// Everything that one site's processes need to know, merged and checked.
+/// Settings for the processes of one site, merged and checked.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Settings {
     /// Section `[fleet]`.
@@ -72,35 +72,35 @@
     pub accounts: Vec<AccountSettings>,
 }
 
-/// Section `[fleet]`: what names this deployment.
+/// Section `[fleet]`: identity of the deployment.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct FleetSettings {
     /// Name of the deployment, shown on operator pages.
     pub name: String,
 }
 
-/// Section `[front]`: limits towards callers.
+/// Section `[front]`: limits on callers.
 #[derive(Debug, Clone, PartialEq)]
 pub struct FrontSettings {
-    /// Largest request body that is read.
+    /// Maximum size of a request body.
     pub max_body_bytes: u64,
-    /// Most bytes of request bodies that one router holds at a time.
+    /// Maximum total size of the request bodies that one router holds at a time.
     pub max_held_body_bytes: u64,
-    /// Most bytes of request bodies of one client account that one router holds at a time.
+    /// Maximum total size of one client account's request bodies that one router holds at a time.
     pub max_held_body_bytes_per_account: u64,
-    /// Time a caller has to send a whole request head.
+    /// Time limit for a caller to send a complete request head.
     pub header_timeout_ms: u64,
-    /// Time an idle kept-alive connection stays open.
+    /// Time after which an idle keep-alive connection is closed.
     pub idle_timeout_ms: u64,
-    /// Most open caller connections of one router.
+    /// Maximum number of open caller connections of one router.
     pub max_connections: u32,
-    /// Most requests that wait in one router.
+    /// Maximum number of requests waiting in one router.
     pub max_queue: u32,
-    /// Most requests of one client account that wait in one router.
+    /// Maximum number of one client account's requests waiting in one router.
     pub max_queue_per_account: u32,
-    /// Deadline of a request whose caller names none.
+    /// Deadline of a request whose caller sets none.
     pub default_deadline_ms: u64,
-    /// Latest deadline a caller may ask for.
+    /// Latest deadline that a caller may set.
     pub max_deadline_ms: u64,
 }
 
@@ -121,17 +121,17 @@
     }
 }
 
-/// How far the fair order reaches.
+/// Scope of the fair order.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum FairScope {
-    /// One order across all routers.
+    /// All routers share one order.
     #[default]
     Fleet,
-    /// Each router orders its own requests only (baseline).
+    /// Each router orders only its own requests (baseline).
     Router,
 }
 
-/// How waiting requests are ordered.
+/// Order of waiting requests.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum QueueOrder {
     /// Least weighted service received first.
@@ -141,37 +141,37 @@
     Fifo,
 }
 
-/// How an endpoint is picked for a request.
+/// Method of choosing an endpoint for a request.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum EndpointChoice {
-    /// Prefix affinity first, then the most free slots, then the nearest.
+    /// Prefers prefix affinity, then the most free slots, then the nearest endpoint.
     #[default]
     Affinity,
-    /// Any free slot (baseline).
+    /// Chooses any free slot (baseline).
     Random,
 }
 
 /// Section `[fair]`: the order between client accounts.
 #[derive(Debug, Clone, PartialEq)]
 pub struct FairSettings {
-    /// How far the order reaches.
+    /// Scope of the order.
     pub scope: FairScope,
-    /// How waiting requests are ordered.
+    /// Order of waiting requests.
     pub order: QueueOrder,
-    /// How an endpoint is picked.
+    /// Method of choosing an endpoint.
     pub endpoint_choice: EndpointChoice,
-    /// Weight of one output token against one uncached input token.
+    /// Weight of one output token relative to one uncached input token.
     pub output_token_factor: u32,
-    /// Longest time peer messages are gathered into one.
+    /// Maximum time during which peer messages are batched into one.
     pub batch_interval_ms: u64,
-    /// Longest time that news wait on which no work waits.
+    /// Maximum delay of updates to peers that no work is waiting for.
     pub report_interval_ms: u64,
-    /// Time in which one grant may be used for further short requests of its account; 0 makes every
-    /// grant cover one request.
+    /// Time during which one grant may be reused for further short requests of its account; with 0,
+    /// every grant covers one request.
     pub grant_span_ms: u64,
     /// Time after which an unused grant returns to its home.
     pub grant_timeout_ms: u64,
-    /// Longest time a new home of a pool waits for full reports before it grants.
+    /// Maximum time that a new home of a pool waits for full reports before it issues grants.
     pub gather_timeout_ms: u64,
 }
 
@@ -191,14 +191,14 @@
     }
 }
 
-/// Section `[retry]`: repeated attempts.
+/// Section `[retry]`: retries of failed attempts.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RetrySettings {
-    /// Most attempts of one repeatable request.
+    /// Maximum number of attempts of one repeatable request.
     pub max_attempts: u32,
-    /// Retries allowed for each hundred successes.
+    /// Retries allowed per hundred successes.
     pub budget_percent: u32,
-    /// First backoff; it doubles with each attempt and is jittered.
+    /// First backoff; it doubles with each attempt and has jitter.
     pub base_backoff_ms: u64,
 }
 
@@ -212,24 +212,24 @@
     }
 }
 
-/// Section `[health]`: endpoints that fail.
+/// Section `[health]`: detection and handling of failing endpoints.
 #[derive(Debug, Clone, PartialEq)]
 pub struct HealthSettings {
-    /// Time to open a connection to an endpoint.
+    /// Time limit for opening a connection to an endpoint.
     pub connect_timeout_ms: u64,
-    /// Longest silence of an answer in progress.
+    /// Maximum time without data on an answer in progress.
     pub stream_idle_timeout_ms: u64,
     /// Time between reads of an endpoint's load report.
     pub report_interval_ms: u64,
-    /// Failures in a row after which an endpoint is ejected.
+    /// Number of consecutive failures after which an endpoint is ejected.
     pub eject_after_failures: u32,
-    /// First ejection time; it doubles with each further ejection.
+    /// Duration of the first ejection; it doubles with each further ejection.
     pub eject_ms: u64,
-    /// Largest share of a pool that may be ejected at once.
+    /// Maximum share of a pool that may be ejected at the same time.
     pub max_ejected_percent: u32,
-    /// Distinct endpoints that a request may crash before it is quarantined.
+    /// Number of distinct endpoints that a request may crash before it is quarantined.
     pub poison_after_crashes: u32,
-    /// Time a quarantined request stays refused.
+    /// Time for which a quarantined request is refused.
     pub poison_quarantine_ms: u64,
 }
 
@@ -248,27 +248,27 @@
     }
 }
 
-/// Section `[membership]`: heartbeats between routers.
+/// Section `[membership]`: failure detection between routers.
 #[derive(Debug, Clone, PartialEq)]
 pub struct MembershipSettings {
-    /// Time between two probes by one router.
+    /// Time between two probes sent by one router.
     pub probe_interval_ms: u64,
-    /// Time after which an unanswered probe is tried through others.
+    /// Time after which an unanswered probe is repeated indirectly through other routers.
     pub probe_timeout_ms: u64,
-    /// Routers asked to probe on one's behalf.
+    /// Number of routers asked to send an indirect probe.
     pub indirect_probes: u32,
-    /// Shortest time a suspected router has to refute the suspicion; it is up to four times as long
-    /// until others confirm it.
+    /// Minimum time that a suspected router has to refute the suspicion. It is up to four times as
+    /// long until other routers confirm the suspicion.
     pub suspicion_ms: u64,
-    /// Shortest time between two messages that only carry news.
+    /// Minimum time between two messages that carry only gossip.
     pub gossip_interval_ms: u64,
-    /// Routers told at once of news.
+    /// Number of routers that each gossip round is sent to.
     pub gossip_fanout: u32,
-    /// Time between comparisons of the whole table with another router.
+    /// Time between comparisons of the complete member table with another router.
     pub sync_interval_ms: u64,
-    /// Time between attempts to reach routers that are named but not live.
+    /// Time between attempts to reach configured routers that are not live.
     pub rejoin_interval_ms: u64,
-    /// Lateness of a timer from which on this process takes itself for having been paused.
+    /// Minimum delay of a timer at which the process assumes that it was paused.
     pub pause_ms: u64,
 }
 
@@ -288,30 +288,31 @@
     }
 }
 
-/// Where the configuration in force comes from.
+/// Source of the active configuration.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum ConfigurationSource {
-    /// The files given at the start, until the process ends.
+    /// The files read at the start; they apply until the process ends.
     #[default]
     Files,
-    /// The configuration accepted in the table service; the files only say where that is.
+    /// The configuration accepted in the table service; the files only give the address of the
+    /// service.
     Table,
 }
 
-/// Section `[platform]`: addresses of the platform's services.
+/// Section `[platform]`: the platform's services and the source of the configuration.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PlatformSettings {
-    /// Where the configuration in force comes from.
+    /// Source of the active configuration.
     pub configuration: ConfigurationSource,
-    /// The transactional table service.
+    /// Address of the transactional table service.
     pub table_address: Option<SocketAddr>,
-    /// The object store.
+    /// Address of the object store.
     pub object_address: Option<SocketAddr>,
-    /// The lagging list of live and leaving hosts.
+    /// Address of the list of live and leaving hosts, which may be out of date.
     pub host_list_address: Option<SocketAddr>,
-    /// The rate-limited weight store.
+    /// Address of the weight store, which is rate-limited.
     pub weight_store_address: Option<SocketAddr>,
-    /// Time allowed for one call.
+    /// Time limit for one call.
     pub call_timeout_ms: u64,
 }
 
--- a/crates/state/src/settings/assemble.rs
+++ b/crates/state/src/settings/assemble.rs
@@ -1,4 +1,4 @@
-//! Makes typed settings of merged sections that passed every check.
+//! Converts merged and checked sections to typed settings.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -23,38 +23,42 @@
 use super::ServiceSettings;
 use super::Settings;
 use super::SiteSettings;
-use super::layers::Merged;
 use super::layers::MergedSection;
+use super::layers::MergedSettings;
 use super::value::Value;
 
-/// Makes typed settings. Panics only when the code asks for a key that the schema has not.
-pub(super) fn assemble(merged: &Merged) -> Settings {
-    let only = |kind: &str| {
-        let mut of_kind = merged.sections.iter().filter(|s| s.schema.name == kind);
-        of_kind.next().expect("the merge adds absent sections")
+/// Builds the typed settings. Panics only if the code asks for a key that is not in the schema.
+pub(super) fn assemble(merged: &MergedSettings) -> Settings {
+    let single_section = |kind: &str| {
+        let mut sections = merged.sections.iter().filter(|s| s.schema.name == kind);
+        sections.next().expect("the merge adds absent sections")
     };
     Settings {
         fleet: FleetSettings {
-            name: only("fleet").text("name").to_string(),
+            name: single_section("fleet").text("name").to_string(),
         },
-        front: front(only("front")),
-        fair: fair(only("fair")),
-        retry: retry(only("retry")),
-        health: health(only("health")),
-        membership: membership(only("membership")),
-        platform: platform(only("platform")),
-        sites: all(merged, "site", site),
-        hosts: all(merged, "host", host),
-        pools: all(merged, "pool", pool),
-        services: all(merged, "service", service),
-        endpoints: all(merged, "endpoint", endpoint),
-        accounts: all(merged, "account", account),
+        front: front_settings(single_section("front")),
+        fair: fair_settings(single_section("fair")),
+        retry: retry_settings(single_section("retry")),
+        health: health_settings(single_section("health")),
+        membership: membership_settings(single_section("membership")),
+        platform: platform_settings(single_section("platform")),
+        sites: named_sections(merged, "site", site_settings),
+        hosts: named_sections(merged, "host", host_settings),
+        pools: named_sections(merged, "pool", pool_settings),
+        services: named_sections(merged, "service", service_settings),
+        endpoints: named_sections(merged, "endpoint", endpoint_settings),
+        accounts: named_sections(merged, "account", account_settings),
     }
 }
 
-fn all<T>(merged: &Merged, kind: &str, make: fn(&MergedSection) -> T) -> Vec<T> {
-    let of_kind = merged.sections.iter().filter(|s| s.schema.name == kind);
-    of_kind.map(make).collect()
+fn named_sections<T>(
+    merged: &MergedSettings,
+    kind: &str,
+    convert: fn(&MergedSection) -> T,
+) -> Vec<T> {
+    let sections = merged.sections.iter().filter(|s| s.schema.name == kind);
+    sections.map(convert).collect()
 }
 
 impl MergedSection {
@@ -66,7 +70,7 @@
             .as_ref()
     }
 
-    fn whole(&self, key: &str) -> u64 {
+    fn integer(&self, key: &str) -> u64 {
         match self.value(key) {
             Some(Value::Integer(number)) => *number,
             other => panic!("{key} is a whole number in the schema, not {other:?}"),
@@ -74,7 +78,7 @@
     }
 
     fn count(&self, key: &str) -> u32 {
-        u32::try_from(self.whole(key)).expect("the schema bounds counts")
+        u32::try_from(self.integer(key)).expect("the schema bounds counts")
     }
 
     fn flag(&self, key: &str) -> bool {
@@ -92,8 +96,8 @@
     }
 
     fn choice<T: Copy>(&self, key: &str, choices: &[(&str, T)]) -> T {
-        let word = self.text(key);
-        let chosen = choices.iter().find(|(choice, _)| *choice == &**word);
+        let text = self.text(key);
+        let chosen = choices.iter().find(|(choice, _)| *choice == &**text);
         chosen.expect("every choice of the schema has a variant").1
     }
 
@@ -111,22 +115,22 @@
     }
 }
 
-fn front(section: &MergedSection) -> FrontSettings {
+fn front_settings(section: &MergedSection) -> FrontSettings {
     FrontSettings {
-        max_body_bytes: section.whole("max_body_bytes"),
-        max_held_body_bytes: section.whole("max_held_body_bytes"),
-        max_held_body_bytes_per_account: section.whole("max_held_body_bytes_per_account"),
-        header_timeout_ms: section.whole("header_timeout_ms"),
-        idle_timeout_ms: section.whole("idle_timeout_ms"),
+        max_body_bytes: section.integer("max_body_bytes"),
+        max_held_body_bytes: section.integer("max_held_body_bytes"),
+        max_held_body_bytes_per_account: section.integer("max_held_body_bytes_per_account"),
+        header_timeout_ms: section.integer("header_timeout_ms"),
+        idle_timeout_ms: section.integer("idle_timeout_ms"),
         max_connections: section.count("max_connections"),
         max_queue: section.count("max_queue"),
         max_queue_per_account: section.count("max_queue_per_account"),
-        default_deadline_ms: section.whole("default_deadline_ms"),
-        max_deadline_ms: section.whole("max_deadline_ms"),
+        default_deadline_ms: section.integer("default_deadline_ms"),
+        max_deadline_ms: section.integer("max_deadline_ms"),
     }
 }
 
-fn fair(section: &MergedSection) -> FairSettings {
+fn fair_settings(section: &MergedSection) -> FairSettings {
     FairSettings {
         scope: section.choice(
             "scope",
@@ -144,50 +148,50 @@
             ],
         ),
         output_token_factor: section.count("output_token_factor"),
-        batch_interval_ms: section.whole("batch_interval_ms"),
-        report_interval_ms: section.whole("report_interval_ms"),
-        grant_span_ms: section.whole("grant_span_ms"),
-        grant_timeout_ms: section.whole("grant_timeout_ms"),
-        gather_timeout_ms: section.whole("gather_timeout_ms"),
+        batch_interval_ms: section.integer("batch_interval_ms"),
+        report_interval_ms: section.integer("report_interval_ms"),
+        grant_span_ms: section.integer("grant_span_ms"),
+        grant_timeout_ms: section.integer("grant_timeout_ms"),
+        gather_timeout_ms: section.integer("gather_timeout_ms"),
     }
 }
 
-fn retry(section: &MergedSection) -> RetrySettings {
+fn retry_settings(section: &MergedSection) -> RetrySettings {
     RetrySettings {
         max_attempts: section.count("max_attempts"),
         budget_percent: section.count("budget_percent"),
-        base_backoff_ms: section.whole("base_backoff_ms"),
+        base_backoff_ms: section.integer("base_backoff_ms"),
     }
 }
 
-fn health(section: &MergedSection) -> HealthSettings {
+fn health_settings(section: &MergedSection) -> HealthSettings {
     HealthSettings {
-        connect_timeout_ms: section.whole("connect_timeout_ms"),
-        stream_idle_timeout_ms: section.whole("stream_idle_timeout_ms"),
-        report_interval_ms: section.whole("report_interval_ms"),
+        connect_timeout_ms: section.integer("connect_timeout_ms"),
+        stream_idle_timeout_ms: section.integer("stream_idle_timeout_ms"),
+        report_interval_ms: section.integer("report_interval_ms"),
         eject_after_failures: section.count("eject_after_failures"),
-        eject_ms: section.whole("eject_ms"),
+        eject_ms: section.integer("eject_ms"),
         max_ejected_percent: section.count("max_ejected_percent"),
         poison_after_crashes: section.count("poison_after_crashes"),
-        poison_quarantine_ms: section.whole("poison_quarantine_ms"),
+        poison_quarantine_ms: section.integer("poison_quarantine_ms"),
     }
 }
 
-fn membership(section: &MergedSection) -> MembershipSettings {
+fn membership_settings(section: &MergedSection) -> MembershipSettings {
     MembershipSettings {
-        probe_interval_ms: section.whole("probe_interval_ms"),
-        probe_timeout_ms: section.whole("probe_timeout_ms"),
+        probe_interval_ms: section.integer("probe_interval_ms"),
+        probe_timeout_ms: section.integer("probe_timeout_ms"),
         indirect_probes: section.count("indirect_probes"),
-        suspicion_ms: section.whole("suspicion_ms"),
-        gossip_interval_ms: section.whole("gossip_interval_ms"),
+        suspicion_ms: section.integer("suspicion_ms"),
+        gossip_interval_ms: section.integer("gossip_interval_ms"),
         gossip_fanout: section.count("gossip_fanout"),
-        sync_interval_ms: section.whole("sync_interval_ms"),
-        rejoin_interval_ms: section.whole("rejoin_interval_ms"),
-        pause_ms: section.whole("pause_ms"),
+        sync_interval_ms: section.integer("sync_interval_ms"),
+        rejoin_interval_ms: section.integer("rejoin_interval_ms"),
+        pause_ms: section.integer("pause_ms"),
     }
 }
 
-fn platform(section: &MergedSection) -> PlatformSettings {
+fn platform_settings(section: &MergedSection) -> PlatformSettings {
     PlatformSettings {
         configuration: section.choice(
             "configuration",
@@ -200,18 +204,18 @@
         object_address: section.optional_address("object_address"),
         host_list_address: section.optional_address("host_list_address"),
         weight_store_address: section.optional_address("weight_store_address"),
-        call_timeout_ms: section.whole("call_timeout_ms"),
+        call_timeout_ms: section.integer("call_timeout_ms"),
     }
 }
 
-fn site(section: &MergedSection) -> SiteSettings {
+fn site_settings(section: &MergedSection) -> SiteSettings {
     SiteSettings {
         id: (*section.id).into(),
         region: section.text("region").to_string(),
     }
 }
 
-fn host(section: &MergedSection) -> HostSettings {
+fn host_settings(section: &MergedSection) -> HostSettings {
     HostSettings {
         id: (*section.id).into(),
         site: (**section.text("site")).into(),
@@ -222,7 +226,7 @@
     }
 }
 
-fn pool(section: &MergedSection) -> PoolSettings {
+fn pool_settings(section: &MergedSection) -> PoolSettings {
     PoolSettings {
         id: (*section.id).into(),
         kind: section.choice(
@@ -233,7 +237,7 @@
     }
 }
 
-fn service(section: &MergedSection) -> ServiceSettings {
+fn service_settings(section: &MergedSection) -> ServiceSettings {
     ServiceSettings {
         id: (*section.id).into(),
         pool: (**section.text("pool")).into(),
@@ -248,7 +252,7 @@
     }
 }
 
-fn endpoint(section: &MergedSection) -> EndpointSettings {
+fn endpoint_settings(section: &MergedSection) -> EndpointSettings {
     EndpointSettings {
         id: (*section.id).into(),
         pool: (**section.text("pool")).into(),
@@ -259,7 +263,7 @@
     }
 }
 
-fn account(section: &MergedSection) -> AccountSettings {
+fn account_settings(section: &MergedSection) -> AccountSettings {
     AccountSettings {
         id: (*section.id).into(),
         weight: section.count("weight"),
--- a/crates/state/src/settings/checks.rs
+++ b/crates/state/src/settings/checks.rs
@@ -1,4 +1,4 @@
-//! Checks that need more than one setting: references, unique values, limits that bound others.
+//! Checks across settings: references, unique values, and settings that limit other settings.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -7,15 +7,15 @@
 use super::error::Problem;
 use super::error::Rejection;
 use super::layers::Entry;
-use super::layers::Merged;
+use super::layers::Location;
 use super::layers::MergedSection;
-use super::layers::Place;
+use super::layers::MergedSettings;
 use super::nearest::nearest;
 use super::schema::ValueKind;
 use super::value::Value;
 use super::value::did_you_mean;
 
-/// Pairs of keys whose first value may not exceed the second.
+/// Section, key and limit key: the value of the key must not exceed the value of the limit key.
 const UPPER_LIMITS: &[(&str, &str, &str)] = &[
     ("front", "default_deadline_ms", "max_deadline_ms"),
     ("front", "max_queue_per_account", "max_queue"),
@@ -29,14 +29,14 @@
 ];
 
 struct Finding {
-    place: Place,
-    title: Arc<str>,
+    location: Location,
+    header: Arc<str>,
     key: &'static str,
     rejection: Rejection,
 }
 
 /// Runs every check over the merged settings.
-pub(super) fn check_relations(merged: &mut Merged) {
+pub(super) fn check_relations(merged: &mut MergedSettings) {
     let mut findings = Vec::new();
     check_references(&merged.sections, &mut findings);
     check_unique_addresses(&merged.sections, &mut findings);
@@ -44,39 +44,44 @@
     check_pools(&merged.sections, &mut findings);
     check_upper_limits(&merged.sections, &mut findings);
     for finding in findings {
-        merged.report(
-            &finding.place,
-            &finding.title,
+        merged.add_finding(
+            &finding.location,
+            &finding.header,
             finding.key,
             finding.rejection,
         );
     }
 }
 
-fn of_kind<'a>(
+fn sections_of_kind<'a>(
     sections: &'a [MergedSection],
     kind: &'a str,
 ) -> impl Iterator<Item = &'a MergedSection> {
     sections.iter().filter(move |s| s.schema.name == kind)
 }
 
-fn finding(section: &MergedSection, entry: &Entry, key: &'static str, of: Rejection) -> Finding {
+fn finding(
+    section: &MergedSection,
+    entry: &Entry,
+    key: &'static str,
+    rejection: Rejection,
+) -> Finding {
     Finding {
-        place: entry.place.clone(),
-        title: section.title.clone(),
+        location: entry.location.clone(),
+        header: section.header.clone(),
         key,
-        rejection: of,
+        rejection,
     }
 }
 
-/// Names of sections by kind. A search of all sections for each reference took most of a load.
+/// Names of sections by kind. Searching all sections for each reference took most of the load time.
 type NamesByKind<'a> = BTreeMap<&'static str, BTreeSet<&'a str>>;
 
 fn check_references(sections: &[MergedSection], findings: &mut Vec<Finding>) {
     let mut names = NamesByKind::new();
     for section in sections {
-        let of_kind = names.entry(section.schema.name).or_default();
-        of_kind.insert(&section.id);
+        let ids = names.entry(section.schema.name).or_default();
+        ids.insert(&section.id);
     }
     for section in sections {
         for key in section.schema.keys {
@@ -101,7 +106,7 @@
 fn unknown_name(target: &'static str, name: &str, known: Option<&BTreeSet<&str>>) -> Rejection {
     let known: Vec<&str> = known.into_iter().flatten().copied().collect();
     let hint = match nearest(name, known.iter().copied()) {
-        Some(near) => did_you_mean(near),
+        Some(suggestion) => did_you_mean(suggestion),
         None if known.is_empty() => format!("add a section [{target}.{name}]"),
         None => format!("known: {}", known.join(", ")),
     };
@@ -122,7 +127,7 @@
             let Some(Value::Address(address)) = &entry.value else {
                 continue;
             };
-            if let Some((owner, owner_key)) = owners.insert(*address, (&section.title, key.name)) {
+            if let Some((owner, owner_key)) = owners.insert(*address, (&section.header, key.name)) {
                 let problem = Problem::Duplicate {
                     what: "address",
                     owner: owner.to_string(),
@@ -141,14 +146,14 @@
 
 fn check_unique_keys(sections: &[MergedSection], findings: &mut Vec<Finding>) {
     let mut owners = BTreeMap::new();
-    for section in of_kind(sections, "account") {
+    for section in sections_of_kind(sections, "account") {
         let Some(entry) = section.entries.get("key_sha256") else {
             continue;
         };
         let Some(Value::Text(digest)) = &entry.value else {
             continue;
         };
-        if let Some(owner) = owners.insert(digest, &section.title) {
+        if let Some(owner) = owners.insert(digest, &section.header) {
             let problem = Problem::Duplicate {
                 what: "key hash",
                 owner: owner.to_string(),
@@ -165,18 +170,18 @@
 }
 
 fn check_pools(sections: &[MergedSection], findings: &mut Vec<Finding>) {
-    let mut endpoints: BTreeMap<&str, u64> = BTreeMap::new();
-    for endpoint in of_kind(sections, "endpoint") {
+    let mut endpoint_counts: BTreeMap<&str, u64> = BTreeMap::new();
+    for endpoint in sections_of_kind(sections, "endpoint") {
         if let Some(Value::Text(pool)) = value(endpoint, "pool") {
-            *endpoints.entry(pool).or_default() += 1;
+            *endpoint_counts.entry(pool).or_default() += 1;
         }
     }
-    for pool in of_kind(sections, "pool") {
-        let count = endpoints.get(&*pool.id).copied().unwrap_or(0);
+    for pool in sections_of_kind(sections, "pool") {
+        let count = endpoint_counts.get(&*pool.id).copied().unwrap_or(0);
         if count == 0 {
             findings.push(Finding {
-                place: pool.place.clone(),
-                title: pool.title.clone(),
+                location: pool.location.clone(),
+                header: pool.header.clone(),
                 key: "",
                 rejection: Rejection::new(
                     Problem::EmptyPool,
@@ -197,15 +202,16 @@
 }
 
 fn check_upper_limits(sections: &[MergedSection], findings: &mut Vec<Finding>) {
-    for (kind, lower, upper) in UPPER_LIMITS {
-        for section in of_kind(sections, kind) {
-            let Some(Value::Integer(most)) = value(section, upper) else {
+    for (kind, key, limit_key) in UPPER_LIMITS {
+        for section in sections_of_kind(sections, kind) {
+            let Some(Value::Integer(limit)) = value(section, limit_key) else {
                 continue;
             };
-            let entry = &section.entries[lower];
-            if matches!(entry.value, Some(Value::Integer(number)) if number > *most) {
-                let rejection = above_limit(entry, format!("at most {most}, the value of {upper}"));
-                findings.push(finding(section, entry, lower, rejection));
+            let entry = &section.entries[key];
+            if matches!(entry.value, Some(Value::Integer(number)) if number > *limit) {
+                let rejection =
+                    above_limit(entry, format!("at most {limit}, the value of {limit_key}"));
+                findings.push(finding(section, entry, key, rejection));
             }
         }
     }
--- a/crates/state/src/settings/effective.rs
+++ b/crates/state/src/settings/effective.rs
@@ -1,4 +1,4 @@
-//! The effective settings as written out for operators: every key, its value and its origin.
+//! The effective settings in the form shown to operators: every key with its value and origin.
 
 use std::fmt;
 
@@ -12,34 +12,32 @@
 use super::load::raw_layers;
 use super::schema::SECTIONS;
 
-/// All sections of one site's settings. Its display is a valid base file.
+/// All sections of one site's settings. The `Display` output is a valid base file.
 #[derive(Debug, Serialize)]
 pub struct EffectiveSettings {
-    /// In the order of the reference page.
+    /// Sections in the order of the reference page.
     pub sections: Vec<EffectiveSection>,
 }
 
-/// One section.
+/// One section with its values.
 #[derive(Debug, Serialize)]
 pub struct EffectiveSection {
     /// Header, such as `account.crew-07`.
     pub section: String,
-    /// Its keys that have a value.
+    /// Keys that have a value.
     pub entries: Vec<EffectiveEntry>,
 }
 
-/// One key.
+/// One key with its value and origin.
 #[derive(Debug, Serialize)]
 pub struct EffectiveEntry {
-    /// The key.
     pub key: &'static str,
-    /// Its value.
     pub value: String,
     /// `FILE:LINE`, or `default`.
     pub origin: String,
 }
 
-/// Merges and checks all layers, and writes every value with its origin.
+/// Merges and checks all layers, and returns every value with its origin.
 ///
 /// ```
 /// use sedgeridge_state::settings::Layers;
@@ -57,11 +55,11 @@
     let merged = merge(raw_layers(layers))?;
     let mut sections = Vec::new();
     for schema in SECTIONS {
-        let of_kind = merged
+        let of_this_kind = merged
             .sections
             .iter()
             .filter(|s| s.schema.name == schema.name);
-        sections.extend(of_kind.map(effective_section));
+        sections.extend(of_this_kind.map(effective_section));
     }
     Ok(EffectiveSettings { sections })
 }
@@ -70,7 +68,7 @@
     let keys = section.schema.keys.iter();
     let entries = keys.filter_map(|key| effective_entry(key.name, section.entries.get(key.name)?));
     EffectiveSection {
-        section: section.title.to_string(),
+        section: section.header.to_string(),
         entries: entries.collect(),
     }
 }
@@ -79,7 +77,7 @@
     let origin = if entry.is_default {
         "default".to_owned()
     } else {
-        format!("{}:{}", entry.place.file, entry.place.line)
+        format!("{}:{}", entry.location.file, entry.location.line)
     };
     Some(EffectiveEntry {
         key,
--- a/crates/state/src/settings/error.rs
+++ b/crates/state/src/settings/error.rs
@@ -1,24 +1,24 @@
-//! Findings of the loader: where, which setting, what was expected, and a hint.
+//! Findings of the loader, with location, setting, expected value and a hint.
 
 use std::fmt;
 use std::sync::Arc;
 
 use thiserror::Error;
 
-/// One finding in the settings. A load reports all of them together.
+/// One finding in the settings. The loader returns all findings together.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SettingsError {
-    /// File, or `--set` for an override.
+    /// File name, or `--set` for an override.
     pub file: Arc<str>,
     /// Line in the file, or position of the override; counted from 1.
     pub line: usize,
-    /// Section as written, empty before the first section header.
+    /// Section header as written; empty before the first header.
     pub section: Arc<str>,
-    /// Key as written, empty when the finding concerns the whole section.
+    /// Key as written; empty if the finding concerns the whole section.
     pub key: Arc<str>,
     /// What was expected and what was found.
     pub problem: Problem,
-    /// How it may be put right.
+    /// Suggested correction.
     pub hint: Option<String>,
 }
 
@@ -41,17 +41,17 @@
 
 impl std::error::Error for SettingsError {}
 
-/// Why a value or a name is refused, without the place where it was written.
+/// Reason why a value or a name is refused, without its location.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Rejection {
     /// What was expected and what was found.
     pub problem: Problem,
-    /// How it may be put right.
+    /// Suggested correction.
     pub hint: Option<String>,
 }
 
 impl Rejection {
-    /// Makes a rejection; the hint may be absent.
+    /// Creates a rejection; the hint is optional.
     pub(super) fn new(problem: Problem, hint: impl Into<Option<String>>) -> Self {
         Self {
             problem,
@@ -60,37 +60,37 @@
     }
 }
 
-/// What is wrong with a setting.
+/// Problem with a setting.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum Problem {
-    /// The line is no section header, pair, comment or blank.
+    /// The line is not a section header, pair, comment or blank line.
     #[error("expected `[section]` or `key = value`, found `{found}`")]
     Syntax {
         /// The line.
         found: String,
     },
-    /// A pair stands before the first section header.
+    /// A pair comes before the first section header.
     #[error("expected a section header before the first key")]
     OutsideSection,
-    /// The schema has no such section.
+    /// The schema does not have this section.
     #[error("expected a known section, found `{found}`")]
     UnknownSection {
         /// The section.
         found: String,
     },
-    /// The section has no such key.
+    /// The section does not have this key.
     #[error("expected a key of this section, found `{found}`")]
     UnknownKey {
         /// The key.
         found: String,
     },
-    /// The section or key was already given in this file.
+    /// The section or key already occurs in this file.
     #[error("expected once, found again after line {first_line}")]
     Repeated {
-        /// Line of the first one.
+        /// Line of the first occurrence.
         first_line: usize,
     },
-    /// The value has another type.
+    /// The value has the wrong type.
     #[error("expected {expected}, found `{found}`")]
     WrongType {
         /// The type.
@@ -98,7 +98,7 @@
         /// The value.
         found: String,
     },
-    /// The value carries a unit; the unit is part of the key.
+    /// The value has a unit, which belongs only in the key's name.
     #[error("expected {expected} without a unit, found `{found}`")]
     WrongUnit {
         /// The type.
@@ -114,21 +114,21 @@
         /// The value.
         found: String,
     },
-    /// A mandatory key or section is absent.
+    /// A mandatory key is missing.
     #[error("expected {expected}, found nothing")]
     Missing {
-        /// What should be there.
+        /// Description of the expected value.
         expected: String,
     },
-    /// Two settings share a value that must be unique.
+    /// Two settings have the same value, which must be unique.
     #[error("expected a unique {what}, found that of [{owner}]")]
     Duplicate {
         /// Kind of value.
         what: &'static str,
-        /// Section that holds it already.
+        /// Section that already has the value.
         owner: String,
     },
-    /// The value names a section that does not exist.
+    /// The value or header names a section that does not exist.
     #[error("expected the name of a [{section}.NAME] section, found `{found}`")]
     UnknownName {
         /// Kind of section.
@@ -136,7 +136,7 @@
         /// The value.
         found: String,
     },
-    /// A name is empty, too long or holds other characters.
+    /// A name is empty, too long or contains characters that are not allowed.
     #[error("expected {expected}, found `{found}`")]
     BadName {
         /// The accepted form.
@@ -144,10 +144,10 @@
         /// The name.
         found: String,
     },
-    /// A pool that no endpoint belongs to.
+    /// No endpoint belongs to the pool.
     #[error("expected at least one endpoint in the pool, found none")]
     EmptyPool,
-    /// An overlay sets what holds everywhere.
+    /// An overlay sets a key that only the base file may set.
     #[error("expected in the base file only, found in an overlay")]
     BaseOnly,
 }
--- a/crates/state/src/settings/layers.rs
+++ b/crates/state/src/settings/layers.rs
@@ -1,4 +1,4 @@
-//! Merges the layers of settings: base file, overlay of one site, overrides.
+//! Merges the layers of settings: base file, overlay of one site, command-line overrides.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -23,53 +23,53 @@
 use super::value::check_value;
 use super::value::did_you_mean;
 
-/// Where something was written.
+/// File and line of a section or pair.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) struct Place {
+pub(super) struct Location {
     pub(super) file: Arc<str>,
     pub(super) line: usize,
 }
 
-/// A value and where it was written; `value` is empty when it was refused or stays unset.
+/// A value and its location; `value` is `None` if it was refused or is unset.
 #[derive(Debug)]
 pub(super) struct Entry {
-    /// The section's own place for a default.
-    pub(super) place: Place,
+    /// For a default, the location of the section.
+    pub(super) location: Location,
     pub(super) is_default: bool,
     pub(super) value: Option<Value>,
 }
 
-/// One section after the merge.
+/// One merged section.
 #[derive(Debug)]
 pub(super) struct MergedSection {
     pub(super) schema: &'static SectionSchema,
-    pub(super) title: Arc<str>,
-    /// Name after the dot, empty when the section has none.
+    pub(super) header: Arc<str>,
+    /// Name after the dot; empty if the section has none.
     pub(super) id: Arc<str>,
-    pub(super) place: Place,
+    pub(super) location: Location,
     pub(super) entries: BTreeMap<&'static str, Entry>,
 }
 
-/// The merge so far, with every finding.
+/// The sections merged so far, with all findings.
 #[derive(Debug, Default)]
-pub(super) struct Merged {
+pub(super) struct MergedSettings {
     pub(super) sections: Vec<MergedSection>,
     pub(super) errors: Vec<SettingsError>,
     positions: HashMap<Arc<str>, usize>,
 }
 
-impl Merged {
+impl MergedSettings {
     /// Adds a finding.
-    pub(super) fn report(
+    pub(super) fn add_finding(
         &mut self,
-        place: &Place,
+        location: &Location,
         section: &Arc<str>,
         key: &str,
         rejection: Rejection,
     ) {
         self.errors.push(SettingsError {
-            file: place.file.clone(),
-            line: place.line,
+            file: location.file.clone(),
+            line: location.line,
             section: section.clone(),
             key: key.into(),
             problem: rejection.problem,
@@ -77,24 +77,24 @@
         });
     }
 
-    /// Merges one layer over those before it.
+    /// Merges one layer over the previous ones.
     pub(super) fn add_layer(&mut self, layer: RawLayer) {
         let RawLayer { role, file, .. } = layer;
-        for bad in layer.bad_lines {
-            let place = Place {
+        for malformed in layer.malformed_lines {
+            let location = Location {
                 file: file.clone(),
-                line: bad.line,
+                line: malformed.line,
             };
-            self.report(
-                &place,
-                &bad.section,
-                &bad.key,
-                Rejection::new(bad.problem, None),
+            self.add_finding(
+                &location,
+                &malformed.section,
+                &malformed.key,
+                Rejection::new(malformed.problem, None),
             );
         }
         let mut first_lines: HashMap<Arc<str>, usize> = HashMap::new();
         for raw in layer.sections {
-            let place = Place {
+            let location = Location {
                 file: file.clone(),
                 line: raw.line,
             };
@@ -102,44 +102,49 @@
             if role != LayerRole::Overrides && first_line != raw.line {
                 let hint = Some("put the keys of a section below one header".to_owned());
                 let rejection = Rejection::new(Problem::Repeated { first_line }, hint);
-                self.report(&place, &raw.name, "", rejection);
+                self.add_finding(&location, &raw.name, "", rejection);
             }
-            if let Some(position) = self.position_for(role, &raw.name, &place) {
+            if let Some(position) = self.section_position(role, &raw.name, &location) {
                 self.add_pairs(role, &file, position, raw);
             }
         }
     }
 
-    /// Finds or makes the merged section that a header stands for.
-    fn position_for(&mut self, role: LayerRole, title: &Arc<str>, place: &Place) -> Option<usize> {
-        if let Some(position) = self.positions.get(title) {
+    /// Returns the position of the merged section for a header, and adds the section if necessary.
+    fn section_position(
+        &mut self,
+        role: LayerRole,
+        header: &Arc<str>,
+        location: &Location,
+    ) -> Option<usize> {
+        if let Some(position) = self.positions.get(header) {
             return Some(*position);
         }
-        let (schema, id) = match resolve_title(title) {
+        let (schema, id) = match resolve_header(header) {
             Ok(resolved) => resolved,
             Err(rejection) => {
-                self.report(place, title, "", rejection);
+                self.add_finding(location, header, "", rejection);
                 return None;
             }
         };
         if schema.is_named && role != LayerRole::Base {
-            let rejection = self.unknown_title(schema, &id);
-            self.report(place, title, "", rejection);
+            let rejection = self.unknown_named_section(schema, &id);
+            self.add_finding(location, header, "", rejection);
             return None;
         }
-        self.positions.insert(title.clone(), self.sections.len());
+        self.positions.insert(header.clone(), self.sections.len());
         self.sections.push(MergedSection {
             schema,
-            title: title.clone(),
+            header: header.clone(),
             id,
-            place: place.clone(),
+            location: location.clone(),
             entries: BTreeMap::new(),
         });
         Some(self.sections.len() - 1)
     }
 
-    /// Explains a named section that the base file does not have.
-    fn unknown_title(&self, schema: &'static SectionSchema, id: &str) -> Rejection {
+    /// Rejects a named section that the base file does not have.
+    fn unknown_named_section(&self, schema: &'static SectionSchema, id: &str) -> Rejection {
         let known = self
             .sections
             .iter()
@@ -149,25 +154,25 @@
             section: schema.name,
             found: id.to_owned(),
         };
-        let only_base = || "only the base file adds sections with a name".to_owned();
-        Rejection::new(problem, hint.unwrap_or_else(only_base))
+        let base_only_hint = || "only the base file adds sections with a name".to_owned();
+        Rejection::new(problem, hint.unwrap_or_else(base_only_hint))
     }
 
     fn add_pairs(&mut self, role: LayerRole, file: &Arc<str>, position: usize, raw: RawSection) {
         let mut first_lines: HashMap<Arc<str>, usize> = HashMap::new();
         for pair in raw.pairs {
-            let place = Place {
+            let location = Location {
                 file: file.clone(),
                 line: pair.line,
             };
             if let Some(first_line) = first_lines.get(&pair.key) {
                 let first_line = *first_line;
                 let rejection = Rejection::new(Problem::Repeated { first_line }, None);
-                self.report(&place, &raw.name, &pair.key, rejection);
+                self.add_finding(&location, &raw.name, &pair.key, rejection);
                 continue;
             }
             first_lines.insert(pair.key.clone(), pair.line);
-            self.add_pair(role, position, &raw.name, place, &pair);
+            self.add_pair(role, position, &raw.name, location, &pair);
         }
     }
 
@@ -175,20 +180,20 @@
         &mut self,
         role: LayerRole,
         position: usize,
-        title: &Arc<str>,
-        place: Place,
+        header: &Arc<str>,
+        location: Location,
         pair: &RawPair,
     ) {
         let schema = self.sections[position].schema;
         let key = match resolve_key(schema, &pair.key) {
             Ok(key) => key,
-            Err(rejection) => return self.report(&place, title, &pair.key, rejection),
+            Err(rejection) => return self.add_finding(&location, header, &pair.key, rejection),
         };
         if role == LayerRole::Overlay && key.scope == Scope::Fleet {
             let hint = Some("it holds at every site; set it in the base file".to_owned());
-            return self.report(
-                &place,
-                title,
+            return self.add_finding(
+                &location,
+                header,
                 &pair.key,
                 Rejection::new(Problem::BaseOnly, hint),
             );
@@ -196,26 +201,26 @@
         let value = match check_value(&key.kind, &pair.value) {
             Ok(value) => Some(value),
             Err(rejection) => {
-                self.report(&place, title, &pair.key, rejection);
+                self.add_finding(&location, header, &pair.key, rejection);
                 None
             }
         };
         let entry = Entry {
-            place,
+            location,
             is_default: false,
             value,
         };
         self.sections[position].entries.insert(key.name, entry);
     }
 
-    /// Adds what is absent: sections without a name, and defaults of keys.
-    pub(super) fn fill_in(&mut self, base_file: &Arc<str>) {
-        let place = Place {
+    /// Adds missing sections that take no name, and defaults of missing keys.
+    pub(super) fn add_defaults(&mut self, base_file: &Arc<str>) {
+        let location = Location {
             file: base_file.clone(),
             line: 1,
         };
         for schema in SECTIONS.iter().filter(|schema| !schema.is_named) {
-            self.position_for(LayerRole::Base, &schema.name.into(), &place);
+            self.section_position(LayerRole::Base, &schema.name.into(), &location);
         }
         let mut missing = Vec::new();
         for section in &mut self.sections {
@@ -223,20 +228,20 @@
                 if section.entries.contains_key(key.name) {
                     continue;
                 }
-                match default_entry(key, &section.place) {
+                match default_entry(key, &section.location) {
                     Some(entry) => {
                         section.entries.insert(key.name, entry);
                     }
-                    None => missing.push((section.place.clone(), section.title.clone(), key)),
+                    None => missing.push((section.location.clone(), section.header.clone(), key)),
                 }
             }
         }
-        for (place, title, key) in missing {
+        for (location, header, key) in missing {
             let expected = key.kind.expected();
-            let hint = Some(format!("add `{} = ...` below [{title}]", key.name));
-            self.report(
-                &place,
-                &title,
+            let hint = Some(format!("add `{} = ...` below [{header}]", key.name));
+            self.add_finding(
+                &location,
+                &header,
                 key.name,
                 Rejection::new(Problem::Missing { expected }, hint),
             );
@@ -244,8 +249,8 @@
     }
 }
 
-/// Makes the entry of an absent key; none when the key is mandatory.
-fn default_entry(key: &'static KeySchema, place: &Place) -> Option<Entry> {
+/// Returns the entry of a missing key; `None` if the key is mandatory.
+fn default_entry(key: &'static KeySchema, location: &Location) -> Option<Entry> {
     let value = match key.fallback {
         Fallback::Mandatory => return None,
         Fallback::Unset => None,
@@ -254,25 +259,25 @@
         ),
     };
     Some(Entry {
-        place: place.clone(),
+        location: location.clone(),
         is_default: true,
         value,
     })
 }
 
-/// Splits a header into its schema and the name after the first dot.
-fn resolve_title(title: &str) -> Result<(&'static SectionSchema, Arc<str>), Rejection> {
-    let (kind, id) = match title.split_once('.') {
+/// Resolves a header to its schema and the name after the first dot.
+fn resolve_header(header: &str) -> Result<(&'static SectionSchema, Arc<str>), Rejection> {
+    let (kind, id) = match header.split_once('.') {
         Some((kind, id)) => (kind, Some(id)),
-        None => (title, None),
+        None => (header, None),
     };
     let unknown = |hint| {
-        let found = title.to_owned();
+        let found = header.to_owned();
         Rejection::new(Problem::UnknownSection { found }, hint)
     };
     let Some(schema) = schema::section(kind) else {
-        let near = nearest(kind, SECTIONS.iter().map(|s| s.name));
-        return Err(unknown(near.map(did_you_mean)));
+        let suggestion = nearest(kind, SECTIONS.iter().map(|s| s.name));
+        return Err(unknown(suggestion.map(did_you_mean)));
     };
     match (schema.is_named, id) {
         (true, Some(id)) => Ok((schema, check_name(id)?)),
@@ -291,7 +296,7 @@
     }
     let keys = || schema.keys.iter().map(|key| key.name);
     let hint = match nearest(name, keys()).or_else(|| keys().find(|k| k.starts_with(name))) {
-        Some(near) => did_you_mean(near),
+        Some(suggestion) => did_you_mean(suggestion),
         None => format!("known keys: {}", keys().collect::<Vec<_>>().join(", ")),
     };
     let found = name.to_owned();
--- a/crates/state/src/settings/lines.rs
+++ b/crates/state/src/settings/lines.rs
@@ -1,9 +1,9 @@
-//! Splits an INI text into sections and pairs, each with its line.
+//! Splits an INI text into sections and pairs with line numbers.
 //!
-//! rust-ini keeps no line numbers and stops at the first syntax error, while an operator wants
-//! every error of a file at its line. So rust-ini parses one line at a time here. A search for
-//! the line of a key after a whole-file parse was the other way weighed: it needs a second parser
-//! that may disagree with the first. The price is that no value may span lines; none needs to.
+//! rust-ini keeps no line numbers and stops at the first syntax error, but operators need all
+//! errors of a file with their lines. Here rust-ini therefore parses one line at a time. The
+//! alternative, searching for the line of a key after parsing the whole file, needs a second parser
+//! that may disagree with the first. As a consequence, a value cannot span lines; none needs to.
 
 use std::sync::Arc;
 
@@ -12,7 +12,7 @@
 
 use super::error::Problem;
 
-/// What a layer may set.
+/// Role of a layer, which determines the keys that it may set.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum LayerRole {
     Base,
@@ -26,7 +26,7 @@
     pub(crate) role: LayerRole,
     pub(crate) file: Arc<str>,
     pub(crate) sections: Vec<RawSection>,
-    pub(crate) bad_lines: Vec<BadLine>,
+    pub(crate) malformed_lines: Vec<MalformedLine>,
 }
 
 /// One section header and the pairs below it, up to the next header.
@@ -37,7 +37,7 @@
     pub(crate) pairs: Vec<RawPair>,
 }
 
-/// One `key = value`.
+/// One `key = value` pair.
 #[derive(Debug)]
 pub(crate) struct RawPair {
     pub(crate) key: Arc<str>,
@@ -45,9 +45,9 @@
     pub(crate) line: usize,
 }
 
-/// A line that could not be placed.
+/// A line with a syntax error, or a pair outside any section.
 #[derive(Debug)]
-pub(crate) struct BadLine {
+pub(crate) struct MalformedLine {
     pub(crate) line: usize,
     pub(crate) section: Arc<str>,
     pub(crate) key: Arc<str>,
@@ -58,13 +58,13 @@
     Blank,
     Section(Arc<str>),
     Pair(RawPair),
-    Bad,
+    Malformed,
 }
 
-/// Splits a text. Sections come in the order of the text, repeated ones included.
-pub(crate) fn split(text: &str) -> (Vec<RawSection>, Vec<BadLine>) {
+/// Splits a text into sections, in the order of the text and including repeated ones.
+pub(crate) fn split_sections(text: &str) -> (Vec<RawSection>, Vec<MalformedLine>) {
     let mut sections: Vec<RawSection> = Vec::new();
-    let mut bad_lines = Vec::new();
+    let mut malformed_lines = Vec::new();
     let text = text.trim_start_matches('\u{feff}');
     for (index, content) in text.lines().enumerate() {
         let line = index + 1;
@@ -77,13 +77,13 @@
                 pairs: Vec::new(),
             }),
             (Line::Pair(pair), Some(section)) => section.pairs.push(pair),
-            (Line::Pair(pair), None) => bad_lines.push(BadLine {
+            (Line::Pair(pair), None) => malformed_lines.push(MalformedLine {
                 line,
                 section: current,
                 key: pair.key,
                 problem: Problem::OutsideSection,
             }),
-            (Line::Bad, _) => bad_lines.push(BadLine {
+            (Line::Malformed, _) => malformed_lines.push(MalformedLine {
                 line,
                 section: current,
                 key: "".into(),
@@ -93,7 +93,7 @@
             }),
         }
     }
-    (sections, bad_lines)
+    (sections, malformed_lines)
 }
 
 fn parse_line(content: &str, line: usize) -> Line {
@@ -106,9 +106,9 @@
         ..ParseOption::default()
     };
     let Ok(ini) = Ini::load_from_str_opt(content, options) else {
-        return Line::Bad;
+        return Line::Malformed;
     };
-    // A header comes after the empty section that rust-ini keeps for pairs without one.
+    // rust-ini returns a section for pairs without a header first, so a header is the last section.
     match ini.iter().next_back() {
         Some((Some(name), pairs)) if pairs.is_empty() => Line::Section(name.into()),
         Some((None, pairs)) => match pairs.iter().next() {
@@ -117,8 +117,8 @@
                 value: value.into(),
                 line,
             }),
-            None => Line::Bad,
+            None => Line::Malformed,
         },
-        _ => Line::Bad,
+        _ => Line::Malformed,
     }
 }
--- a/crates/state/src/settings/load.rs
+++ b/crates/state/src/settings/load.rs
@@ -1,4 +1,4 @@
-//! Loads settings from texts: all of them, or every finding.
+//! Loads settings from texts, and returns either all settings or all findings.
 
 use std::sync::Arc;
 
@@ -6,36 +6,34 @@
 use super::assemble::assemble;
 use super::checks::check_relations;
 use super::error::SettingsError;
-use super::layers::Merged;
+use super::layers::MergedSettings;
 use super::lines::LayerRole;
 use super::lines::RawLayer;
 use super::lines::RawPair;
 use super::lines::RawSection;
-use super::lines::split;
+use super::lines::split_sections;
 use super::overrides::OVERRIDE_FILE_NAME;
 use super::overrides::Override;
 
-/// A text and the file name to report findings under.
+/// Text of a settings file and the file name for findings.
 #[derive(Debug, Clone, Copy)]
 pub struct SettingsFile<'a> {
-    /// Content.
     pub text: &'a str,
-    /// File name.
     pub name: &'a str,
 }
 
 /// The layers of one site's settings, lowest first.
 #[derive(Debug, Clone, Copy)]
 pub struct Layers<'a> {
-    /// What holds everywhere.
+    /// Settings that apply at every site.
     pub base: SettingsFile<'a>,
-    /// What differs at the site.
+    /// Settings that differ at this site.
     pub overlay: Option<SettingsFile<'a>>,
-    /// What the command line sets; it may set every key.
+    /// Settings from the command line, which may set every key.
     pub overrides: &'a [Override],
 }
 
-/// Loads a base text and the overlay of one site, each with its file name.
+/// Loads settings from a base text and the overlay of one site, each with its file name.
 ///
 /// ```
 /// use sedgeridge_state::settings::load;
@@ -78,19 +76,19 @@
     load_raw(raw_layers(layers))
 }
 
-/// Loads settings from layers that are split already, lowest first.
+/// Loads settings from layers that are already split, lowest first.
 pub(crate) fn load_raw(layers: Vec<RawLayer>) -> Result<Settings, Vec<SettingsError>> {
     merge(layers).map(|merged| assemble(&merged))
 }
 
 /// Merges and checks all layers.
-pub(super) fn merge(layers: Vec<RawLayer>) -> Result<Merged, Vec<SettingsError>> {
-    let mut merged = Merged::default();
+pub(super) fn merge(layers: Vec<RawLayer>) -> Result<MergedSettings, Vec<SettingsError>> {
+    let mut merged = MergedSettings::default();
     let files: Vec<Arc<str>> = layers.iter().map(|layer| layer.file.clone()).collect();
     for layer in layers {
         merged.add_layer(layer);
     }
-    merged.fill_in(&files[0]);
+    merged.add_defaults(&files[0]);
     check_relations(&mut merged);
     if merged.errors.is_empty() {
         return Ok(merged);
@@ -101,7 +99,7 @@
     Err(errors)
 }
 
-/// Splits the texts.
+/// Splits the texts of all layers into sections.
 pub(super) fn raw_layers(layers: &Layers<'_>) -> Vec<RawLayer> {
     let mut raw = vec![text_layer(LayerRole::Base, layers.base)];
     raw.extend(
@@ -113,22 +111,22 @@
         role: LayerRole::Overrides,
         file: OVERRIDE_FILE_NAME.into(),
         sections: override_sections(layers.overrides),
-        bad_lines: Vec::new(),
+        malformed_lines: Vec::new(),
     });
     raw
 }
 
 fn text_layer(role: LayerRole, source: SettingsFile<'_>) -> RawLayer {
-    let (sections, bad_lines) = split(source.text);
+    let (sections, malformed_lines) = split_sections(source.text);
     RawLayer {
         role,
         file: source.name.into(),
         sections,
-        bad_lines,
+        malformed_lines,
     }
 }
 
-/// Turns each override into a section of one pair; its line is its position.
+/// Converts each override to a section with one pair; the line number is its position.
 fn override_sections(overrides: &[Override]) -> Vec<RawSection> {
     let numbered = overrides.iter().enumerate();
     let sections = numbered.map(|(index, item)| RawSection {
--- a/crates/state/src/settings/nearest.rs
+++ b/crates/state/src/settings/nearest.rs
@@ -1,23 +1,23 @@
-//! Picks the known name that a misspelt one most likely stands for.
+//! Finds the known name that is most similar to a misspelled one.
 
-/// Largest edit distance at which a name is still offered.
-const MAX_DISTANCE: usize = 3;
+/// Maximum edit distance at which a name is suggested.
+const MAX_EDIT_DISTANCE: usize = 3;
 
-/// Finds the candidate nearest to `name`, if any is near enough to be a misspelling.
+/// Returns the candidate most similar to `name`, if any is similar enough.
 pub(super) fn nearest<'a>(
     name: &str,
     candidates: impl IntoIterator<Item = &'a str>,
 ) -> Option<&'a str> {
-    let allowed = MAX_DISTANCE.min(name.chars().count() / 2 + 1);
+    let max_distance = MAX_EDIT_DISTANCE.min(name.chars().count() / 2 + 1);
     candidates
         .into_iter()
         .map(|candidate| (edit_distance(name, candidate), candidate))
-        .filter(|(distance, _)| *distance <= allowed)
+        .filter(|(distance, _)| *distance <= max_distance)
         .min_by_key(|(distance, _)| *distance)
         .map(|(_, candidate)| candidate)
 }
 
-/// Counts the insertions, deletions and replacements between two names (Levenshtein).
+/// Returns the Levenshtein distance between two names.
 fn edit_distance(left: &str, right: &str) -> usize {
     let right: Vec<char> = right.chars().collect();
     let mut row: Vec<usize> = (0..=right.len()).collect();
--- a/crates/state/src/settings/overrides.rs
+++ b/crates/state/src/settings/overrides.rs
@@ -1,20 +1,19 @@
-//! Overrides from the command line: the third layer, above base file and overlay.
+//! Overrides from the command line: the third layer, above the base file and the overlay.
 
 use std::sync::Arc;
 
 use thiserror::Error;
 
-/// File name under which findings in overrides are reported.
+/// File name reported for findings in overrides.
 pub const OVERRIDE_FILE_NAME: &str = "--set";
 
 /// One `--set section.key=value`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Override {
-    /// Section, with its name if it has one: `front`, `account.crew-07`.
+    /// Section header, such as `front` or `account.crew-07`.
     pub section: Arc<str>,
-    /// Key.
     pub key: Arc<str>,
-    /// Value, as it would stand in a file.
+    /// Value as written in a file.
     pub value: Arc<str>,
 }
 
@@ -22,12 +21,12 @@
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("--set: expected `section.key=value`, found `{found}`")]
 pub struct OverrideError {
-    /// The argument.
+    /// The invalid argument.
     pub found: String,
 }
 
 impl Override {
-    /// Parses the argument of `--set`. The last dot before `=` ends the section.
+    /// Parses the argument of `--set`. The last dot before `=` separates the section from the key.
     ///
     /// ```
     /// use sedgeridge_state::settings::Override;
--- a/crates/state/src/settings/schema.rs
+++ b/crates/state/src/settings/schema.rs
@@ -1,4 +1,4 @@
-//! The schema of the settings as data. Parsing, checks and the reference page derive from it.
+//! Schema of the settings, from which parsing, checks and the reference page derive.
 
 mod general;
 mod topology;
@@ -20,44 +20,42 @@
     topology::ACCOUNT,
 ];
 
-/// One kind of section.
+/// Schema of one kind of section.
 #[derive(Debug)]
 pub struct SectionSchema {
-    /// Name before the dot, or the whole name.
+    /// Header, or its part before the dot for named sections.
     pub name: &'static str,
-    /// Whether it is written `[name.NAME]` and may stand many times.
+    /// Whether the header is `[name.NAME]` and there may be several such sections.
     pub is_named: bool,
-    /// What it describes.
+    /// Description for the reference page.
     pub doc: &'static str,
-    /// Its keys.
     pub keys: &'static [KeySchema],
 }
 
-/// One key of a section.
+/// Schema of one key.
 #[derive(Debug)]
 pub struct KeySchema {
     /// Name of the key; a suffix gives the unit.
     pub name: &'static str,
-    /// Values it takes.
+    /// Accepted values.
     pub kind: ValueKind,
-    /// What holds when it is absent.
+    /// Value of a missing key.
     pub fallback: Fallback,
-    /// Whether an overlay may set it.
+    /// Files that may set the key.
     pub scope: Scope,
-    /// What it does.
+    /// Description for the reference page.
     pub doc: &'static str,
 }
 
-/// Values that a key takes.
+/// Kind of values that a key accepts.
 #[derive(Debug)]
 pub enum ValueKind {
     /// A whole number.
     Integer {
-        /// Its unit.
         unit: Unit,
-        /// Least accepted value.
+        /// Smallest accepted value.
         min: u64,
-        /// Greatest accepted value.
+        /// Largest accepted value.
         max: u64,
     },
     /// One of a few words.
@@ -66,9 +64,9 @@
     Flag,
     /// A name.
     Name,
-    /// The name of a section of this kind.
+    /// The name of a section of the given kind.
     Reference(&'static str),
-    /// An IP number and a port.
+    /// An IP address and a port.
     Address,
     /// A SHA-256 digest.
     Digest,
@@ -79,37 +77,34 @@
 pub enum Unit {
     /// A plain count.
     Count,
-    /// Thousandths of a second.
     Milliseconds,
-    /// Bytes.
     Bytes,
-    /// Hundredths.
     Percent,
-    /// A count for each second.
+    /// A count per second.
     PerSecond,
 }
 
-/// What holds when a key is absent.
+/// Value of a missing key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fallback {
     /// The key must be given.
     Mandatory,
     /// The value stays unset.
     Unset,
-    /// This value.
+    /// The key has this default.
     Value(&'static str),
 }
 
-/// Which files may set a key.
+/// Files that may set a key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Scope {
-    /// The base file only: the fleet must agree on it.
+    /// The base file only, because the whole fleet must agree on the value.
     Fleet,
-    /// The base file, and the overlay of a site where it differs.
+    /// The base file and the overlay of a site.
     Site,
 }
 
-const fn whole(unit: Unit, min: u64, max: u64) -> ValueKind {
+const fn integer(unit: Unit, min: u64, max: u64) -> ValueKind {
     ValueKind::Integer { unit, min, max }
 }
 
@@ -130,13 +125,13 @@
 }
 
 impl Unit {
-    /// Describes numbers of this unit.
+    /// Describes a number with this unit.
     ///
     /// ```
     /// use sedgeridge_state::settings::schema::Unit;
-    /// assert_eq!(Unit::Bytes.noun(), "a whole number of bytes");
+    /// assert_eq!(Unit::Bytes.description(), "a whole number of bytes");
     /// ```
-    pub fn noun(self) -> &'static str {
+    pub fn description(self) -> &'static str {
         match self {
             Self::Count => "a whole number",
             Self::Milliseconds => "a whole number of milliseconds",
@@ -146,8 +141,8 @@
         }
     }
 
-    /// Finds what a number with this suffix is multiplied by to have this unit.
-    pub(super) fn factor(self, suffix: &str) -> Option<f64> {
+    /// Returns the factor that converts a number with this suffix to this unit.
+    pub(super) fn factor_from_suffix(self, suffix: &str) -> Option<f64> {
         let suffix = suffix.to_ascii_lowercase();
         let factor = match (self, suffix.as_str()) {
             (_, "") => 1.0,
@@ -180,7 +175,9 @@
     /// ```
     pub fn expected(&self) -> String {
         match self {
-            Self::Integer { unit, min, max } => format!("{} from {min} to {max}", unit.noun()),
+            Self::Integer { unit, min, max } => {
+                format!("{} from {min} to {max}", unit.description())
+            }
             Self::Choice(choices) => format!("one of {}", choices.join(", ")),
             Self::Flag => "yes or no".to_owned(),
             Self::Name => "a name of letters, digits, `-` and `_`".to_owned(),
@@ -192,7 +189,7 @@
 }
 
 impl SectionSchema {
-    /// Finds a key of this section.
+    /// Returns the schema of a key of this section.
     ///
     /// ```
     /// use sedgeridge_state::settings::schema::section;
@@ -203,7 +200,7 @@
     }
 }
 
-/// Finds the schema of a kind of section.
+/// Returns the schema of a kind of section.
 ///
 /// ```
 /// assert!(sedgeridge_state::settings::schema::section("nothing").is_none());
--- a/crates/state/src/settings/schema/topology.rs
+++ b/crates/state/src/settings/schema/topology.rs
@@ -1,4 +1,4 @@
-//! Schema of the sections with a name: sites, hosts, endpoints, accounts and so on.
+//! Schema of the named sections: sites, hosts, pools, services, endpoints and accounts.
 
 use super::Fallback::Mandatory;
 use super::Fallback::Unset;
@@ -14,8 +14,8 @@
 use super::ValueKind::Flag;
 use super::ValueKind::Name;
 use super::ValueKind::Reference;
+use super::integer;
 use super::key;
-use super::whole;
 
 /// Schema of `[site.NAME]`.
 pub(super) const SITE: SectionSchema = SectionSchema {
@@ -90,7 +90,7 @@
         ),
         key(
             "floor",
-            whole(Count, 0, 100_000),
+            integer(Count, 0, 100_000),
             Value("0"),
             Fleet,
             "Fewest endpoints that orders must leave serving; at most the endpoints of the pool.",
@@ -151,7 +151,7 @@
         key("address", Address, Mandatory, Site, "Where it listens."),
         key(
             "slots",
-            whole(Count, 1, 100_000),
+            integer(Count, 1, 100_000),
             Mandatory,
             Fleet,
             "Requests it may run at once.",
@@ -174,7 +174,7 @@
     keys: &[
         key(
             "weight",
-            whole(Count, 1, 10_000),
+            integer(Count, 1, 10_000),
             Value("1"),
             Fleet,
             "Share relative to other accounts.",
@@ -188,14 +188,14 @@
         ),
         key(
             "max_in_progress",
-            whole(Count, 0, 1_000_000),
+            integer(Count, 0, 1_000_000),
             Value("0"),
             Fleet,
             "Most requests in progress at once across the fleet; 0 means no ceiling.",
         ),
         key(
             "max_requests_per_s",
-            whole(PerSecond, 0, 1_000_000),
+            integer(PerSecond, 0, 1_000_000),
             Value("0"),
             Fleet,
             "Most requests started a second across the fleet; 0 means no ceiling.",
--- a/crates/state/src/settings/topology.rs
+++ b/crates/state/src/settings/topology.rs
@@ -1,4 +1,4 @@
-//! Sections with a name: sites, hosts, pools, services, endpoints and accounts.
+//! Typed settings of the named sections: sites, hosts, pools, services, endpoints and accounts.
 
 use std::net::SocketAddr;
 
@@ -14,7 +14,7 @@
 pub struct SiteSettings {
     /// Name of the site.
     pub id: SiteId,
-    /// Region the site lies in.
+    /// Region of the site.
     pub region: String,
 }
 
@@ -23,15 +23,15 @@
 pub struct HostSettings {
     /// Name of the host.
     pub id: HostId,
-    /// Site it stands in.
+    /// Site of the host.
     pub site: SiteId,
-    /// Where callers connect.
+    /// Address for callers.
     pub caller_address: SocketAddr,
-    /// Where other routers connect.
+    /// Address for other routers.
     pub peer_address: SocketAddr,
-    /// Where operators and metric collectors connect.
+    /// Address for operators and metric collectors.
     pub operator_address: SocketAddr,
-    /// Where operators of its coordinator connect; a host without it runs none.
+    /// Address for operators of the coordinator; a host without it runs no coordinator.
     pub coordinator_address: Option<SocketAddr>,
 }
 
@@ -40,33 +40,33 @@
 pub struct PoolSettings {
     /// Name of the pool.
     pub id: PoolId,
-    /// What its endpoints speak.
+    /// Protocol of its endpoints.
     pub kind: PoolKind,
-    /// Fewest endpoints that orders must leave serving.
+    /// Minimum number of endpoints that orders must leave serving.
     pub floor: u32,
 }
 
-/// What the endpoints of a pool speak.
+/// Protocol of the endpoints of a pool.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum PoolKind {
-    /// Model engines: the chat-completions form.
+    /// The chat completions API of model engines.
     #[default]
     Model,
-    /// Plain HTTP services.
+    /// Plain HTTP.
     Plain,
 }
 
-/// Rank of a service within one client account: interactive work goes before deferred work.
+/// Priority of a service within one client account: interactive requests go before deferred ones.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum RequestClass {
-    /// Somebody waits for it.
+    /// A person is waiting for the answer.
     #[default]
     Interactive,
-    /// It may wait.
+    /// The request may wait.
     Deferred,
 }
 
-/// Section `[service.NAME]`: what callers address.
+/// Section `[service.NAME]`: a service that callers request.
 ///
 /// Callers name a model service in the request's `model` field, and a plain service by the path
 /// `/services/NAME/...`.
@@ -78,7 +78,7 @@
     pub pool: PoolId,
     /// Whether a request may run more than once.
     pub repeatable: bool,
-    /// Rank within one client account.
+    /// Priority within one client account.
     pub class: RequestClass,
 }
 
@@ -89,13 +89,13 @@
     pub id: EndpointId,
     /// Pool it belongs to.
     pub pool: PoolId,
-    /// Site it stands in.
+    /// Site of the endpoint.
     pub site: SiteId,
-    /// Where it listens.
+    /// Address it listens on.
     pub address: SocketAddr,
-    /// Requests it may run at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Whether it refuses orders with an old fencing number.
+    /// Whether it refuses orders with an outdated fencing number.
     pub checks_fencing: bool,
 }
 
@@ -104,12 +104,12 @@
 pub struct AccountSettings {
     /// Name of the account.
     pub id: AccountId,
-    /// Share relative to other accounts.
+    /// Weight of the account's share relative to other accounts.
     pub weight: u32,
     /// SHA-256 of the account's key, in lower-case hexadecimal.
     pub key_sha256: String,
-    /// Most requests in progress at once across the fleet; 0 means no ceiling.
+    /// Maximum number of requests in progress across the fleet; 0 means no limit.
     pub max_in_progress: u32,
-    /// Most requests started a second across the fleet; 0 means no ceiling.
+    /// Maximum number of requests started per second across the fleet; 0 means no limit.
     pub max_requests_per_s: u32,
 }
--- a/crates/state/src/settings/value.rs
+++ b/crates/state/src/settings/value.rs
@@ -1,4 +1,5 @@
-//! Turns the text of one value into a typed value, or says what was expected.
+//! Parses the text of one value to a typed value, or returns a rejection that tells what was
+//! expected.
 
 use std::fmt;
 use std::net::IpAddr;
@@ -13,7 +14,7 @@
 use super::schema::Unit;
 use super::schema::ValueKind;
 
-/// Longest name of an account, host and so on.
+/// Maximum length of the name of an account, host or other section.
 const MAX_NAME_CHARS: usize = 64;
 /// Hexadecimal digits of a SHA-256 digest.
 const DIGEST_DIGITS: usize = 64;
@@ -39,10 +40,10 @@
     }
 }
 
-/// Checks a text against the kind of value its key takes.
+/// Parses a text as the kind of value that its key accepts.
 pub(super) fn check_value(kind: &ValueKind, text: &str) -> Result<Value, Rejection> {
     match kind {
-        ValueKind::Integer { unit, min, max } => check_whole(kind, *unit, *min..=*max, text),
+        ValueKind::Integer { unit, min, max } => check_integer(kind, *unit, *min..=*max, text),
         ValueKind::Choice(choices) => check_choice(kind, choices, text),
         ValueKind::Flag => check_flag(kind, text),
         ValueKind::Name => check_name(text).map(Value::Text),
@@ -59,7 +60,7 @@
     }
 }
 
-fn check_whole(
+fn check_integer(
     kind: &ValueKind,
     unit: Unit,
     range: RangeInclusive<u64>,
@@ -68,7 +69,7 @@
     if text.is_empty() || !text.chars().all(|c| c.is_ascii_digit()) {
         return Err(reject_number(kind, unit, &range, text));
     }
-    // Digits alone fail to parse only when there are too many of them.
+    // Text of digits only fails to parse only if the number is too large.
     let number = text.parse().unwrap_or(u64::MAX);
     if !range.contains(&number) {
         let nearest = number.clamp(*range.start(), *range.end());
@@ -91,8 +92,8 @@
     if let Some(hint) = comment_hint(text) {
         return Rejection::new(wrong_type(kind, text), hint);
     }
-    let plain: String = text.chars().filter(|c| !"_,' ".contains(*c)).collect();
-    let (number, suffix) = split_number(&plain);
+    let ungrouped: String = text.chars().filter(|c| !"_,' ".contains(*c)).collect();
+    let (number, suffix) = split_number(&ungrouped);
     let converted = convert(number, suffix, unit, range).map(|number| format!("write {number}"));
     let carries_unit = number.parse::<f64>().is_ok() && !suffix.is_empty();
     if !carries_unit {
@@ -102,8 +103,8 @@
         expected: kind.expected(),
         found: text.to_owned(),
     };
-    let number_alone = || "the key names the unit; write the number alone".to_owned();
-    Rejection::new(problem, converted.unwrap_or_else(number_alone))
+    let unit_hint = || "the key names the unit; write the number alone".to_owned();
+    Rejection::new(problem, converted.unwrap_or_else(unit_hint))
 }
 
 fn split_number(text: &str) -> (&str, &str) {
@@ -112,14 +113,14 @@
     text.split_at(end)
 }
 
-/// Converts a number with a unit, when the result is whole and accepted.
+/// Converts a number with a unit, if the result is whole and in range.
 fn convert(number: &str, suffix: &str, unit: Unit, range: &RangeInclusive<u64>) -> Option<f64> {
-    let converted = number.parse::<f64>().ok()? * unit.factor(suffix)?;
+    let converted = number.parse::<f64>().ok()? * unit.factor_from_suffix(suffix)?;
     let accepted = *range.start() as f64..=*range.end() as f64;
     (converted.fract() == 0.0 && accepted.contains(&converted)).then_some(converted)
 }
 
-/// Explains a value that ends in what was meant as a comment.
+/// Returns a hint if the value seems to end in a comment.
 fn comment_hint(text: &str) -> Option<String> {
     let has_comment = text.contains(" #") || text.contains(" ;");
     has_comment.then(|| "a comment needs a line of its own".to_owned())
@@ -154,7 +155,7 @@
     }
 }
 
-/// Checks one value against the schema, as when it stood in a base file.
+/// Checks one value against the schema, as if it were in a base file.
 ///
 /// ```
 /// use sedgeridge_state::settings::check_setting;
@@ -174,7 +175,7 @@
     check_value(&key.kind, text).map(|_| ())
 }
 
-/// Checks the name of a section, or of what a value refers to.
+/// Checks the name of a section, or the name that a value refers to.
 ///
 /// ```
 /// use sedgeridge_state::settings::check_name;
@@ -182,16 +183,16 @@
 /// assert!(check_name("crew 07").is_err());
 /// ```
 pub fn check_name(text: &str) -> Result<Arc<str>, Rejection> {
-    let starts_well = text.starts_with(|c: char| c.is_ascii_alphanumeric());
+    let has_valid_start = text.starts_with(|c: char| c.is_ascii_alphanumeric());
     let accepted = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
-    if starts_well && text.len() <= MAX_NAME_CHARS && text.chars().all(accepted) {
+    if has_valid_start && text.len() <= MAX_NAME_CHARS && text.chars().all(accepted) {
         return Ok(text.into());
     }
-    let stray = text.chars().find(|c| !accepted(*c));
-    let hint = match stray {
-        Some(stray) => format!("`{stray}` is not accepted in a name"),
+    let invalid_char = text.chars().find(|c| !accepted(*c));
+    let hint = match invalid_char {
+        Some(invalid_char) => format!("`{invalid_char}` is not accepted in a name"),
         None if text.is_empty() => "the name is empty".to_owned(),
-        None if starts_well => format!("a name has at most {MAX_NAME_CHARS} characters"),
+        None if has_valid_start => format!("a name has at most {MAX_NAME_CHARS} characters"),
         None => "a name begins with a letter or digit".to_owned(),
     };
     let problem = Problem::BadName {
@@ -219,8 +220,8 @@
 }
 
 fn check_digest(kind: &ValueKind, text: &str) -> Result<Value, Rejection> {
-    let lower_hex = |c: char| c.is_ascii_digit() || ('a'..='f').contains(&c);
-    if text.len() == DIGEST_DIGITS && text.chars().all(lower_hex) {
+    let is_lower_hex = |c: char| c.is_ascii_digit() || ('a'..='f').contains(&c);
+    if text.len() == DIGEST_DIGITS && text.chars().all(is_lower_hex) {
         return Ok(Value::Text(text.into()));
     }
     let is_hex = text.chars().all(|c| c.is_ascii_hexdigit());
@@ -231,11 +232,11 @@
     } else {
         format!("{} digits were found", text.len())
     };
-    // The text may be the key itself, which must not reach a terminal or a log.
+    // The text may be the secret key itself, which must not appear on a terminal or in a log.
     Err(Rejection::new(wrong_type(kind, "(not shown)"), hint))
 }
 
-/// Words the hint that offers a known name.
+/// Returns the hint that suggests a known name.
 pub(super) fn did_you_mean(name: &str) -> String {
     format!("did you mean `{name}`?")
 }
--- a/crates/state/tests/settings/fuzz.rs
+++ b/crates/state/tests/settings/fuzz.rs
@@ -1,4 +1,4 @@
-//! Random input to the loader and to documents, from a fixed seed.
+//! Tests of the loader and of documents with random input from a fixed seed.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -15,8 +15,8 @@
 use sedgeridge_state::settings::load;
 
 use crate::refusal::BASE;
-use crate::refusal::BASE_NAME;
-use crate::refusal::OVERLAY_NAME;
+use crate::refusal::BASE_FILE_NAME;
+use crate::refusal::OVERLAY_FILE_NAME;
 
 fn runner(cases: u32) -> TestRunner {
     let config = Config {
@@ -27,7 +27,7 @@
     TestRunner::new_with_rng(config, TestRng::deterministic_rng(RngAlgorithm::ChaCha))
 }
 
-/// A base file with a few lines dropped, doubled, swapped for others or filled with noise.
+/// A base file with a few lines removed, duplicated, replaced by others or followed by noise.
 fn damaged_base() -> impl Strategy<Value = String> {
     let damage = (0_usize..60, 0_usize..60, 0_u8..4, "[ -~]{0,12}");
     proptest::collection::vec(damage, 1..6).prop_map(|damages| {
@@ -56,23 +56,23 @@
     let overlays = proptest::collection::btree_map(site, layer(), 0..3);
     (layer(), overlays).prop_map(|(base, overlays)| ConfigDocument {
         base,
-        overlays: filled(overlays),
+        overlays: without_empty_overlays(overlays),
     })
 }
 
-/// A document has no empty overlays.
-fn filled(mut overlays: BTreeMap<Arc<str>, Layer>) -> BTreeMap<Arc<str>, Layer> {
+/// Removes empty overlays, which a document never has.
+fn without_empty_overlays(mut overlays: BTreeMap<Arc<str>, Layer>) -> BTreeMap<Arc<str>, Layer> {
     overlays.retain(|_, layer| !layer.is_empty());
     overlays
 }
 
 #[test]
-fn damaged_files_load_or_name_lines_that_exist() {
+fn damaged_files_load_or_report_existing_lines() {
     let both = (damaged_base(), damaged_base());
     let result = runner(2_000).run(&both, |(base, overlay)| {
-        let errors = load(&base, BASE_NAME, Some((&overlay, OVERLAY_NAME)));
+        let errors = load(&base, BASE_FILE_NAME, Some((&overlay, OVERLAY_FILE_NAME)));
         for error in errors.err().into_iter().flatten() {
-            let text = if &*error.file == BASE_NAME {
+            let text = if &*error.file == BASE_FILE_NAME {
                 &base
             } else {
                 &overlay
@@ -86,9 +86,9 @@
 }
 
 #[test]
-fn any_text_is_answered() {
+fn arbitrary_text_is_refused() {
     let result = runner(2_000).run(&"(?s).{0,200}", |text| {
-        prop_assert!(load(&text, BASE_NAME, None).is_err());
+        prop_assert!(load(&text, BASE_FILE_NAME, None).is_err());
         Ok(())
     });
     result.unwrap();
--- a/crates/state/tests/settings/layers.rs
+++ b/crates/state/tests/settings/layers.rs
@@ -1,4 +1,4 @@
-//! The loader on good input: defaults, layers, overrides and the schema's own soundness.
+//! Tests of the loader with valid input (defaults, layers, overrides) and of the schema.
 
 use std::collections::BTreeSet;
 
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn every_section_reaches_its_typed_form() {
+fn every_section_is_converted_to_typed_settings() {
     let settings = load_with(None, &[]);
 
     assert_eq!(settings.fleet.name, "demo");
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn a_later_layer_goes_above_an_earlier_one() {
+fn later_layers_override_earlier_ones() {
     let overlay = "[front]\nmax_queue = 700\n[host.a]\npeer_address = 127.0.0.1:9002\n";
 
     let merged = load_with(Some(overlay), &[]);
@@ -123,8 +123,8 @@
     for section in SECTIONS {
         for key in section.keys {
             if let ValueKind::Integer { unit, min, max } = key.kind {
-                let wide = matches!(unit, Unit::Milliseconds | Unit::Bytes);
-                assert!(wide || u32::try_from(max).is_ok(), "{}", key.name);
+                let is_u64 = matches!(unit, Unit::Milliseconds | Unit::Bytes);
+                assert!(is_u64 || u32::try_from(max).is_ok(), "{}", key.name);
                 assert!(min <= max, "{}", key.name);
             }
         }
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn names_of_the_schema_stand_once() {
+fn schema_names_are_unique() {
     let mut sections = BTreeSet::new();
     for section in SECTIONS {
         assert!(sections.insert(section.name), "[{}]", section.name);
--- a/crates/state/tests/settings/main.rs
+++ b/crates/state/tests/settings/main.rs
@@ -1,4 +1,4 @@
-//! Loading of settings: layers, malformed input, random input.
+//! Tests of loading settings: layers, malformed input and random input.
 
 mod fuzz;
 mod layers;
--- a/crates/state/tests/settings/refusal.rs
+++ b/crates/state/tests/settings/refusal.rs
@@ -1,4 +1,4 @@
-//! A sound base file, and what a test of malformed settings expects of the finding.
+//! A valid base file, and helpers that check the finding for malformed settings.
 
 use sedgeridge_state::settings::Layers;
 use sedgeridge_state::settings::Override;
@@ -6,8 +6,8 @@
 use sedgeridge_state::settings::SettingsFile;
 use sedgeridge_state::settings::load_layers;
 
-pub const BASE_NAME: &str = "base.ini";
-pub const OVERLAY_NAME: &str = "site-north.ini";
+pub const BASE_FILE_NAME: &str = "base.ini";
+pub const OVERLAY_FILE_NAME: &str = "site-north.ini";
 
 pub const BASE: &str = "\
 [fleet]
@@ -57,26 +57,26 @@
 key_sha256 = 1123456789abcdef0123456789abcdef0123456789abcdef0123456789abcdef
 ";
 
-/// What a case expects of its one finding.
+/// Expected content of the only finding of a case.
 pub struct Expected {
-    /// Text of the line that the finding must point to.
-    pub at: &'static str,
-    /// Key of the finding, empty for a whole section.
+    /// Text of the line that the finding refers to.
+    pub line_text: &'static str,
+    /// Key of the finding; empty for a whole section.
     pub key: &'static str,
-    /// Whole message.
+    /// Complete message.
     pub message: &'static str,
-    /// Whole hint, empty for none.
+    /// Complete hint; empty for none.
     pub hint: &'static str,
 }
 
 pub const fn expect(
-    at: &'static str,
+    line_text: &'static str,
     key: &'static str,
     message: &'static str,
     hint: &'static str,
 ) -> Expected {
     Expected {
-        at,
+        line_text,
         key,
         message,
         hint,
@@ -87,11 +87,11 @@
     let layers = Layers {
         base: SettingsFile {
             text: base,
-            name: BASE_NAME,
+            name: BASE_FILE_NAME,
         },
         overlay: Some(SettingsFile {
             text: overlay,
-            name: OVERLAY_NAME,
+            name: OVERLAY_FILE_NAME,
         }),
         overrides,
     };
@@ -108,7 +108,7 @@
         panic!("expected one finding, got {findings:#?}");
     };
     assert_eq!(&*found.file, file);
-    assert_eq!(text.lines().nth(found.line - 1), Some(expected.at));
+    assert_eq!(text.lines().nth(found.line - 1), Some(expected.line_text));
     assert_eq!(&*found.key, expected.key);
     assert_eq!(found.problem.to_string(), expected.message);
     assert_eq!(found.hint.as_deref().unwrap_or_default(), expected.hint);
--- a/crates/state/tests/settings/refused.rs
+++ b/crates/state/tests/settings/refused.rs
@@ -1,21 +1,21 @@
-//! Malformed settings: each gives its own finding with file, line, key, what was expected, a hint.
+//! Tests that malformed settings give the right finding: file, line, key, expected value and hint.
 //!
-//! A case changes one line of a sound base file. The line of the finding is then checked by its
-//! text, so that cases do not depend on line numbers.
+//! Each case changes one place of a valid base file. The line of the finding is checked by its
+//! text, so the cases do not depend on line numbers.
 
 use sedgeridge_state::settings::load;
 use yare::parameterized;
 
 use crate::refusal::BASE;
-use crate::refusal::BASE_NAME;
+use crate::refusal::BASE_FILE_NAME;
 use crate::refusal::Expected;
 use crate::refusal::assert_only_finding;
 use crate::refusal::expect;
 use crate::refusal::findings;
 
 #[test]
-fn the_base_of_all_cases_is_sound() {
-    assert_eq!(load(BASE, BASE_NAME, None).err(), None);
+fn base_of_all_cases_is_valid() {
+    assert_eq!(load(BASE, BASE_FILE_NAME, None).err(), None);
 }
 
 #[parameterized(
@@ -47,7 +47,7 @@
         expect("[site]", "",
             "expected a known section, found `site`",
             "write [site.NAME]") },
-    section_with_a_name_too_many = { "[fair]\n", "[retry.now]\n[fair]\n",
+    section_that_takes_no_name = { "[fair]\n", "[retry.now]\n[fair]\n",
         expect("[retry.now]", "",
             "expected a known section, found `retry.now`",
             "write [retry], it takes no name") },
@@ -97,7 +97,7 @@
         expect("max_queue = 1_000", "max_queue",
             "expected a whole number from 1 to 1000000, found `1_000`",
             "write 1000") },
-    comment_behind_a_value = { "max_queue = 600", "max_queue = 600 ; enough",
+    comment_after_a_value = { "max_queue = 600", "max_queue = 600 ; enough",
         expect("max_queue = 600 ; enough", "max_queue",
             "expected a whole number from 1 to 1000000, found `600 ; enough`",
             "a comment needs a line of its own") },
@@ -179,7 +179,7 @@
         expect("peer_address = 127.0.0.1:70020", "peer_address",
             "expected an IP number and a port, found `127.0.0.1:70020`",
             "a port is a number from 1 to 65535") },
-    address_of_no_host = { "peer_address = 127.0.0.1:7002", "peer_address = 0.0.0.0:7002",
+    unspecified_address = { "peer_address = 127.0.0.1:7002", "peer_address = 0.0.0.0:7002",
         expect("peer_address = 0.0.0.0:7002", "peer_address",
             "expected an IP number and a port, found `0.0.0.0:7002`",
             "write the address that others connect to") },
@@ -191,7 +191,7 @@
         expect("address = 127.0.0.1:7002", "address",
             "expected a unique address, found that of [host.a]",
             "127.0.0.1:7002 is `peer_address` there") },
-    key_in_place_of_its_hash = { "key_sha256 = 1123456789abcdef0123456789abcdef0123456789abcdef0123456789abcdef", "key_sha256 = sk-secret",
+    key_instead_of_its_hash = { "key_sha256 = 1123456789abcdef0123456789abcdef0123456789abcdef0123456789abcdef", "key_sha256 = sk-secret",
         expect("key_sha256 = sk-secret", "key_sha256",
             "expected 64 lower-case hexadecimal digits, found `(not shown)`",
             "give the SHA-256 of the key, never the key itself") },
@@ -203,19 +203,19 @@
         expect("key_sha256 = 0123456789ABCDEF0123456789ABCDEF0123456789ABCDEF0123456789ABCDEF", "key_sha256",
             "expected 64 lower-case hexadecimal digits, found `(not shown)`",
             "write the digits in lower case") },
-    service_of_no_pool = { "pool = desk\nrepeatable", "pool = dsk\nrepeatable",
+    service_of_unknown_pool = { "pool = desk\nrepeatable", "pool = dsk\nrepeatable",
         expect("pool = dsk", "pool",
             "expected the name of a [pool.NAME] section, found `dsk`",
             "did you mean `desk`?") },
-    host_at_no_site = { "site = north\ncaller", "site = lighthouse\ncaller",
+    host_at_unknown_site = { "site = north\ncaller", "site = lighthouse\ncaller",
         expect("site = lighthouse", "site",
             "expected the name of a [site.NAME] section, found `lighthouse`",
             "known: north") },
-    endpoint_at_no_site = { "site = north\naddress", "site = nort\naddress",
+    endpoint_at_unknown_site = { "site = north\naddress", "site = nort\naddress",
         expect("site = nort", "site",
             "expected the name of a [site.NAME] section, found `nort`",
             "did you mean `north`?") },
-    endpoint_of_no_pool = { "[endpoint.desk-1]\npool = desk", "[endpoint.desk-2]\npool = bar\nsite = north\naddress = 127.0.0.1:8002\nslots = 1\n[endpoint.desk-1]\npool = desk",
+    endpoint_of_unknown_pool = { "[endpoint.desk-1]\npool = desk", "[endpoint.desk-2]\npool = bar\nsite = north\naddress = 127.0.0.1:8002\nslots = 1\n[endpoint.desk-1]\npool = desk",
         expect("pool = bar", "pool",
             "expected the name of a [pool.NAME] section, found `bar`",
             "known: desk") },
@@ -223,19 +223,19 @@
         expect("[pool.spare]", "",
             "expected at least one endpoint in the pool, found none",
             "add `pool = spare` to an [endpoint.NAME] section") },
-    floor_above_the_pool = { "floor = 1", "floor = 2",
+    floor_above_pool_size = { "floor = 1", "floor = 2",
         expect("floor = 2", "floor",
             "expected at most 1, the endpoints of the pool, found `2`",
             "") },
-    queue_of_an_account_above_all = { "max_queue = 600", "max_queue_per_account = 5000",
+    account_queue_above_total = { "max_queue = 600", "max_queue_per_account = 5000",
         expect("max_queue_per_account = 5000", "max_queue_per_account",
             "expected at most 4096, the value of max_queue, found `5000`",
             "") },
-    body_above_what_is_held_for_an_account = { "max_queue = 600", "max_body_bytes = 20000000",
+    body_limit_above_account_limit = { "max_queue = 600", "max_body_bytes = 20000000",
         expect("max_body_bytes = 20000000", "max_body_bytes",
             "expected at most 8388608, the value of max_held_body_bytes_per_account, found `20000000`",
             "") },
-    bodies_of_an_account_above_all = { "max_queue = 600", "max_held_body_bytes_per_account = 20000000",
+    account_body_limit_above_total = { "max_queue = 600", "max_held_body_bytes_per_account = 20000000",
         expect("max_held_body_bytes_per_account = 20000000", "max_held_body_bytes_per_account",
             "expected at most 16777216, the value of max_held_body_bytes, found `20000000`",
             "") },
@@ -288,5 +288,5 @@
     assert_eq!(BASE.matches(old).count(), 1, "the case changes one place");
     let base = BASE.replace(old, new);
 
-    assert_only_finding(&findings(&base, "", &[]), BASE_NAME, &base, &expected);
+    assert_only_finding(&findings(&base, "", &[]), BASE_FILE_NAME, &base, &expected);
 }
--- a/crates/state/tests/settings/refused_layers.rs
+++ b/crates/state/tests/settings/refused_layers.rs
@@ -1,13 +1,13 @@
-//! Malformed overlays and overrides, and findings that concern more than one line.
+//! Tests of malformed overlays and overrides, and of findings that concern more than one line.
 
 use sedgeridge_state::settings::Override;
 use sedgeridge_state::settings::OverrideError;
 use yare::parameterized;
 
 use crate::refusal::BASE;
-use crate::refusal::BASE_NAME;
+use crate::refusal::BASE_FILE_NAME;
 use crate::refusal::Expected;
-use crate::refusal::OVERLAY_NAME;
+use crate::refusal::OVERLAY_FILE_NAME;
 use crate::refusal::assert_only_finding;
 use crate::refusal::expect;
 use crate::refusal::findings;
@@ -45,7 +45,7 @@
 fn overlay_is_refused(overlay: &str, expected: Expected) {
     let found = findings(BASE, overlay, &[]);
 
-    assert_only_finding(&found, OVERLAY_NAME, overlay, &expected);
+    assert_only_finding(&found, OVERLAY_FILE_NAME, overlay, &expected);
 }
 
 #[parameterized(
@@ -79,7 +79,7 @@
     empty_section = { ".max_queue=5" },
     empty_key = { "front.=5" },
 )]
-fn override_is_no_assignment(argument: &str) {
+fn malformed_override_is_refused(argument: &str) {
     let refused = OverrideError {
         found: argument.to_owned(),
     };
@@ -112,7 +112,7 @@
         "expected once, found again after line 40",
         "put the keys of a section below one header",
     );
-    assert_only_finding(&found, BASE_NAME, &base, &expected);
+    assert_only_finding(&found, BASE_FILE_NAME, &base, &expected);
     assert!(found[0].line > 40);
 }
 
@@ -121,18 +121,18 @@
     let overlay = "[host.a]\npeer_address = 127.0.0.1:8001\n";
     let found = findings(BASE, overlay, &[]);
 
-    // The endpoint comes later, so the finding stands at its line and names the host.
+    // The endpoint comes after the host, so the finding is at its line and names the host.
     let expected = expect(
         "address = 127.0.0.1:8001",
         "address",
         "expected a unique address, found that of [host.a]",
         "127.0.0.1:8001 is `peer_address` there",
     );
-    assert_only_finding(&found, BASE_NAME, BASE, &expected);
+    assert_only_finding(&found, BASE_FILE_NAME, BASE, &expected);
 }
 
 #[test]
-fn every_finding_comes_at_once_and_in_order() {
+fn all_findings_are_returned_in_order() {
     let base = BASE
         .replace("max_queue = 600", "max_queue = many")
         .replace("[fair]", "[fair")
@@ -143,13 +143,13 @@
 
     let places: Vec<(&str, usize)> = found.iter().map(|f| (&*f.file, f.line)).collect();
     let expected = [
-        (BASE_NAME, 5),
-        (BASE_NAME, 8),
-        (BASE_NAME, 9),
-        (BASE_NAME, 38),
-        (BASE_NAME, 41),
-        (OVERLAY_NAME, 2),
-        (OVERLAY_NAME, 4),
+        (BASE_FILE_NAME, 5),
+        (BASE_FILE_NAME, 8),
+        (BASE_FILE_NAME, 9),
+        (BASE_FILE_NAME, 38),
+        (BASE_FILE_NAME, 41),
+        (OVERLAY_FILE_NAME, 2),
+        (OVERLAY_FILE_NAME, 4),
         ("--set", 1),
     ];
     assert_eq!(places, expected);
