--- a/crates/state/src/settings.rs
+++ b/crates/state/src/settings.rs
@@ -164,7 +164,7 @@
     pub output_token_factor: u32,
     /// Maximum time during which peer messages are batched into one.
     pub batch_interval_ms: u64,
-    /// Maximum delay of updates to peers that no work is waiting for.
+    /// Maximum delay of reports to peers on which no waiting work depends.
     pub report_interval_ms: u64,
     /// Time during which one grant may be reused for further short requests of its account; with 0,
     /// every grant covers one request.
--- a/crates/state/src/settings/schema.rs
+++ b/crates/state/src/settings/schema.rs
@@ -39,7 +39,7 @@
     pub name: &'static str,
     /// Accepted values.
     pub kind: ValueKind,
-    /// Value of a missing key.
+    /// Default of a key.
     pub fallback: Fallback,
     /// Files that may set the key.
     pub scope: Scope,
@@ -84,7 +84,7 @@
     PerSecond,
 }
 
-/// Value of a missing key.
+/// Default of a key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fallback {
     /// The key must be given.
--- a/crates/state/src/settings/value.rs
+++ b/crates/state/src/settings/value.rs
@@ -69,7 +69,7 @@
     if text.is_empty() || !text.chars().all(|c| c.is_ascii_digit()) {
         return Err(reject_number(kind, unit, &range, text));
     }
-    // Text of digits only fails to parse only if the number is too large.
+    // A string of digits fails to parse only if the number is too large.
     let number = text.parse().unwrap_or(u64::MAX);
     if !range.contains(&number) {
         let nearest = number.clamp(*range.start(), *range.end());
