--- a/crates/state/src/settings/schema/topology.rs
+++ b/crates/state/src/settings/schema/topology.rs
@@ -1,4 +1,4 @@
-//! Schema of the sections with a name: sites, hosts, endpoints, accounts and so on.
+//! Schema of the named sections: sites, hosts, pools, services, endpoints and accounts.
 
 use super::Fallback::Mandatory;
 use super::Fallback::Unset;
@@ -14,13 +14,13 @@
 use super::ValueKind::Flag;
 use super::ValueKind::Name;
 use super::ValueKind::Reference;
+use super::integer;
 use super::key;
-use super::whole;
 
 /// Schema of `[site.NAME]`.
 pub(super) const SITE: SectionSchema = SectionSchema {
     name: "site",
-    named: true,
+    is_named: true,
     doc: "A site (data centre).",
     keys: &[key(
         "region",
@@ -34,7 +34,7 @@
 /// Schema of `[host.NAME]`.
 pub(super) const HOST: SectionSchema = SectionSchema {
     name: "host",
-    named: true,
+    is_named: true,
     doc: "A host that runs one router.",
     keys: &[
         key(
@@ -78,7 +78,7 @@
 /// Schema of `[pool.NAME]`.
 pub(super) const POOL: SectionSchema = SectionSchema {
     name: "pool",
-    named: true,
+    is_named: true,
     doc: "Endpoints that share the same work.",
     keys: &[
         key(
@@ -90,7 +90,7 @@
         ),
         key(
             "floor",
-            whole(Count, 0, 100_000),
+            integer(Count, 0, 100_000),
             Value("0"),
             Fleet,
             "Fewest endpoints that orders must leave serving; at most the endpoints of the pool.",
@@ -101,7 +101,7 @@
 /// Schema of `[service.NAME]`.
 pub(super) const SERVICE: SectionSchema = SectionSchema {
     name: "service",
-    named: true,
+    is_named: true,
     doc: "What callers address: a model service by the request's `model` field, a plain service by the path `/services/NAME/...`.",
     keys: &[
         key(
@@ -131,7 +131,7 @@
 /// Schema of `[endpoint.NAME]`.
 pub(super) const ENDPOINT: SectionSchema = SectionSchema {
     name: "endpoint",
-    named: true,
+    is_named: true,
     doc: "One model engine or plain service process.",
     keys: &[
         key(
@@ -151,7 +151,7 @@
         key("address", Address, Mandatory, Site, "Where it listens."),
         key(
             "slots",
-            whole(Count, 1, 100_000),
+            integer(Count, 1, 100_000),
             Mandatory,
             Fleet,
             "Requests it may run at once.",
@@ -169,12 +169,12 @@
 /// Schema of `[account.NAME]`.
 pub(super) const ACCOUNT: SectionSchema = SectionSchema {
     name: "account",
-    named: true,
+    is_named: true,
     doc: "A client account.",
     keys: &[
         key(
             "weight",
-            whole(Count, 1, 10_000),
+            integer(Count, 1, 10_000),
             Value("1"),
             Fleet,
             "Share relative to other accounts.",
@@ -188,14 +188,14 @@
         ),
         key(
             "max_in_progress",
-            whole(Count, 0, 1_000_000),
+            integer(Count, 0, 1_000_000),
             Value("0"),
             Fleet,
             "Most requests in progress at once across the fleet; 0 means no ceiling.",
         ),
         key(
             "max_requests_per_s",
-            whole(PerSecond, 0, 1_000_000),
+            integer(PerSecond, 0, 1_000_000),
             Value("0"),
             Fleet,
             "Most requests started a second across the fleet; 0 means no ceiling.",
--- a/crates/state/tests/settings/layers.rs
+++ b/crates/state/tests/settings/layers.rs
@@ -1,4 +1,4 @@
-//! The loader on good input: defaults, layers, overrides and the schema's own soundness.
+//! Tests of the loader with valid input (defaults, layers, overrides) and of the schema.
 
 use std::collections::BTreeSet;
 
@@ -13,7 +13,7 @@
 use sedgeridge_state::settings::RequestClass;
 use sedgeridge_state::settings::RetrySettings;
 use sedgeridge_state::settings::Settings;
-use sedgeridge_state::settings::Source;
+use sedgeridge_state::settings::SettingsFile;
 use sedgeridge_state::settings::load;
 use sedgeridge_state::settings::load_layers;
 use sedgeridge_state::settings::schema::SECTIONS;
@@ -59,11 +59,11 @@
         .map(|argument| Override::parse(argument).unwrap())
         .collect();
     let layers = Layers {
-        base: Source {
+        base: SettingsFile {
             text: BASE,
             name: "base.ini",
         },
-        overlay: overlay.map(|text| Source {
+        overlay: overlay.map(|text| SettingsFile {
             text,
             name: "site-north.ini",
         }),
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn every_section_reaches_its_typed_form() {
+fn every_section_is_converted_to_typed_settings() {
     let settings = load_with(None, &[]);
 
     assert_eq!(settings.fleet.name, "demo");
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn a_later_layer_goes_above_an_earlier_one() {
+fn later_layers_override_earlier_ones() {
     let overlay = "[front]\nmax_queue = 700\n[host.a]\npeer_address = 127.0.0.1:9002\n";
 
     let merged = load_with(Some(overlay), &[]);
@@ -122,9 +122,9 @@
 fn counts_of_the_schema_fit_the_typed_fields() {
     for section in SECTIONS {
         for key in section.keys {
-            if let ValueKind::Whole { unit, min, max } = key.kind {
-                let wide = matches!(unit, Unit::Milliseconds | Unit::Bytes);
-                assert!(wide || u32::try_from(max).is_ok(), "{}", key.name);
+            if let ValueKind::Integer { unit, min, max } = key.kind {
+                let is_u64 = matches!(unit, Unit::Milliseconds | Unit::Bytes);
+                assert!(is_u64 || u32::try_from(max).is_ok(), "{}", key.name);
                 assert!(min <= max, "{}", key.name);
             }
         }
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn names_of_the_schema_stand_once() {
+fn schema_names_are_unique() {
     let mut sections = BTreeSet::new();
     for section in SECTIONS {
         assert!(sections.insert(section.name), "[{}]", section.name);
