--- a/crates/protocol/tests/peer.rs
+++ b/crates/protocol/tests/peer.rs
@@ -149,7 +149,7 @@
 // A peer of another version or a broken connection may deliver part of a message. It must be
 // refused: a partial report would withdraw demand that is still waiting.
 #[test]
-fn truncated_messages_are_refused() {
+fn a_message_cut_anywhere_is_refused() {
     for message in messages() {
         let bytes = encode(&message);
         for len in 0..bytes.len() {
@@ -164,7 +164,7 @@
 // Input may come from an unknown sender. A corrupt byte must not crash the decoder. A message that
 // still decodes is checked by its receiver like any other.
 #[test]
-fn no_single_corrupt_byte_crashes_the_decoder() {
+fn no_single_wrong_byte_brings_the_reader_down() {
     let bytes = encode(&PeerMessage::Report(report()));
     for position in 0..bytes.len() {
         for corrupt in [0x00, 0x1b, 0x7f, 0x9f, 0xbf, 0xff] {
