--- a/crates/coordination/src/claim_events.rs
+++ b/crates/coordination/src/claim_events.rs
@@ -17,17 +17,17 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ClaimSettings {
     /// Longest time a claim waits for others to share its transaction.
-    pub linger_ms: u64,
+    pub claim_linger_ms: u64,
     /// Longest time an outcome waits for a transaction to ride in.
-    pub record_delay_ms: u64,
+    pub outcome_linger_ms: u64,
     /// Most rows of one transaction.
-    pub max_batch: usize,
+    pub max_batch_entries: usize,
     /// Most transactions under way at once.
-    pub max_in_flight: usize,
+    pub max_transactions_in_flight: usize,
     /// Time a claim waits behind a transaction under way before it gets one of its own.
-    pub stall_ms: u64,
+    pub overlap_delay_ms: u64,
     /// Time after which an unsettled claim is refused.
-    pub max_wait_ms: u64,
+    pub claim_timeout_ms: u64,
     /// First pause after a failed call; it doubles and is jittered.
     pub base_backoff_ms: u64,
     /// Longest pause after failed calls.
@@ -45,12 +45,12 @@
 impl Default for ClaimSettings {
     fn default() -> Self {
         Self {
-            linger_ms: 20,
-            record_delay_ms: 100,
-            max_batch: 128,
-            max_in_flight: 4,
-            stall_ms: 20,
-            max_wait_ms: 1_000,
+            claim_linger_ms: 20,
+            outcome_linger_ms: 100,
+            max_batch_entries: 128,
+            max_transactions_in_flight: 4,
+            overlap_delay_ms: 20,
+            claim_timeout_ms: 1_000,
             base_backoff_ms: 100,
             max_backoff_ms: 5_000,
             max_answer_bytes: 16 << 10,
@@ -140,7 +140,7 @@
     /// The table cannot be reached: not run.
     StoreUnavailable,
     /// The table did not settle the claim in time: not run.
-    StoreSlow,
+    StoreTimeout,
     /// The router holds too many claims: not run.
     Overloaded,
     /// The router gave the request up before dispatch: not run.
@@ -150,7 +150,7 @@
     /// Another attempt with the key is under way: unknown until it ends.
     InProgress,
     /// An earlier attempt with the key may have run: unknown.
-    EarlierUnknown,
+    EarlierOutcomeUnknown,
 }
 
 impl ClaimRefusal {
@@ -163,6 +163,6 @@
     /// assert!(!ClaimRefusal::InProgress.is_not_run());
     /// ```
     pub fn is_not_run(self) -> bool {
-        !matches!(self, Self::InProgress | Self::EarlierUnknown)
+        !matches!(self, Self::InProgress | Self::EarlierOutcomeUnknown)
     }
 }
--- a/crates/coordination/src/claim_sweep.rs
+++ b/crates/coordination/src/claim_sweep.rs
@@ -52,7 +52,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimSweepEvent {
     /// This process holds the coordinator's lease, or no longer does.
-    Leading(bool),
+    LeaseHeld(bool),
     /// A store call ended.
     Store(StoreEvent),
     /// Time passed.
@@ -125,7 +125,7 @@
     ///
     /// let mut sweep = ClaimSweep::new(ClaimSweepSettings::default(), 1_700_000_000_000, 7);
     /// let mut actions = Vec::new();
-    /// sweep.handle(Duration::ZERO, ClaimSweepEvent::Leading(true), &mut actions);
+    /// sweep.handle(Duration::ZERO, ClaimSweepEvent::LeaseHeld(true), &mut actions);
     /// assert_eq!(actions.len(), 1);
     /// ```
     pub fn handle(
@@ -135,7 +135,7 @@
         actions: &mut Vec<StoreAction>,
     ) {
         match event {
-            ClaimSweepEvent::Leading(leading) => self.leading = leading,
+            ClaimSweepEvent::LeaseHeld(leading) => self.leading = leading,
             ClaimSweepEvent::Store(event) => self.take_answer(now, event),
             ClaimSweepEvent::Tick => {}
         }
--- a/crates/coordination/src/claims.rs
+++ b/crates/coordination/src/claims.rs
@@ -36,10 +36,10 @@
 use crate::claims::queue::BatchItem;
 use crate::claims::queue::ClaimQueue;
 use crate::claims::send::Flight;
-use crate::store_call::ABSENT;
+use crate::store_breaker::StoreBreaker;
+use crate::store_call::ABSENT_VERSION;
 use crate::store_call::CallCounter;
 use crate::store_call::CallId;
-use crate::store_gate::StoreGate;
 
 /// Claims of one router.
 #[derive(Debug)]
@@ -54,7 +54,7 @@
     flights: BTreeMap<CallId, Flight>,
     calls: CallCounter,
     last_step: u64,
-    gate: StoreGate,
+    breaker: StoreBreaker,
     retry: Backoff,
 }
 
@@ -82,7 +82,7 @@
             flights: BTreeMap::new(),
             calls: CallCounter::default(),
             last_step: 0,
-            gate: StoreGate::new(Backoff::new(base, cap, seed)),
+            breaker: StoreBreaker::new(Backoff::new(base, cap, seed)),
             retry: Backoff::new(base, cap, seed.wrapping_add(1)),
         }
     }
@@ -152,7 +152,7 @@
             .and_then(|e| local_verdict(e, &claim))
         {
             self.answer(now, claim.request, verdict, actions);
-        } else if self.gate.is_closed(now) {
+        } else if self.breaker.is_open(now) {
             let verdict = Verdict::Refused(ClaimRefusal::StoreUnavailable);
             self.answer(now, claim.request, verdict, actions);
         } else if self.entries.len() >= self.settings.max_entries {
@@ -175,7 +175,7 @@
             record,
             request: Some(claim.request.clone()),
             stage: Stage::Claiming,
-            version: ABSENT,
+            version: ABSENT_VERSION,
             step: 0,
             in_flight: false,
             unsettled: false,
@@ -187,11 +187,11 @@
             entry.abandon_all(earlier.abandoned);
             entry.abandon_all(vec![earlier.record.attempt]);
         }
-        let deadline = now + millis(self.settings.max_wait_ms);
+        let deadline = now + millis(self.settings.claim_timeout_ms);
         self.deadlines.push_back((deadline, claim.request.clone()));
         self.requests.insert(claim.request, Arc::clone(key));
         self.entries.insert(Arc::clone(key), entry);
-        self.enqueue(key, now + millis(self.settings.linger_ms));
+        self.enqueue(key, now + millis(self.settings.claim_linger_ms));
     }
 
     fn finish(&mut self, now: Duration, request: &RequestId, outcome: ClaimOutcome) {
@@ -208,7 +208,7 @@
         entry.request = None;
         entry.record.state = outcome_state(outcome, self.settings.max_answer_bytes);
         self.requests.remove(request);
-        self.enqueue(&key, now + millis(self.settings.record_delay_ms));
+        self.enqueue(&key, now + millis(self.settings.outcome_linger_ms));
     }
 
     fn refuse_overdue(&mut self, now: Duration, actions: &mut Vec<ClaimAction>) {
@@ -217,7 +217,7 @@
                 return;
             }
             if let Some((_, request)) = self.deadlines.pop_front() {
-                self.give_up(now, &request, ClaimRefusal::StoreSlow, actions);
+                self.give_up(now, &request, ClaimRefusal::StoreTimeout, actions);
             }
         }
     }
@@ -286,13 +286,15 @@
         let least = millis(self.settings.in_progress_retry_ms);
         match reason {
             ClaimRefusal::StoreUnavailable => {
-                let pause = self.gate.remaining(now).max(least);
+                let pause = self.breaker.remaining_pause(now).max(least);
                 Some(pause + self.retry.jitter(least))
             }
-            ClaimRefusal::StoreSlow | ClaimRefusal::Overloaded | ClaimRefusal::InProgress => {
+            ClaimRefusal::StoreTimeout | ClaimRefusal::Overloaded | ClaimRefusal::InProgress => {
                 Some(least + self.retry.jitter(least))
             }
-            ClaimRefusal::GivenUp | ClaimRefusal::KeyReused | ClaimRefusal::EarlierUnknown => None,
+            ClaimRefusal::GivenUp
+            | ClaimRefusal::KeyReused
+            | ClaimRefusal::EarlierOutcomeUnknown => None,
         }
     }
 
@@ -334,7 +336,7 @@
     }
     let verdict = match &entry.record.state {
         ClaimState::Ran(answer) => Verdict::Answered(answer.clone()),
-        ClaimState::Unknown => Verdict::Refused(ClaimRefusal::EarlierUnknown),
+        ClaimState::Unknown => Verdict::Refused(ClaimRefusal::EarlierOutcomeUnknown),
         ClaimState::Open | ClaimState::Released => Verdict::Refused(ClaimRefusal::InProgress),
     };
     Some(verdict)
--- a/crates/coordination/src/claims/entry.rs
+++ b/crates/coordination/src/claims/entry.rs
@@ -10,7 +10,7 @@
 use sedgeridge_state::ids::RequestId;
 
 use crate::claim_events::ClaimRefusal;
-use crate::store_call::ABSENT;
+use crate::store_call::ABSENT_VERSION;
 use crate::store_call::StoreRow;
 
 /// Abandoned attempts remembered for one key; one that is forgotten counts as "may have run".
@@ -75,10 +75,10 @@
     pub(crate) fn judge(&self, row: Option<&StoreRow>, alive: &BTreeSet<Member>) -> Verdict {
         let found = row.and_then(|r| r.value.as_deref().map(|v| (r.version, v)));
         let Some((version, value)) = found else {
-            return Verdict::Free(ABSENT);
+            return Verdict::Free(ABSENT_VERSION);
         };
         let Some(other) = ClaimRecord::decode(value) else {
-            return Verdict::Refused(ClaimRefusal::EarlierUnknown);
+            return Verdict::Refused(ClaimRefusal::EarlierOutcomeUnknown);
         };
         if other.attempt == self.record.attempt {
             return self.judge_own(version, &other.state);
@@ -95,7 +95,7 @@
     fn judge_own(&self, version: u64, state: &ClaimState) -> Verdict {
         match (self.stage, state) {
             (Stage::Claiming, ClaimState::Open) if self.unsettled => Verdict::Own(version),
-            (Stage::Claiming, _) => Verdict::Refused(ClaimRefusal::EarlierUnknown),
+            (Stage::Claiming, _) => Verdict::Refused(ClaimRefusal::EarlierOutcomeUnknown),
             (Stage::Dispatched | Stage::Recording, ClaimState::Open) => Verdict::Free(version),
             (Stage::Dispatched | Stage::Recording, _) => Verdict::Own(version),
         }
@@ -113,7 +113,7 @@
             ClaimState::Open if self.is_at_work(&other.attempt, alive) => {
                 Verdict::Refused(ClaimRefusal::InProgress)
             }
-            _ => Verdict::Refused(ClaimRefusal::EarlierUnknown),
+            _ => Verdict::Refused(ClaimRefusal::EarlierOutcomeUnknown),
         }
     }
 
--- a/crates/coordination/src/claims/queue.rs
+++ b/crates/coordination/src/claims/queue.rs
@@ -22,8 +22,8 @@
     ready: VecDeque<BatchItem>,
     flush_at: Option<Duration>,
     later: BTreeMap<(Duration, u64), BatchItem>,
-    max_batch: usize,
-    max_in_flight: usize,
+    max_batch_entries: usize,
+    max_transactions_in_flight: usize,
     stall: Duration,
 }
 
@@ -33,9 +33,9 @@
             ready: VecDeque::new(),
             flush_at: None,
             later: BTreeMap::new(),
-            max_batch: settings.max_batch,
-            max_in_flight: settings.max_in_flight,
-            stall: millis(settings.stall_ms),
+            max_batch_entries: settings.max_batch_entries,
+            max_transactions_in_flight: settings.max_transactions_in_flight,
+            stall: millis(settings.overlap_delay_ms),
         }
     }
 
@@ -66,13 +66,13 @@
             return false;
         };
         if in_flight == 0 {
-            return due <= now || self.ready.len() >= self.max_batch;
+            return due <= now || self.ready.len() >= self.max_batch_entries;
         }
-        !probing && in_flight < self.max_in_flight && due + self.stall <= now
+        !probing && in_flight < self.max_transactions_in_flight && due + self.stall <= now
     }
 
     pub(crate) fn take_batch(&mut self, now: Duration) -> Vec<BatchItem> {
-        let count = self.ready.len().min(self.max_batch);
+        let count = self.ready.len().min(self.max_batch_entries);
         let batch = self.ready.drain(..count).collect();
         self.flush_at = (!self.ready.is_empty()).then_some(now);
         batch
@@ -85,7 +85,7 @@
             self.stall
         };
         let ready = self.flush_at.map(|at| at + stall);
-        let ready = ready.filter(|_| in_flight < self.max_in_flight);
+        let ready = ready.filter(|_| in_flight < self.max_transactions_in_flight);
         let later = self.later.keys().next().map(|(due, _)| *due);
         [ready, later].into_iter().flatten().min()
     }
--- a/crates/coordination/src/claims/send.rs
+++ b/crates/coordination/src/claims/send.rs
@@ -23,10 +23,10 @@
 
 impl Claims {
     pub(super) fn send_batches(&mut self, now: Duration, actions: &mut Vec<ClaimAction>) {
-        if self.gate.is_closed(now) {
+        if self.breaker.is_open(now) {
             return;
         }
-        let probing = self.gate.is_probing();
+        let probing = self.breaker.is_probing();
         while self.queue.may_send(now, self.flights.len(), probing) {
             let mut items = self.queue.take_batch(now);
             items.retain(|item| self.is_current(item));
--- a/crates/coordination/src/claims/settle.rs
+++ b/crates/coordination/src/claims/settle.rs
@@ -27,24 +27,24 @@
         flight.items.retain(|item| self.is_current(item));
         match event.result {
             StoreResult::Committed { version } => {
-                self.gate.succeeded();
+                self.breaker.record_success();
                 for item in &flight.items {
                     self.settle(now, &item.key, Verdict::Own(version), actions);
                 }
             }
             StoreResult::Conflict { rows } => {
-                self.gate.succeeded();
+                self.breaker.record_success();
                 self.split(now, &flight.items, &rows, actions);
             }
             StoreResult::Rows(rows) if flight.is_read_back => {
-                self.gate.succeeded();
+                self.breaker.record_success();
                 for item in &flight.items {
                     self.read_back(now, &item.key, find_row(&rows, &item.key), actions);
                 }
             }
             StoreResult::Unknown if !flight.is_read_back => self.send_read_back(flight, actions),
             StoreResult::Rows(_) | StoreResult::Unavailable | StoreResult::Unknown => {
-                self.gate.failed(now);
+                self.breaker.record_failure(now);
                 self.fail(now, &flight.items, actions);
             }
         }
--- a/crates/coordination/src/coordinator.rs
+++ b/crates/coordination/src/coordinator.rs
@@ -129,12 +129,12 @@
 
     /// Tells whether a coordinator that was told to stop has given its lease back.
     pub fn is_stopped(&self) -> bool {
-        self.lease.is_given_back()
+        self.lease.is_released()
     }
 
     /// Lists the orders under way.
     pub fn open_orders(&self) -> impl Iterator<Item = OpenOrder<'_>> {
-        self.orders.open()
+        self.orders.open_orders()
     }
 
     fn lease_event(
@@ -163,14 +163,14 @@
             actions.push(CoordinatorAction::Held(held));
         }
         self.order_event(now, OrderEvent::Lease(Some(held)), actions);
-        self.sweep_event(now, ClaimSweepEvent::Leading(true), actions);
+        self.sweep_event(now, ClaimSweepEvent::LeaseHeld(true), actions);
     }
 
     fn lose(&mut self, now: Duration, actions: &mut Vec<CoordinatorAction>) {
         self.epoch = None;
         actions.push(CoordinatorAction::Lost);
         self.order_event(now, OrderEvent::Lease(None), actions);
-        self.sweep_event(now, ClaimSweepEvent::Leading(false), actions);
+        self.sweep_event(now, ClaimSweepEvent::LeaseHeld(false), actions);
     }
 
     fn order_event(
@@ -207,7 +207,7 @@
                     state,
                 }),
                 // Drains are announced as long as they last. Orders come from the table only.
-                OrderAction::Drain(_) | OrderAction::Undrain(_) | OrderAction::NotTaken { .. } => {}
+                OrderAction::Drain(_) | OrderAction::Undrain(_) | OrderAction::Rejected { .. } => {}
             }
         }
     }
@@ -269,8 +269,8 @@
     /// Routers believe a drain for a time only. A holder that dies in the middle of one thus takes
     /// no endpoint out of service for good, and no message is needed to end a drain.
     fn announce_drains(&mut self, now: Duration, actions: &mut Vec<CoordinatorAction>) {
-        self.drains.keep(now, self.orders.drained());
-        let interval = millis(self.settings.drain_repeat_ms);
+        self.drains.keep(now, self.orders.drained_endpoints());
+        let interval = millis(self.settings.drain_announce_interval_ms);
         for endpoint in self.drains.take_due(now, interval) {
             actions.push(CoordinatorAction::AnnounceDrain { endpoint });
         }
@@ -281,7 +281,7 @@
     /// An endpoint that is no longer followed is forgotten: its last report would otherwise count
     /// as serving when the next order comes, hours later, and the pool could fall below its floor.
     fn follow_reports(&mut self, now: Duration, actions: &mut Vec<CoordinatorAction>) {
-        for endpoint in self.followed.keep(now, &self.orders.followed()) {
+        for endpoint in self.followed.keep(now, &self.orders.watched_endpoints()) {
             self.order_event(now, OrderEvent::EndpointUnknown { endpoint }, actions);
         }
         let interval = millis(self.settings.report_interval_ms);
--- a/crates/coordination/src/coordinator_events.rs
+++ b/crates/coordination/src/coordinator_events.rs
@@ -31,7 +31,7 @@
     /// Time between two reads of an endpoint's load report while an order needs it.
     pub report_interval_ms: u64,
     /// Time between two announcements of the same drain; less than routers believe one for.
-    pub drain_repeat_ms: u64,
+    pub drain_announce_interval_ms: u64,
 }
 
 impl Default for CoordinatorSettings {
@@ -41,7 +41,7 @@
             orders: OrderSettings::default(),
             sweep: ClaimSweepSettings::default(),
             report_interval_ms: 500,
-            drain_repeat_ms: 3_000,
+            drain_announce_interval_ms: 3_000,
         }
     }
 }
--- a/crates/coordination/src/lease.rs
+++ b/crates/coordination/src/lease.rs
@@ -20,7 +20,7 @@
 use crate::lease_events::LeaseAction;
 use crate::lease_events::LeaseEvent;
 use crate::lease_events::LeaseSettings;
-use crate::store_call::ABSENT;
+use crate::store_call::ABSENT_VERSION;
 use crate::store_call::CallCounter;
 use crate::store_call::CallId;
 use crate::store_call::StoreAction;
@@ -203,12 +203,12 @@
     }
 
     fn look_or_acquire(&mut self, now: Duration) -> StoreAction {
-        let wait = millis(self.settings.term_ms + self.settings.drift_margin_ms);
+        let wait = millis(self.settings.term_ms + self.settings.clock_drift_margin_ms);
         let Some(seen) = self.seen.clone() else {
             return self.look(now);
         };
         let free = match &seen.record {
-            None => seen.version == ABSENT,
+            None => seen.version == ABSENT_VERSION,
             Some(record) => record.released || seen.since + wait <= now,
         };
         if !free {
@@ -311,8 +311,8 @@
         }
         let fencing = record.fencing;
         let first = (version, now + millis(self.settings.max_order_delay_ms));
-        let epoch = self.held.map(|h| (h.epoch_version, h.unfenced_from));
-        let (epoch_version, unfenced_from) = epoch.unwrap_or(first);
+        let epoch = self.held.map(|h| (h.epoch_version, h.unfenced_orders_from));
+        let (epoch_version, unfenced_orders_from) = epoch.unwrap_or(first);
         self.own = Some((record, version));
         if self.stopping {
             self.next_call_at = now;
@@ -328,7 +328,7 @@
             fencing,
             epoch_version,
             deadline,
-            unfenced_from,
+            unfenced_orders_from,
         };
         self.held = Some(held);
         actions.push(LeaseAction::Held(held));
@@ -337,7 +337,7 @@
     /// Takes the current row, or an older one if the read was stale.
     fn take_row(&mut self, now: Duration, row: Option<&StoreRow>, actions: &mut Vec<LeaseAction>) {
         self.failures = 0;
-        let version = row.map_or(ABSENT, |r| r.version);
+        let version = row.map_or(ABSENT_VERSION, |r| r.version);
         let record = row.and_then(|r| LeaseRecord::decode(r.value.as_deref()?));
         if let Some(unsettled) = &mut self.unsettled {
             unsettled.looked = true;
@@ -367,9 +367,9 @@
     }
 
     fn wait_as_candidate(&mut self, now: Duration) {
-        let wait = millis(self.settings.term_ms + self.settings.drift_margin_ms);
+        let wait = millis(self.settings.term_ms + self.settings.clock_drift_margin_ms);
         let due = self.seen.as_ref().map(|seen| match &seen.record {
-            None if seen.version == ABSENT => now,
+            None if seen.version == ABSENT_VERSION => now,
             Some(record) if record.released => now,
             _ => seen.since + wait,
         });
--- a/crates/coordination/src/lease/view.rs
+++ b/crates/coordination/src/lease/view.rs
@@ -28,9 +28,9 @@
     /// use sedgeridge_state::ids::*;
     ///
     /// let member = Member { host: HostId::from("r1"), incarnation: Incarnation(1) };
-    /// assert!(!Lease::new(member, LeaseSettings::default(), 7).is_given_back());
+    /// assert!(!Lease::new(member, LeaseSettings::default(), 7).is_released());
     /// ```
-    pub fn is_given_back(&self) -> bool {
+    pub fn is_released(&self) -> bool {
         let is_idle = self.pending.is_none() && self.unsettled.is_none();
         self.stopping && is_idle && self.own.is_none()
     }
--- a/crates/coordination/src/lease_events.rs
+++ b/crates/coordination/src/lease_events.rs
@@ -17,7 +17,7 @@
     /// Time between two looks of a candidate at the lease.
     pub poll_interval_ms: u64,
     /// How much longer than the term a candidate waits, as clocks run at different rates.
-    pub drift_margin_ms: u64,
+    pub clock_drift_margin_ms: u64,
     /// Longest time an order is on its way to an engine.
     pub max_order_delay_ms: u64,
 }
@@ -28,7 +28,7 @@
             term_ms: 10_000,
             renew_interval_ms: 3_000,
             poll_interval_ms: 1_000,
-            drift_margin_ms: 1_000,
+            clock_drift_margin_ms: 1_000,
             max_order_delay_ms: 5_000,
         }
     }
@@ -66,5 +66,5 @@
     /// No order may be sent at or after this time.
     pub deadline: Duration,
     /// Engines that ignore fencing numbers get no order before this time.
-    pub unfenced_from: Duration,
+    pub unfenced_orders_from: Duration,
 }
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -81,4 +81,4 @@
 mod report_check;
 mod request_table;
 mod slot_table;
-mod store_gate;
+mod store_breaker;
--- a/crates/coordination/src/node_claims.rs
+++ b/crates/coordination/src/node_claims.rs
@@ -219,12 +219,12 @@
 
 fn refusal_reason(refusal: ClaimRefusal) -> RefusalReason {
     match refusal {
-        ClaimRefusal::StoreUnavailable | ClaimRefusal::StoreSlow | ClaimRefusal::Overloaded => {
+        ClaimRefusal::StoreUnavailable | ClaimRefusal::StoreTimeout | ClaimRefusal::Overloaded => {
             RefusalReason::StoreUnavailable
         }
         ClaimRefusal::GivenUp => RefusalReason::Draining,
         ClaimRefusal::KeyReused => RefusalReason::KeyConflict,
         ClaimRefusal::InProgress => RefusalReason::InProgress,
-        ClaimRefusal::EarlierUnknown => RefusalReason::OutcomeUnknown,
+        ClaimRefusal::EarlierOutcomeUnknown => RefusalReason::OutcomeUnknown,
     }
 }
--- a/crates/coordination/src/order_events.rs
+++ b/crates/coordination/src/order_events.rs
@@ -29,9 +29,9 @@
     /// Time between two reads of the orders that changed.
     pub poll_interval_ms: u64,
     /// Time after which every router has heard of a drain that one of them took.
-    pub drain_settle_ms: u64,
+    pub drain_propagation_ms: u64,
     /// Time after which routers may forget a drain that was not announced again.
-    pub drain_lapse_ms: u64,
+    pub drain_expiry_ms: u64,
 }
 
 impl Default for OrderSettings {
@@ -43,8 +43,8 @@
             store_retry_ms: 1_000,
             rescan_interval_ms: 30_000,
             poll_interval_ms: 1_000,
-            drain_settle_ms: 3_000,
-            drain_lapse_ms: 9_000,
+            drain_propagation_ms: 3_000,
+            drain_expiry_ms: 9_000,
         }
     }
 }
@@ -62,7 +62,7 @@
     /// The lease is held, was renewed, or is held no more.
     Lease(Option<HeldLease>),
     /// An operator or planner asks for an order.
-    Want {
+    Requested {
         /// The endpoint.
         endpoint: EndpointId,
         /// The order.
@@ -177,11 +177,11 @@
         state: OrderState,
     },
     /// A wanted order was not taken; nothing was written or sent.
-    NotTaken {
+    Rejected {
         /// The endpoint.
         endpoint: EndpointId,
         /// Why.
-        reason: OrderRefusal,
+        reason: OrderRejection,
     },
 }
 
@@ -202,13 +202,13 @@
 
 /// Why a wanted order was not taken.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum OrderRefusal {
+pub enum OrderRejection {
     /// This process does not hold the lease.
-    NotHolder,
+    NotLeaseHolder,
     /// The orders of the holder before are not read yet.
     Recovering,
     /// The endpoint is not in the configuration.
     UnknownEndpoint,
     /// An earlier order to the endpoint is not complete.
-    Busy,
+    OrderInProgress,
 }
--- a/crates/coordination/src/orders.rs
+++ b/crates/coordination/src/orders.rs
@@ -27,7 +27,7 @@
 use crate::order_events::EngineAnswer;
 use crate::order_events::OrderAction;
 use crate::order_events::OrderEvent;
-use crate::order_events::OrderRefusal;
+use crate::order_events::OrderRejection;
 use crate::order_events::OrderSettings;
 use crate::order_events::SendOrder;
 use crate::orders::job::Job;
@@ -108,12 +108,12 @@
     /// assert!(actions.is_empty());
     /// ```
     pub fn handle(&mut self, now: Duration, event: OrderEvent, actions: &mut Vec<OrderAction>) {
-        let lapse = millis(self.settings.drain_lapse_ms);
+        let lapse = millis(self.settings.drain_expiry_ms);
         self.pools.set_now(now, lapse);
         match event {
             OrderEvent::Configured { endpoints, floors } => self.pools.configure(endpoints, floors),
             OrderEvent::Lease(lease) => self.take_lease(now, lease),
-            OrderEvent::Want { endpoint, order } => self.want(now, endpoint, order, actions),
+            OrderEvent::Requested { endpoint, order } => self.want(now, endpoint, order, actions),
             OrderEvent::EndpointState {
                 endpoint,
                 serving,
@@ -170,14 +170,16 @@
     ) {
         let lease = self.lease.filter(|lease| now < lease.deadline);
         let (reason, fencing) = match (lease, &self.known) {
-            (None, _) => (Some(OrderRefusal::NotHolder), None),
-            (_, None) => (Some(OrderRefusal::Recovering), None),
-            _ if self.jobs.contains_key(&endpoint) => (Some(OrderRefusal::Busy), None),
-            _ if self.pools.get(&endpoint).is_none() => (Some(OrderRefusal::UnknownEndpoint), None),
+            (None, _) => (Some(OrderRejection::NotLeaseHolder), None),
+            (_, None) => (Some(OrderRejection::Recovering), None),
+            _ if self.jobs.contains_key(&endpoint) => (Some(OrderRejection::OrderInProgress), None),
+            _ if self.pools.get(&endpoint).is_none() => {
+                (Some(OrderRejection::UnknownEndpoint), None)
+            }
             (Some(lease), Some(_)) => (None, Some(lease.fencing)),
         };
         if let Some(reason) = reason {
-            actions.push(OrderAction::NotTaken { endpoint, reason });
+            actions.push(OrderAction::Rejected { endpoint, reason });
             return;
         }
         let Some(fencing) = fencing else {
@@ -324,7 +326,7 @@
         let Some(known) = self.pools.get(endpoint) else {
             return;
         };
-        if !known.checks_fencing && now < lease.unfenced_from {
+        if !known.checks_fencing && now < lease.unfenced_orders_from {
             return;
         }
         if job.record.order.reads_weights() {
--- a/crates/coordination/src/orders/drain.rs
+++ b/crates/coordination/src/orders/drain.rs
@@ -44,7 +44,7 @@
     /// would take the tenth out of service for over a minute. A drain that takes long does not hold
     /// up the loads after it.
     fn load_drain_at(&self) -> Duration {
-        let settle = millis(self.settings.drain_settle_ms);
+        let settle = millis(self.settings.drain_propagation_ms);
         let before_turn = self.next_load_at.saturating_sub(settle);
         before_turn.max(self.next_load_drain_at)
     }
@@ -54,7 +54,7 @@
     /// Time counts from here and not from the decision to drain: while no router can be reached,
     /// all go on sending, and an order in a lull would cut off the request that comes next.
     pub(super) fn note_announcement(&mut self, now: Duration, endpoint: &EndpointId) {
-        let lapse = millis(self.settings.drain_lapse_ms);
+        let lapse = millis(self.settings.drain_expiry_ms);
         let Some(job) = self.jobs.get_mut(endpoint) else {
             return;
         };
@@ -75,8 +75,8 @@
         let Some(Announcement { since, last }) = announced else {
             return false;
         };
-        let settled_at = since + millis(self.settings.drain_settle_ms);
-        let is_heeded = now < last + millis(self.settings.drain_lapse_ms);
+        let settled_at = since + millis(self.settings.drain_propagation_ms);
+        let is_heeded = now < last + millis(self.settings.drain_expiry_ms);
         is_heeded && settled_at <= now && self.pools.was_empty(endpoint, settled_at)
     }
 }
--- a/crates/coordination/src/orders/view.rs
+++ b/crates/coordination/src/orders/view.rs
@@ -24,9 +24,9 @@
     /// use sedgeridge_coordination::order_events::OrderSettings;
     /// use sedgeridge_coordination::orders::Orders;
     ///
-    /// assert_eq!(Orders::new(OrderSettings::default()).open().count(), 0);
+    /// assert_eq!(Orders::new(OrderSettings::default()).open_orders().count(), 0);
     /// ```
-    pub fn open(&self) -> impl Iterator<Item = OpenOrder<'_>> {
+    pub fn open_orders(&self) -> impl Iterator<Item = OpenOrder<'_>> {
         self.jobs.values().map(|job| OpenOrder {
             record: &job.record,
             stage: job.stage.label(),
@@ -39,9 +39,9 @@
     /// use sedgeridge_coordination::order_events::OrderSettings;
     /// use sedgeridge_coordination::orders::Orders;
     ///
-    /// assert!(Orders::new(OrderSettings::default()).drained().is_empty());
+    /// assert!(Orders::new(OrderSettings::default()).drained_endpoints().is_empty());
     /// ```
-    pub fn drained(&self) -> &BTreeSet<EndpointId> {
+    pub fn drained_endpoints(&self) -> &BTreeSet<EndpointId> {
         self.pools.drained()
     }
 
@@ -53,9 +53,9 @@
     /// use sedgeridge_coordination::order_events::OrderSettings;
     /// use sedgeridge_coordination::orders::Orders;
     ///
-    /// assert!(Orders::new(OrderSettings::default()).followed().is_empty());
+    /// assert!(Orders::new(OrderSettings::default()).watched_endpoints().is_empty());
     /// ```
-    pub fn followed(&self) -> BTreeSet<EndpointId> {
+    pub fn watched_endpoints(&self) -> BTreeSet<EndpointId> {
         let interrupting = self
             .jobs
             .iter()
--- a/crates/coordination/src/store_call.rs
+++ b/crates/coordination/src/store_call.rs
@@ -10,7 +10,7 @@
 pub struct CallId(pub u64);
 
 /// Version of an absent row.
-pub const ABSENT: u64 = 0;
+pub const ABSENT_VERSION: u64 = 0;
 
 /// A call to make.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -47,7 +47,7 @@
     },
 }
 
-/// Condition: the key stands at this version; [`ABSENT`] means that there is no row.
+/// Condition: the key stands at this version; [`ABSENT_VERSION`] means that there is no row.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoreCheck {
     /// The key.
@@ -65,7 +65,7 @@
     pub value: Option<Arc<str>>,
 }
 
-/// A row; an absent one has version [`ABSENT`] and no value.
+/// A row; an absent one has version [`ABSENT_VERSION`] and no value.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoreRow {
     /// The key.
--- a/crates/coordination/tests/claim_sweep.rs
+++ b/crates/coordination/tests/claim_sweep.rs
@@ -5,10 +5,10 @@
 use std::time::Duration;
 
 use common::claim_fleet::ClaimFleet;
+use common::claim_fleet::RequestOutcome;
 use common::claim_fleet::STARTED_UNIX_MS;
-use common::claim_fleet::Told;
 use common::claim_fleet::answer_of;
-use common::store::Fate;
+use common::store::CallOutcome;
 use common::store::Store;
 use sedgeridge_coordination::claim_events::ClaimSettings;
 use sedgeridge_coordination::claim_sweep::ClaimSweep;
@@ -27,7 +27,7 @@
 }
 
 /// Sweeps for a while from `now`; about every third call meets `fault`.
-fn sweep(store: &mut Store, now: Duration, fault: Fate, seed: u64) {
+fn sweep(store: &mut Store, now: Duration, fault: CallOutcome, seed: u64) {
     let mut random = seed;
     let settings = ClaimSweepSettings {
         max_deletes: 4,
@@ -35,7 +35,7 @@
     };
     let mut sweep = ClaimSweep::new(settings, STARTED_UNIX_MS, 3);
     let mut actions = Vec::new();
-    sweep.handle(now, ClaimSweepEvent::Leading(true), &mut actions);
+    sweep.handle(now, ClaimSweepEvent::LeaseHeld(true), &mut actions);
     for step in 0..400_u32 {
         let at = now + Duration::from_millis(u64::from(step));
         for call in std::mem::take(&mut actions) {
@@ -45,7 +45,7 @@
             let fate = if (random >> 33).is_multiple_of(3) {
                 fault
             } else {
-                Fate::Answered
+                CallOutcome::Answered
             };
             let event = store.call(&call, fate);
             sweep.handle(at, ClaimSweepEvent::Store(event), &mut actions);
@@ -73,19 +73,26 @@
     step(&mut fleet);
 
     let now = Duration::from_millis(RETENTION_MS + 120_000);
-    sweep(&mut fleet.store, now, Fate::Answered, 0);
+    sweep(&mut fleet.store, now, CallOutcome::Answered, 0);
     assert!(fleet.store.value("claim/crew-07/deposit-2").is_none());
     fleet.now = now;
     let repeat = fleet.claim(0, 1, 0);
     step(&mut fleet);
-    assert_eq!(fleet.told(&repeat), [Told::Replayed(answer_of(&again))]);
+    assert_eq!(
+        fleet.told(&repeat),
+        [RequestOutcome::Replayed(answer_of(&again))]
+    );
 }
 
 // The store loses answers and refuses calls during the sweep of more claims than one transaction
 // may delete. The sweep starts the bucket again; in the end no row and no listing is left.
 #[test]
 fn a_sweep_through_faults_leaves_nothing_behind() {
-    let faults = [Fate::AnswerLost, Fate::Refused, Fate::CallLost];
+    let faults = [
+        CallOutcome::AnswerLost,
+        CallOutcome::Refused,
+        CallOutcome::CallLost,
+    ];
     for (fault, seed) in faults.into_iter().cycle().zip(0..60) {
         let mut fleet = fleet();
         for key in 0..11 {
@@ -104,7 +111,7 @@
     for _ in 0..2 {
         fleet.advance(100);
         while !fleet.routers[0].calls.is_empty() {
-            fleet.deliver(0, Fate::Answered);
+            fleet.deliver(0, CallOutcome::Answered);
         }
     }
 }
--- a/crates/coordination/tests/claim_writes.rs
+++ b/crates/coordination/tests/claim_writes.rs
@@ -9,8 +9,8 @@
 use std::time::Duration;
 
 use common::claim_fleet::ClaimFleet;
-use common::claim_fleet::Told;
-use common::store::Fate;
+use common::claim_fleet::RequestOutcome;
+use common::store::CallOutcome;
 use sedgeridge_coordination::claim_events::ClaimSettings;
 use sedgeridge_state::ids::RequestId;
 
@@ -38,13 +38,13 @@
 }
 
 /// Runs `concurrency` callers, each of which sends its next request when the last one ended.
-fn run(concurrency: u64, linger_ms: u64) -> Cost {
+fn run(concurrency: u64, claim_linger_ms: u64) -> Cost {
     let settings = ClaimSettings {
-        linger_ms,
+        claim_linger_ms,
         ..ClaimSettings::default()
     };
     let mut fleet = ClaimFleet::new(1, settings);
-    fleet.store.forgets_past = true;
+    fleet.store.keeps_no_history = true;
     let mut key = 0;
     let mut arrivals: BTreeMap<RequestId, u64> = BTreeMap::new();
     let mut ends: BTreeMap<u64, usize> = BTreeMap::new();
@@ -64,7 +64,7 @@
         }
         idle = 0;
         for _ in 0..calls.remove(&now_ms).unwrap_or(0) {
-            fleet.deliver(0, Fate::Answered);
+            fleet.deliver(0, CallOutcome::Answered);
         }
         for _ in 0..ends.remove(&now_ms).unwrap_or(0) {
             fleet.finish(0, 0);
@@ -72,7 +72,8 @@
             idle += 1;
         }
         fleet.advance(0);
-        let dispatched = arrivals.extract_if(.., |r, _| fleet.told(r) == [Told::Dispatched]);
+        let dispatched =
+            arrivals.extract_if(.., |r, _| fleet.told(r) == [RequestOutcome::Dispatched]);
         for (_, arrived_ms) in dispatched {
             cost.claim_wait_ms += now_ms - arrived_ms;
             *ends.entry(now_ms + service_ms(&mut random)).or_default() += 1;
@@ -97,17 +98,21 @@
 // of its own. The table takes several hundred writes a second in all.
 #[test]
 fn requests_share_transactions_at_load() {
-    let linger_ms = ClaimSettings::default().linger_ms;
+    let claim_linger_ms = ClaimSettings::default().claim_linger_ms;
     println!(
         "linger ms | at once | requests | transactions a second | per request | claim wait ms"
     );
-    for linger_ms in [2, 10, linger_ms] {
+    for claim_linger_ms in [2, 10, claim_linger_ms] {
         for concurrency in [1, 2, 4, 8, 16, 32, LOAD, 128, 256] {
-            print_cost(concurrency, linger_ms, &run(concurrency, linger_ms));
+            print_cost(
+                concurrency,
+                claim_linger_ms,
+                &run(concurrency, claim_linger_ms),
+            );
         }
     }
     for concurrency in [LOAD, 128, 256] {
-        let per_request = run(concurrency, linger_ms).per_request();
+        let per_request = run(concurrency, claim_linger_ms).per_request();
         assert!(
             per_request <= TARGET,
             "{per_request} at {concurrency} at once"
@@ -115,12 +120,12 @@
     }
 }
 
-fn print_cost(concurrency: u64, linger_ms: u64, cost: &Cost) {
+fn print_cost(concurrency: u64, claim_linger_ms: u64, cost: &Cost) {
     let finished = cost.finished;
     let per_request = cost.per_request();
     let per_s = cost.transactions * 1_000 / RUN_MS;
     let wait_ms = cost.claim_wait_ms as f64 / finished as f64;
     println!(
-        "{linger_ms} | {concurrency} | {finished} | {per_s} | {per_request:.3} | {wait_ms:.1}"
+        "{claim_linger_ms} | {concurrency} | {finished} | {per_s} | {per_request:.3} | {wait_ms:.1}"
     );
 }
--- a/crates/coordination/tests/claims.rs
+++ b/crates/coordination/tests/claims.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 use common::claim_fleet::ClaimFleet;
-use common::claim_fleet::Told;
+use common::claim_fleet::RequestOutcome;
 use common::claim_fleet::answer_of;
-use common::store::Fate;
+use common::store::CallOutcome;
 use sedgeridge_coordination::claim_events::ClaimEvent;
 use sedgeridge_coordination::claim_events::ClaimRefusal;
 use sedgeridge_coordination::claim_events::ClaimSettings;
@@ -22,7 +22,7 @@
 fn settle(fleet: &mut ClaimFleet, router: usize) {
     fleet.advance(100);
     while !fleet.routers[router].calls.is_empty() {
-        fleet.deliver(router, Fate::Answered);
+        fleet.deliver(router, CallOutcome::Answered);
     }
 }
 
@@ -36,15 +36,18 @@
     let second = fleet.claim(1, KEY, BODY);
     settle(&mut fleet, 0);
     settle(&mut fleet, 1);
-    assert_eq!(fleet.told(&first), [Told::Dispatched]);
-    let in_progress = Told::Refused(ClaimRefusal::InProgress);
+    assert_eq!(fleet.told(&first), [RequestOutcome::Dispatched]);
+    let in_progress = RequestOutcome::Refused(ClaimRefusal::InProgress);
     assert_eq!(fleet.told(&second), [in_progress]);
 
     fleet.finish(0, 0);
     settle(&mut fleet, 0);
     let third = fleet.claim(1, KEY, BODY);
     settle(&mut fleet, 1);
-    assert_eq!(fleet.told(&third), [Told::Replayed(answer_of(&first))]);
+    assert_eq!(
+        fleet.told(&third),
+        [RequestOutcome::Replayed(answer_of(&first))]
+    );
     fleet.check();
 }
 
@@ -56,10 +59,10 @@
     let mut fleet = fleet();
     let request = fleet.claim(0, KEY, BODY);
     fleet.advance(20);
-    fleet.deliver(0, Fate::AnswerLost);
+    fleet.deliver(0, CallOutcome::AnswerLost);
     assert_eq!(fleet.told(&request), []);
-    fleet.deliver(0, Fate::Answered);
-    assert_eq!(fleet.told(&request), [Told::Dispatched]);
+    fleet.deliver(0, CallOutcome::Answered);
+    assert_eq!(fleet.told(&request), [RequestOutcome::Dispatched]);
     fleet.check();
 }
 
@@ -71,16 +74,16 @@
     let mut fleet = fleet();
     let request = fleet.claim(0, KEY, BODY);
     fleet.advance(20);
-    fleet.deliver(0, Fate::RunsLate);
-    fleet.deliver(0, Fate::Answered);
-    fleet.deliver(0, Fate::Answered);
-    assert_eq!(fleet.told(&request), [Told::Dispatched]);
-    fleet.store.run_late();
+    fleet.deliver(0, CallOutcome::Delayed);
+    fleet.deliver(0, CallOutcome::Answered);
+    fleet.deliver(0, CallOutcome::Answered);
+    assert_eq!(fleet.told(&request), [RequestOutcome::Dispatched]);
+    fleet.store.run_delayed_write();
     fleet.finish(0, 1);
     settle(&mut fleet, 0);
     let repeat = fleet.claim(1, KEY, BODY);
     settle(&mut fleet, 1);
-    assert_eq!(fleet.told(&repeat), [Told::Dispatched]);
+    assert_eq!(fleet.told(&repeat), [RequestOutcome::Dispatched]);
     fleet.check();
 }
 
@@ -92,15 +95,15 @@
     let mut fleet = fleet();
     let request = fleet.claim(0, KEY, BODY);
     fleet.advance(20);
-    fleet.deliver(0, Fate::AnswerLost);
-    fleet.deliver(0, Fate::Refused);
-    let refused = Told::Refused(ClaimRefusal::StoreUnavailable);
+    fleet.deliver(0, CallOutcome::AnswerLost);
+    fleet.deliver(0, CallOutcome::Refused);
+    let refused = RequestOutcome::Refused(ClaimRefusal::StoreUnavailable);
     assert_eq!(fleet.told(&request), [refused]);
 
     fleet.heal();
     let repeat = fleet.claim(1, KEY, BODY);
     settle(&mut fleet, 1);
-    assert_eq!(fleet.told(&repeat), [Told::Dispatched]);
+    assert_eq!(fleet.told(&repeat), [RequestOutcome::Dispatched]);
     fleet.check();
 }
 
@@ -111,20 +114,20 @@
     let mut fleet = fleet();
     let request = fleet.claim(0, KEY, BODY);
     fleet.advance(20);
-    fleet.deliver(0, Fate::RunsLate);
+    fleet.deliver(0, CallOutcome::Delayed);
     fleet.event(0, ClaimEvent::GiveUp(request.clone()));
-    let given_up = Told::Refused(ClaimRefusal::GivenUp);
+    let given_up = RequestOutcome::Refused(ClaimRefusal::GivenUp);
     assert_eq!(fleet.told(&request), [given_up]);
 
-    fleet.store.run_late();
+    fleet.store.run_delayed_write();
     let repeat = fleet.claim(0, KEY, BODY);
     fleet.routers[0].calls.clear();
     fleet.advance(20);
     for _ in 0..3 {
-        fleet.deliver(0, Fate::Answered);
+        fleet.deliver(0, CallOutcome::Answered);
         fleet.advance(30);
     }
-    assert_eq!(fleet.told(&repeat), [Told::Dispatched]);
+    assert_eq!(fleet.told(&repeat), [RequestOutcome::Dispatched]);
     fleet.check();
 }
 
@@ -140,7 +143,7 @@
     for router in [1, 0] {
         let repeat = fleet.claim(router, KEY, BODY);
         settle(&mut fleet, router);
-        let unknown = Told::Refused(ClaimRefusal::EarlierUnknown);
+        let unknown = RequestOutcome::Refused(ClaimRefusal::EarlierOutcomeUnknown);
         assert_eq!(fleet.told(&repeat), [unknown]);
     }
     fleet.check();
@@ -160,7 +163,7 @@
     again.store.put("claim/crew-07/deposit-1", &row);
     let request = again.claim(0, KEY, BODY);
     settle(&mut again, 0);
-    let unknown = Told::Refused(ClaimRefusal::EarlierUnknown);
+    let unknown = RequestOutcome::Refused(ClaimRefusal::EarlierOutcomeUnknown);
     assert_eq!(again.told(&request), [unknown]);
 }
 
@@ -175,11 +178,11 @@
     let other = fleet.claim(0, 2, BODY);
     fleet.advance(20);
     assert_eq!(fleet.routers[0].calls.len(), 1);
-    fleet.deliver(0, Fate::Answered);
-    let in_progress = Told::Refused(ClaimRefusal::InProgress);
+    fleet.deliver(0, CallOutcome::Answered);
+    let in_progress = RequestOutcome::Refused(ClaimRefusal::InProgress);
     assert_eq!(fleet.told(&taken), [in_progress]);
-    fleet.deliver(0, Fate::Answered);
-    assert_eq!(fleet.told(&other), [Told::Dispatched]);
+    fleet.deliver(0, CallOutcome::Answered);
+    assert_eq!(fleet.told(&other), [RequestOutcome::Dispatched]);
     fleet.check();
 }
 
@@ -190,15 +193,15 @@
     let mut fleet = fleet();
     fleet.claim(0, KEY, BODY);
     fleet.advance(20);
-    fleet.deliver(0, Fate::Refused);
+    fleet.deliver(0, CallOutcome::Refused);
     let second = fleet.claim(0, 2, BODY);
-    let refused = Told::Refused(ClaimRefusal::StoreUnavailable);
+    let refused = RequestOutcome::Refused(ClaimRefusal::StoreUnavailable);
     assert_eq!(fleet.told(&second), [refused]);
     assert!(fleet.routers[0].calls.is_empty());
     fleet.advance(200);
     let third = fleet.claim(0, 3, BODY);
     settle(&mut fleet, 0);
-    assert_eq!(fleet.told(&third), [Told::Dispatched]);
+    assert_eq!(fleet.told(&third), [RequestOutcome::Dispatched]);
 }
 
 // A caller uses a key again for another body: a lens instead of a camera.
@@ -213,7 +216,7 @@
     for router in 0..2 {
         let other = fleet.claim(router, KEY, BODY + 1);
         settle(&mut fleet, router);
-        let reused = Told::Refused(ClaimRefusal::KeyReused);
+        let reused = RequestOutcome::Refused(ClaimRefusal::KeyReused);
         assert_eq!(fleet.told(&other), [reused]);
     }
 }
@@ -226,9 +229,9 @@
     let request = fleet.claim(0, KEY, BODY);
     fleet.advance(20);
     fleet.advance(1_000);
-    let slow = Told::Refused(ClaimRefusal::StoreSlow);
+    let slow = RequestOutcome::Refused(ClaimRefusal::StoreTimeout);
     assert_eq!(fleet.told(&request), std::slice::from_ref(&slow));
-    fleet.deliver(0, Fate::Answered);
+    fleet.deliver(0, CallOutcome::Answered);
     fleet.heal();
     assert_eq!(fleet.told(&request), [slow]);
     fleet.check();
--- a/crates/coordination/tests/claims_fuzz.rs
+++ b/crates/coordination/tests/claims_fuzz.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::claim_fleet::ClaimFleet;
-use common::claim_fleet::Told;
-use common::store::Fate;
+use common::claim_fleet::RequestOutcome;
+use common::store::CallOutcome;
 use proptest::prelude::*;
 use proptest::test_runner::Config;
 use proptest::test_runner::RngSeed;
@@ -20,8 +20,8 @@
 #[derive(Debug, Clone)]
 enum Step {
     Claim { router: usize, key: u32, body: u64 },
-    Deliver { router: usize, fate: Fate },
-    RunLate,
+    Deliver { router: usize, fate: CallOutcome },
+    RunDelayedWrite,
     Advance { by_ms: u64 },
     Finish { router: usize, kind: u8 },
     GiveUp { newest: bool },
@@ -32,14 +32,14 @@
 #[derive(Debug, Clone)]
 struct Oracle;
 
-fn fate() -> impl Strategy<Value = Fate> {
+fn fate() -> impl Strategy<Value = CallOutcome> {
     prop_oneof![
-        6 => Just(Fate::Answered),
-        2 => Just(Fate::AnswerLost),
-        1 => Just(Fate::CallLost),
-        2 => Just(Fate::RunsLate),
-        1 => Just(Fate::Refused),
-        2 => (1..4_usize).prop_map(Fate::Stale),
+        6 => Just(CallOutcome::Answered),
+        2 => Just(CallOutcome::AnswerLost),
+        1 => Just(CallOutcome::CallLost),
+        2 => Just(CallOutcome::Delayed),
+        1 => Just(CallOutcome::Refused),
+        2 => (1..4_usize).prop_map(CallOutcome::Stale),
     ]
 }
 
@@ -58,7 +58,7 @@
                 Step::Claim { router, key, body: body / 7 }
             }),
             10 => (router.clone(), fate()).prop_map(|(router, fate)| Step::Deliver { router, fate }),
-            2 => Just(Step::RunLate),
+            2 => Just(Step::RunDelayedWrite),
             5 => prop_oneof![Just(20_u64), Just(100), Just(400), Just(6_000)]
                 .prop_map(|by_ms| Step::Advance { by_ms }),
             4 => (router.clone(), 0..3_u8).prop_map(|(router, kind)| Step::Finish { router, kind }),
@@ -88,7 +88,7 @@
                 fleet.claim(router, key, body);
             }
             Step::Deliver { router, fate } => fleet.deliver(router, fate),
-            Step::RunLate => fleet.store.run_late(),
+            Step::RunDelayedWrite => fleet.store.run_delayed_write(),
             Step::Advance { by_ms } => fleet.advance(by_ms),
             Step::Finish { router, kind } => fleet.finish(router, kind),
             Step::GiveUp { newest } => give_up(&mut fleet, newest),
@@ -125,7 +125,7 @@
             fleet.heal();
             assert_eq!(
                 fleet.told(&repeat),
-                [Told::Dispatched],
+                [RequestOutcome::Dispatched],
                 "key {key} is blocked"
             );
         }
--- a/crates/coordination/tests/claims_linearizable.rs
+++ b/crates/coordination/tests/claims_linearizable.rs
@@ -7,9 +7,9 @@
 mod common;
 
 use common::claim_fleet::ClaimFleet;
-use common::claim_fleet::Told;
+use common::claim_fleet::RequestOutcome;
 use common::claim_fleet::answer_of;
-use common::store::Fate;
+use common::store::CallOutcome;
 use sedgeridge_coordination::claim_events::ClaimEvent;
 use sedgeridge_coordination::claim_events::ClaimSettings;
 use sedgeridge_coordination::random::SeededRandom;
@@ -112,9 +112,9 @@
                     self.open.push((request, process));
                     continue;
                 }
-                Some(Told::Dispatched) => Operation::Claimed(request),
-                Some(Told::Refused(_)) => Operation::Nothing,
-                Some(Told::Replayed(answer)) => {
+                Some(RequestOutcome::Dispatched) => Operation::Claimed(request),
+                Some(RequestOutcome::Refused(_)) => Operation::Nothing,
+                Some(RequestOutcome::Replayed(answer)) => {
                     let mut all = fleet.sent.keys();
                     let first = all.find(|r| answer_of(r) == *answer);
                     Operation::Replayed(first.expect("the request that ran").clone())
@@ -160,14 +160,14 @@
     History::from_actions(numbered.collect())
 }
 
-fn fate(random: &mut SeededRandom) -> Fate {
+fn fate(random: &mut SeededRandom) -> CallOutcome {
     match random.below(10) {
-        0 => Fate::AnswerLost,
-        1 => Fate::CallLost,
-        2 => Fate::RunsLate,
-        3 => Fate::Refused,
-        4 => Fate::Stale(2),
-        _ => Fate::Answered,
+        0 => CallOutcome::AnswerLost,
+        1 => CallOutcome::CallLost,
+        2 => CallOutcome::Delayed,
+        3 => CallOutcome::Refused,
+        4 => CallOutcome::Stale(2),
+        _ => CallOutcome::Answered,
     }
 }
 
@@ -184,7 +184,7 @@
                 recorder.sent(key, request);
             }
             0..14 => fleet.deliver(router, fate(&mut random)),
-            14 => fleet.store.run_late(),
+            14 => fleet.store.run_delayed_write(),
             15 => fleet.restart(router),
             16..18 => finish(&mut fleet, &mut recorder, router, random.below(2) as u8),
             _ => fleet.advance([20, 100, 400][random.below(3) as usize]),
--- a/crates/coordination/tests/common/claim_fleet.rs
+++ b/crates/coordination/tests/common/claim_fleet.rs
@@ -24,7 +24,7 @@
 use sedgeridge_state::ids::Member;
 use sedgeridge_state::ids::RequestId;
 
-use super::store::Fate;
+use super::store::CallOutcome;
 use super::store::Store;
 
 /// When every process of the fleet started.
@@ -32,7 +32,7 @@
 
 /// What a request was told, or that it was dispatched.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Told {
+pub enum RequestOutcome {
     Dispatched,
     Replayed(RecordedAnswer),
     Refused(ClaimRefusal),
@@ -52,7 +52,7 @@
 pub struct Sent {
     pub key: u32,
     pub body: u64,
-    pub told: Vec<Told>,
+    pub told: Vec<RequestOutcome>,
 }
 
 /// Routers, store and ledger.
@@ -154,29 +154,29 @@
                 ClaimAction::Store(call) => self.routers[router].calls.push_back(call),
                 ClaimAction::Dispatch(request) => self.dispatch(router, request),
                 ClaimAction::Replay { request, answer } => {
-                    self.tell(&request, Told::Replayed(answer));
+                    self.tell(&request, RequestOutcome::Replayed(answer));
                 }
                 ClaimAction::Refuse {
                     request, reason, ..
-                } => self.tell(&request, Told::Refused(reason)),
+                } => self.tell(&request, RequestOutcome::Refused(reason)),
             }
         }
     }
 
     fn dispatch(&mut self, router: usize, request: RequestId) {
-        self.tell(&request, Told::Dispatched);
+        self.tell(&request, RequestOutcome::Dispatched);
         let key = self.sent[&request].key;
         self.ran.entry(key).or_default().push(request.clone());
         self.routers[router].running.push_back(request);
     }
 
-    fn tell(&mut self, request: &RequestId, told: Told) {
+    fn tell(&mut self, request: &RequestId, told: RequestOutcome) {
         let sent = self.sent.get_mut(request).expect("a request that was sent");
         sent.told.push(told);
     }
 
     /// Lets the store take the oldest call of a router.
-    pub fn deliver(&mut self, router: usize, fate: Fate) {
+    pub fn deliver(&mut self, router: usize, fate: CallOutcome) {
         if let Some(call) = self.routers[router].calls.pop_front() {
             let event = self.store.call(&call, fate);
             self.event(router, ClaimEvent::Store(event));
@@ -207,7 +207,7 @@
     /// Kills a router and starts it again with no memory. What it sent may still arrive.
     pub fn restart(&mut self, router: usize) {
         for call in &self.routers[router].calls {
-            self.store.leave_on_the_way(call);
+            self.store.delay_write(call);
         }
         let incarnation = self.routers[router].member.incarnation.0 + 1;
         self.any_restart = true;
@@ -229,7 +229,7 @@
             self.advance(200);
             for index in 0..self.routers.len() {
                 while !self.routers[index].calls.is_empty() {
-                    self.deliver(index, Fate::Answered);
+                    self.deliver(index, CallOutcome::Answered);
                 }
                 while !self.routers[index].running.is_empty() {
                     self.finish(index, 0);
@@ -238,7 +238,7 @@
         }
     }
 
-    pub fn told(&self, request: &RequestId) -> &[Told] {
+    pub fn told(&self, request: &RequestId) -> &[RequestOutcome] {
         &self.sent[request].told
     }
 
@@ -249,7 +249,7 @@
         }
         for (request, sent) in &self.sent {
             assert!(sent.told.len() <= 1, "{request} was told {:?}", sent.told);
-            if let Some(Told::Replayed(answer)) = sent.told.first() {
+            if let Some(RequestOutcome::Replayed(answer)) = sent.told.first() {
                 self.check_replay(sent, answer);
             }
         }
--- a/crates/coordination/tests/common/config_fleet.rs
+++ b/crates/coordination/tests/common/config_fleet.rs
@@ -17,7 +17,7 @@
 use sedgeridge_state::ids::Incarnation;
 use sedgeridge_state::ids::Member;
 
-use super::store::Fate;
+use super::store::CallOutcome;
 
 /// Generations from one stored whole configuration to the next.
 const SNAPSHOT_INTERVAL: usize = 4;
@@ -147,16 +147,16 @@
     }
 
     /// Carries out the oldest call of a router.
-    pub fn deliver(&mut self, index: usize, fate: Fate) {
+    pub fn deliver(&mut self, index: usize, fate: CallOutcome) {
         let Some(call) = self.routers[index].calls.pop_front() else {
             return;
         };
         let lags = match fate {
-            Fate::Stale(back) => back,
+            CallOutcome::Stale(back) => back,
             _ => 0,
         };
-        let fails = fate == Fate::Refused;
-        let is_silent = fate == Fate::CallLost;
+        let fails = fate == CallOutcome::Refused;
+        let is_silent = fate == CallOutcome::CallLost;
         match call {
             _ if is_silent => {}
             ConfigAction::ReadHead { call, .. } if fails => {
@@ -181,7 +181,7 @@
                     .saturating_sub(lags)
                     .min(up_to.0 as usize);
                 let mut items = self.stored(after, newest);
-                if fate == Fate::AnswerLost && items.len() > 1 {
+                if fate == CallOutcome::AnswerLost && items.len() > 1 {
                     items.remove(items.len() / 2);
                 }
                 items.reverse();
@@ -290,7 +290,7 @@
             self.advance(100);
             for index in 0..self.routers.len() {
                 while !self.routers[index].calls.is_empty() {
-                    self.deliver(index, Fate::Answered);
+                    self.deliver(index, CallOutcome::Answered);
                 }
             }
         }
--- a/crates/coordination/tests/common/coordinator_fleet.rs
+++ b/crates/coordination/tests/common/coordinator_fleet.rs
@@ -27,7 +27,7 @@
 use sedgeridge_state::settings::Settings;
 use sedgeridge_state::settings::millis;
 
-use super::store::Fate;
+use super::store::CallOutcome;
 use super::store::Store;
 
 /// Engines; those at odd places ignore fencing numbers.
@@ -81,7 +81,7 @@
 }
 
 /// A network that works.
-pub const CALM: Network = Network {
+pub const WORKING_NETWORK: Network = Network {
     order_ms: 10,
     answer_ms: Some(10),
     is_reached: true,
@@ -109,7 +109,7 @@
             now: Duration::ZERO,
             store: Store::default(),
             hosts: (0..hosts).map(start).collect(),
-            network: CALM,
+            network: WORKING_NETWORK,
             engines: engines.into(),
             flights: Vec::new(),
             sent: BTreeMap::new(),
@@ -291,7 +291,7 @@
     }
 
     /// Lets the store take the oldest call of a process.
-    pub fn deliver(&mut self, index: usize, fate: Fate) {
+    pub fn deliver(&mut self, index: usize, fate: CallOutcome) {
         if self.hosts[index].paused {
             return;
         }
@@ -327,7 +327,7 @@
             self.advance(TICK_MS);
             for index in 0..self.hosts.len() {
                 while !self.hosts[index].paused && !self.hosts[index].calls.is_empty() {
-                    self.deliver(index, Fate::Answered);
+                    self.deliver(index, CallOutcome::Answered);
                 }
             }
         }
--- a/crates/coordination/tests/common/lease_fleet.rs
+++ b/crates/coordination/tests/common/lease_fleet.rs
@@ -16,7 +16,7 @@
 use sedgeridge_state::lease_record::EPOCH_KEY;
 use sedgeridge_state::lease_record::FencingNumber;
 
-use super::store::Fate;
+use super::store::CallOutcome;
 use super::store::Store;
 
 /// Clock rates of the hosts, in thousandths.
@@ -81,7 +81,7 @@
     /// Kills a host and starts it again with no memory. What it sent may still arrive.
     pub fn restart(&mut self, index: usize) {
         for call in &self.hosts[index].calls {
-            self.store.leave_on_the_way(call);
+            self.store.delay_write(call);
         }
         let incarnation = self.hosts[index].member.incarnation.0 + 1;
         self.hosts[index] = self.start(index, incarnation);
@@ -115,7 +115,7 @@
     }
 
     /// Lets the store take the oldest call of a host.
-    pub fn deliver(&mut self, index: usize, fate: Fate) {
+    pub fn deliver(&mut self, index: usize, fate: CallOutcome) {
         if self.hosts[index].paused {
             return;
         }
@@ -139,7 +139,7 @@
             self.advance(100);
             for index in 0..self.hosts.len() {
                 while !self.hosts[index].paused && !self.hosts[index].calls.is_empty() {
-                    self.deliver(index, Fate::Answered);
+                    self.deliver(index, CallOutcome::Answered);
                 }
             }
         }
@@ -163,7 +163,7 @@
         let Some(held) = self.held(index) else {
             return false;
         };
-        if self.hosts[index].paused || local_now < held.unfenced_from {
+        if self.hosts[index].paused || local_now < held.unfenced_orders_from {
             return false;
         }
         let longest = Duration::from_millis(LeaseSettings::default().max_order_delay_ms);
--- a/crates/coordination/tests/common/mod.rs
+++ b/crates/coordination/tests/common/mod.rs
@@ -6,5 +6,5 @@
 pub mod config_fleet;
 pub mod coordinator_fleet;
 pub mod lease_fleet;
-pub mod order_bench;
+pub mod order_harness;
 pub mod store;
--- a/crates/coordination/tests/common/order_bench.rs
+++ b/crates/coordination/tests/common/order_harness.rs
@@ -9,7 +9,7 @@
 use sedgeridge_coordination::order_events::OrderAction;
 use sedgeridge_coordination::order_events::OrderEndpoint;
 use sedgeridge_coordination::order_events::OrderEvent;
-use sedgeridge_coordination::order_events::OrderRefusal;
+use sedgeridge_coordination::order_events::OrderRejection;
 use sedgeridge_coordination::order_events::OrderSettings;
 use sedgeridge_coordination::order_events::PoolFloor;
 use sedgeridge_coordination::order_events::SendOrder;
@@ -21,7 +21,7 @@
 use sedgeridge_state::order_record::EngineOrder;
 use sedgeridge_state::order_record::OrderState;
 
-use super::store::Fate;
+use super::store::CallOutcome;
 use super::store::Store;
 
 const POOL: &str = "desk";
@@ -31,7 +31,7 @@
 
 /// A coordinator, the store, and what the engines were told.
 #[derive(Debug)]
-pub struct OrderBench {
+pub struct OrderHarness {
     pub now: Duration,
     pub store: Store,
     pub orders: Orders,
@@ -41,7 +41,7 @@
     pub drained: Vec<EndpointId>,
     pub read_backs: Vec<u64>,
     pub ended: Vec<(EndpointId, OrderState)>,
-    pub refused: Vec<OrderRefusal>,
+    pub refused: Vec<OrderRejection>,
     /// Whether a router can be told of drains.
     pub routers_reached: bool,
     /// Requests in progress by endpoint, as reported with each step of time.
@@ -49,7 +49,7 @@
     checks_fencing: bool,
 }
 
-impl OrderBench {
+impl OrderHarness {
     /// Starts a coordinator that holds the lease and has read all orders.
     pub fn new(checks_fencing: bool) -> Self {
         let mut bench = Self {
@@ -80,7 +80,7 @@
             fencing: FencingNumber(fencing),
             epoch_version,
             deadline: self.now + TERM,
-            unfenced_from: self.now + UNFENCED_WAIT,
+            unfenced_orders_from: self.now + UNFENCED_WAIT,
         };
         self.orders = Orders::new(OrderSettings::default());
         self.lease = Some(lease);
@@ -124,14 +124,14 @@
                 OrderAction::Ended {
                     endpoint, state, ..
                 } => self.ended.push((endpoint, state)),
-                OrderAction::NotTaken { reason, .. } => self.refused.push(reason),
+                OrderAction::Rejected { reason, .. } => self.refused.push(reason),
             }
         }
     }
 
     pub fn want(&mut self, endpoint: &str, order: EngineOrder) {
         let endpoint = endpoint.into();
-        self.event(OrderEvent::Want { endpoint, order });
+        self.event(OrderEvent::Requested { endpoint, order });
     }
 
     pub fn report(&mut self, endpoint: &str, in_progress: u32) {
@@ -155,7 +155,7 @@
         });
     }
 
-    pub fn deliver(&mut self, fate: Fate) {
+    pub fn deliver(&mut self, fate: CallOutcome) {
         if let Some(call) = self.calls.pop_front() {
             let event = self.store.call(&call, fate);
             self.event(OrderEvent::Store(event));
@@ -164,7 +164,7 @@
 
     pub fn deliver_all(&mut self) {
         while !self.calls.is_empty() {
-            self.deliver(Fate::Answered);
+            self.deliver(CallOutcome::Answered);
         }
     }
 
--- a/crates/coordination/tests/common/store.rs
+++ b/crates/coordination/tests/common/store.rs
@@ -17,15 +17,15 @@
 
 /// What the store does with one call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fate {
+pub enum CallOutcome {
     /// Runs it and answers.
     Answered,
     /// Runs it; the answer is lost.
     AnswerLost,
     /// Never runs it; the caller gets no answer.
     CallLost,
-    /// Gives no answer and runs it when [`Store::run_late`] is called.
-    RunsLate,
+    /// Gives no answer and runs it when [`Store::run_delayed_write`] is called.
+    Delayed,
     /// Refuses it.
     Refused,
     /// Answers a read from rows as they were this many commits ago; a write as usual.
@@ -40,7 +40,7 @@
     pub rows_written: u64,
     pub reads: u64,
     /// Keeps no older states, so that long runs stay cheap; stale reads then see current rows.
-    pub forgets_past: bool,
+    pub keeps_no_history: bool,
     rows: BTreeMap<Arc<str>, StoreRow>,
     past: Vec<BTreeMap<Arc<str>, StoreRow>>,
     late: Vec<(Vec<StoreCheck>, Vec<StoreWrite>)>,
@@ -48,7 +48,7 @@
 
 impl Store {
     /// Handles a call by its fate.
-    pub fn call(&mut self, action: &StoreAction, fate: Fate) -> StoreEvent {
+    pub fn call(&mut self, action: &StoreAction, fate: CallOutcome) -> StoreEvent {
         match action {
             StoreAction::Transact {
                 call,
@@ -60,14 +60,14 @@
     }
 
     /// Keeps a write on its way, as when its sender dies.
-    pub fn leave_on_the_way(&mut self, action: &StoreAction) {
+    pub fn delay_write(&mut self, action: &StoreAction) {
         if let StoreAction::Transact { checks, writes, .. } = action {
             self.late.push((checks.clone(), writes.clone()));
         }
     }
 
     /// Runs the oldest write that is still on its way.
-    pub fn run_late(&mut self) {
+    pub fn run_delayed_write(&mut self) {
         if !self.late.is_empty() {
             let (checks, writes) = self.late.remove(0);
             self.transact(&checks, &writes);
@@ -99,19 +99,24 @@
         self.version
     }
 
-    fn write(&mut self, checks: &[StoreCheck], writes: &[StoreWrite], fate: Fate) -> StoreResult {
+    fn write(
+        &mut self,
+        checks: &[StoreCheck],
+        writes: &[StoreWrite],
+        fate: CallOutcome,
+    ) -> StoreResult {
         match fate {
-            Fate::Answered | Fate::Stale(_) => self.transact(checks, writes),
-            Fate::AnswerLost => {
+            CallOutcome::Answered | CallOutcome::Stale(_) => self.transact(checks, writes),
+            CallOutcome::AnswerLost => {
                 self.transact(checks, writes);
                 StoreResult::Unknown
             }
-            Fate::CallLost => StoreResult::Unknown,
-            Fate::RunsLate => {
+            CallOutcome::CallLost => StoreResult::Unknown,
+            CallOutcome::Delayed => {
                 self.late.push((checks.to_vec(), writes.to_vec()));
                 StoreResult::Unknown
             }
-            Fate::Refused => StoreResult::Unavailable,
+            CallOutcome::Refused => StoreResult::Unavailable,
         }
     }
 
@@ -125,7 +130,7 @@
         if !rows.is_empty() {
             return StoreResult::Conflict { rows };
         }
-        if !self.forgets_past {
+        if !self.keeps_no_history {
             self.past.push(self.rows.clone());
         }
         let excess = self.past.len().saturating_sub(PAST_KEPT);
@@ -148,13 +153,15 @@
         }
     }
 
-    fn read(&mut self, query: &StoreQuery, fate: Fate) -> StoreResult {
+    fn read(&mut self, query: &StoreQuery, fate: CallOutcome) -> StoreResult {
         self.reads += 1;
         match fate {
-            Fate::Refused => StoreResult::Unavailable,
-            Fate::AnswerLost | Fate::CallLost | Fate::RunsLate => StoreResult::Unknown,
-            Fate::Answered => StoreResult::Rows(select(&self.rows, query)),
-            Fate::Stale(back) => {
+            CallOutcome::Refused => StoreResult::Unavailable,
+            CallOutcome::AnswerLost | CallOutcome::CallLost | CallOutcome::Delayed => {
+                StoreResult::Unknown
+            }
+            CallOutcome::Answered => StoreResult::Rows(select(&self.rows, query)),
+            CallOutcome::Stale(back) => {
                 let index = self.past.len().checked_sub(back.max(1));
                 let rows = index.map_or(&self.rows, |i| &self.past[i]);
                 StoreResult::Rows(select(rows, query))
--- a/crates/coordination/tests/config_adoption.rs
+++ b/crates/coordination/tests/config_adoption.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use common::config_fleet::ConfigFleet;
-use common::store::Fate;
+use common::store::CallOutcome;
 use sedgeridge_coordination::config_events::ConfigAction;
 use sedgeridge_coordination::config_events::ConfigEvent;
 use sedgeridge_coordination::config_events::ConfigItem;
@@ -24,13 +24,20 @@
 }
 
 /// Carries out all calls of a router; those to the store meet `store`.
-fn serve(fleet: &mut ConfigFleet, router: usize, store: Fate) {
+fn serve(fleet: &mut ConfigFleet, router: usize, store: CallOutcome) {
     while let Some(call) = fleet.routers[router].calls.front() {
         let to_store = matches!(
             call,
             ConfigAction::ReadHead { .. } | ConfigAction::FetchFromStore { .. }
         );
-        fleet.deliver(router, if to_store { store } else { Fate::Answered });
+        fleet.deliver(
+            router,
+            if to_store {
+                store
+            } else {
+                CallOutcome::Answered
+            },
+        );
     }
 }
 
@@ -42,7 +49,7 @@
     fleet.restart(0);
     for _ in 0..20 {
         fleet.advance(100);
-        serve(&mut fleet, 0, Fate::Refused);
+        serve(&mut fleet, 0, CallOutcome::Refused);
     }
     fleet.check_all_in_force();
 }
@@ -56,7 +63,7 @@
     fleet.restart(0);
     for _ in 0..600 {
         fleet.advance(100);
-        serve(&mut fleet, 0, Fate::Refused);
+        serve(&mut fleet, 0, CallOutcome::Refused);
     }
     assert!(!fleet.routers[0].ready);
     fleet.cut.clear();
@@ -71,7 +78,7 @@
     let mut fleet = fleet_at(3);
     fleet.routers[0].calls.clear();
     fleet.advance(1_000);
-    serve(&mut fleet, 0, Fate::Stale(2));
+    serve(&mut fleet, 0, CallOutcome::Stale(2));
     let old = ConfigItem {
         generation: Generation(1),
         content: ConfigItemContent::Whole(Arc::new(fleet.accepted[..1].to_vec())),
@@ -92,7 +99,7 @@
     fleet.restart(0);
     for _ in 0..50 {
         fleet.advance(100);
-        serve(&mut fleet, 0, Fate::Stale(2));
+        serve(&mut fleet, 0, CallOutcome::Stale(2));
     }
     assert!(!fleet.routers[0].ready);
     fleet.run(10_000);
@@ -109,8 +116,8 @@
     }
     fleet.cut = vec![(0, 1), (0, 2)];
     fleet.advance(1_000);
-    fleet.deliver(0, Fate::Answered);
-    fleet.deliver(0, Fate::AnswerLost);
+    fleet.deliver(0, CallOutcome::Answered);
+    fleet.deliver(0, CallOutcome::AnswerLost);
     assert_eq!(fleet.routers[0].document, fleet.accepted[..2]);
     fleet.run(10_000);
     assert_eq!(fleet.routers[0].document, fleet.accepted);
@@ -133,7 +140,7 @@
     fleet.routers[0]
         .calls
         .retain(|c| matches!(c, ConfigAction::FetchFromStore { .. }));
-    serve(&mut fleet, 0, Fate::Answered);
+    serve(&mut fleet, 0, CallOutcome::Answered);
     assert_eq!(fleet.routers[0].document, fleet.accepted);
 }
 
@@ -142,15 +149,15 @@
 // turn the configuration back, so it hears both.
 #[test]
 fn a_lagging_peer_does_not_turn_a_restarted_router_back() {
-    for store in [Fate::Refused, Fate::CallLost] {
+    for store in [CallOutcome::Refused, CallOutcome::CallLost] {
         let mut fleet = fleet_at(1);
         fleet.accept();
         fleet.accept();
         fleet.cut = vec![(0, 1), (1, 2)];
         for _ in 0..20 {
             fleet.advance(100);
-            serve(&mut fleet, 0, Fate::Answered);
-            serve(&mut fleet, 2, Fate::Answered);
+            serve(&mut fleet, 0, CallOutcome::Answered);
+            serve(&mut fleet, 2, CallOutcome::Answered);
         }
         assert_eq!(fleet.routers[0].document, fleet.accepted);
 
--- a/crates/coordination/tests/config_fuzz.rs
+++ b/crates/coordination/tests/config_fuzz.rs
@@ -5,7 +5,7 @@
 mod common;
 
 use common::config_fleet::ConfigFleet;
-use common::store::Fate;
+use common::store::CallOutcome;
 use proptest::prelude::*;
 use proptest::test_runner::Config;
 use proptest::test_runner::RngSeed;
@@ -18,7 +18,7 @@
 #[derive(Debug, Clone)]
 enum Step {
     Accept,
-    Deliver { router: usize, fate: Fate },
+    Deliver { router: usize, fate: CallOutcome },
     Advance { by_ms: u64 },
     Cut { a: usize, b: usize },
     Join { a: usize, b: usize },
@@ -29,13 +29,13 @@
 #[derive(Debug, Clone)]
 struct Oracle;
 
-fn fate() -> impl Strategy<Value = Fate> {
+fn fate() -> impl Strategy<Value = CallOutcome> {
     prop_oneof![
-        6 => Just(Fate::Answered),
-        2 => Just(Fate::AnswerLost),
-        2 => Just(Fate::CallLost),
-        1 => Just(Fate::Refused),
-        3 => (1..4_usize).prop_map(Fate::Stale),
+        6 => Just(CallOutcome::Answered),
+        2 => Just(CallOutcome::AnswerLost),
+        2 => Just(CallOutcome::CallLost),
+        1 => Just(CallOutcome::Refused),
+        3 => (1..4_usize).prop_map(CallOutcome::Stale),
     ]
 }
 
--- a/crates/coordination/tests/config_reads.rs
+++ b/crates/coordination/tests/config_reads.rs
@@ -7,7 +7,7 @@
 mod common;
 
 use common::config_fleet::ConfigFleet;
-use common::store::Fate;
+use common::store::CallOutcome;
 use sedgeridge_coordination::config_events::ConfigEvent;
 
 const STEP_MS: u64 = 100;
@@ -50,7 +50,7 @@
         }
         for index in 0..routers {
             for _ in 0..fleet.routers[index].calls.len() {
-                fleet.deliver(index, Fate::Answered);
+                fleet.deliver(index, CallOutcome::Answered);
             }
         }
         let adopted = behind.iter().filter(|i| !is_behind(&fleet, **i)).count();
--- a/crates/coordination/tests/coordinator.rs
+++ b/crates/coordination/tests/coordinator.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use common::store::Fate;
+use common::store::CallOutcome;
 use common::store::Store;
 use sedgeridge_coordination::config_events::ConfigEvent;
 use sedgeridge_coordination::config_events::ConfigItem;
@@ -97,7 +97,7 @@
         for action in actions {
             match action {
                 CoordinatorAction::Store { part, action } => {
-                    let event = self.store.call(&action, Fate::Answered);
+                    let event = self.store.call(&action, CallOutcome::Answered);
                     self.event(CoordinatorEvent::StoreEnded { part, event });
                 }
                 CoordinatorAction::Send(order) => self.sent.push(order),
--- a/crates/coordination/tests/coordinator_fuzz.rs
+++ b/crates/coordination/tests/coordinator_fuzz.rs
@@ -6,11 +6,11 @@
 
 mod common;
 
-use common::coordinator_fleet::CALM;
 use common::coordinator_fleet::CoordinatorFleet;
 use common::coordinator_fleet::ENGINES;
 use common::coordinator_fleet::Network;
-use common::store::Fate;
+use common::coordinator_fleet::WORKING_NETWORK;
+use common::store::CallOutcome;
 use proptest::prelude::*;
 use proptest::test_runner::Config;
 use proptest::test_runner::RngSeed;
@@ -25,8 +25,8 @@
 #[derive(Debug, Clone)]
 enum Step {
     Advance { by_ms: u64 },
-    Deliver { host: usize, fate: Fate },
-    RunLate,
+    Deliver { host: usize, fate: CallOutcome },
+    RunDelayedWrite,
     Pause { host: usize },
     Resume { host: usize },
     Restart { host: usize },
@@ -39,14 +39,14 @@
 #[derive(Debug, Clone)]
 struct Oracle;
 
-fn fate() -> impl Strategy<Value = Fate> {
+fn fate() -> impl Strategy<Value = CallOutcome> {
     prop_oneof![
-        6 => Just(Fate::Answered),
-        2 => Just(Fate::AnswerLost),
-        1 => Just(Fate::CallLost),
-        1 => Just(Fate::RunsLate),
-        1 => Just(Fate::Refused),
-        1 => (1..4_usize).prop_map(Fate::Stale),
+        6 => Just(CallOutcome::Answered),
+        2 => Just(CallOutcome::AnswerLost),
+        1 => Just(CallOutcome::CallLost),
+        1 => Just(CallOutcome::Delayed),
+        1 => Just(CallOutcome::Refused),
+        1 => (1..4_usize).prop_map(CallOutcome::Stale),
     ]
 }
 
@@ -85,7 +85,7 @@
             4 => prop_oneof![Just(100_u64), Just(1_000), Just(3_000), Just(9_000), Just(12_000)]
                 .prop_map(|by_ms| Step::Advance { by_ms }),
             8 => (host.clone(), fate()).prop_map(|(host, fate)| Step::Deliver { host, fate }),
-            1 => Just(Step::RunLate),
+            1 => Just(Step::RunDelayedWrite),
             1 => host.clone().prop_map(|host| Step::Pause { host }),
             2 => host.clone().prop_map(|host| Step::Resume { host }),
             2 => host.clone().prop_map(|host| Step::Restart { host }),
@@ -116,7 +116,7 @@
         match step {
             Step::Advance { by_ms } => fleet.advance(by_ms),
             Step::Deliver { host, fate } => fleet.deliver(host, fate),
-            Step::RunLate => fleet.store.run_late(),
+            Step::RunDelayedWrite => fleet.store.run_delayed_write(),
             Step::Pause { host } => fleet.hosts[host].paused = true,
             Step::Resume { host } => fleet.resume(host),
             Step::Restart { host } => fleet.restart(host),
@@ -130,7 +130,7 @@
 
     // Once all works again, every order ends and is in effect.
     fn teardown(mut fleet: CoordinatorFleet, (): ()) {
-        fleet.network = CALM;
+        fleet.network = WORKING_NETWORK;
         for host in 0..HOSTS {
             fleet.restart(host);
         }
--- a/crates/coordination/tests/lease.rs
+++ b/crates/coordination/tests/lease.rs
@@ -5,15 +5,15 @@
 use std::time::Duration;
 
 use common::lease_fleet::LeaseFleet;
-use common::store::Fate;
+use common::store::CallOutcome;
 use sedgeridge_coordination::lease_events::LeaseEvent;
 use sedgeridge_state::lease_record::FencingNumber;
 
 fn held_by_first() -> LeaseFleet {
     let mut fleet = LeaseFleet::new(2);
     fleet.event(0, LeaseEvent::Tick);
-    fleet.deliver(0, Fate::Answered);
-    fleet.deliver(0, Fate::Answered);
+    fleet.deliver(0, CallOutcome::Answered);
+    fleet.deliver(0, CallOutcome::Answered);
     assert_eq!(fleet.holders(), [0]);
     fleet
 }
@@ -45,8 +45,8 @@
     fleet.advance(3_000);
     let sent_at = fleet.now;
     fleet.advance(2_000);
-    fleet.deliver(0, Fate::AnswerLost);
-    fleet.deliver(0, Fate::Answered);
+    fleet.deliver(0, CallOutcome::AnswerLost);
+    fleet.deliver(0, CallOutcome::Answered);
     let second = fleet.held(0).map(|h| h.deadline);
     assert!(second > first);
     assert_eq!(second, Some(sent_at + Duration::from_secs(10)));
@@ -61,7 +61,7 @@
     for _ in 0..150 {
         fleet.advance(100);
         for host in 0..2 {
-            fleet.deliver(host, Fate::Refused);
+            fleet.deliver(host, CallOutcome::Refused);
         }
         fleet.check();
     }
@@ -96,12 +96,12 @@
 fn an_acquisition_that_lands_late_is_settled() {
     let mut fleet = LeaseFleet::new(2);
     fleet.event(0, LeaseEvent::Tick);
-    fleet.deliver(0, Fate::Answered);
-    fleet.deliver(0, Fate::RunsLate);
-    fleet.deliver(0, Fate::Answered);
+    fleet.deliver(0, CallOutcome::Answered);
+    fleet.deliver(0, CallOutcome::Delayed);
+    fleet.deliver(0, CallOutcome::Answered);
     assert!(fleet.holders().is_empty());
-    fleet.store.run_late();
-    fleet.deliver(0, Fate::Answered);
+    fleet.store.run_delayed_write();
+    fleet.deliver(0, CallOutcome::Answered);
     fleet.check();
     assert_eq!(fleet.holders(), [0]);
 }
@@ -114,13 +114,13 @@
     let mut fleet = held_by_first();
     fleet.advance(3_000);
     let first_sent_at = fleet.now;
-    fleet.deliver(0, Fate::RunsLate);
+    fleet.deliver(0, CallOutcome::Delayed);
     fleet.advance(1_000);
-    fleet.deliver(0, Fate::Answered);
-    fleet.store.run_late();
+    fleet.deliver(0, CallOutcome::Answered);
+    fleet.store.run_delayed_write();
     fleet.advance(1_000);
-    fleet.deliver(0, Fate::AnswerLost);
-    fleet.deliver(0, Fate::Answered);
+    fleet.deliver(0, CallOutcome::AnswerLost);
+    fleet.deliver(0, CallOutcome::Answered);
     let deadline = fleet.held(0).map(|h| h.deadline);
     assert_eq!(deadline, Some(first_sent_at + Duration::from_secs(10)));
     fleet.check();
@@ -132,9 +132,9 @@
 fn an_acquisition_answered_after_its_term_is_not_announced() {
     let mut fleet = LeaseFleet::new(1);
     fleet.event(0, LeaseEvent::Tick);
-    fleet.deliver(0, Fate::Answered);
+    fleet.deliver(0, CallOutcome::Answered);
     fleet.advance(10_000);
-    fleet.deliver(0, Fate::Answered);
+    fleet.deliver(0, CallOutcome::Answered);
     assert!(fleet.epochs.is_empty());
     fleet.run(15_000);
     assert_eq!(fleet.holders(), [0]);
--- a/crates/coordination/tests/lease_fuzz.rs
+++ b/crates/coordination/tests/lease_fuzz.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::lease_fleet::LeaseFleet;
-use common::store::Fate;
+use common::store::CallOutcome;
 use proptest::prelude::*;
 use proptest::test_runner::Config;
 use proptest::test_runner::RngSeed;
@@ -17,8 +17,8 @@
 #[derive(Debug, Clone)]
 enum Step {
     Advance { by_ms: u64 },
-    Deliver { host: usize, fate: Fate },
-    RunLate,
+    Deliver { host: usize, fate: CallOutcome },
+    RunDelayedWrite,
     Pause { host: usize },
     Resume { host: usize },
     Restart { host: usize },
@@ -30,14 +30,14 @@
 #[derive(Debug, Clone)]
 struct Oracle;
 
-fn fate() -> impl Strategy<Value = Fate> {
+fn fate() -> impl Strategy<Value = CallOutcome> {
     prop_oneof![
-        5 => Just(Fate::Answered),
-        2 => Just(Fate::AnswerLost),
-        1 => Just(Fate::CallLost),
-        2 => Just(Fate::RunsLate),
-        1 => Just(Fate::Refused),
-        2 => (1..4_usize).prop_map(Fate::Stale),
+        5 => Just(CallOutcome::Answered),
+        2 => Just(CallOutcome::AnswerLost),
+        1 => Just(CallOutcome::CallLost),
+        2 => Just(CallOutcome::Delayed),
+        1 => Just(CallOutcome::Refused),
+        2 => (1..4_usize).prop_map(CallOutcome::Stale),
     ]
 }
 
@@ -55,7 +55,7 @@
             6 => prop_oneof![Just(100_u64), Just(1_000), Just(3_000), Just(9_000), Just(12_000)]
                 .prop_map(|by_ms| Step::Advance { by_ms }),
             8 => (host.clone(), fate()).prop_map(|(host, fate)| Step::Deliver { host, fate }),
-            2 => Just(Step::RunLate),
+            2 => Just(Step::RunDelayedWrite),
             1 => host.clone().prop_map(|host| Step::Pause { host }),
             2 => host.clone().prop_map(|host| Step::Resume { host }),
             1 => host.clone().prop_map(|host| Step::Restart { host }),
@@ -84,7 +84,7 @@
         match step {
             Step::Advance { by_ms } => fleet.advance(by_ms),
             Step::Deliver { host, fate } => fleet.deliver(host, fate),
-            Step::RunLate => fleet.store.run_late(),
+            Step::RunDelayedWrite => fleet.store.run_delayed_write(),
             Step::Pause { host } => fleet.hosts[host].paused = true,
             Step::Resume { host } => fleet.hosts[host].paused = false,
             Step::Restart { host } => fleet.restart(host),
--- a/crates/coordination/tests/orders.rs
+++ b/crates/coordination/tests/orders.rs
@@ -4,11 +4,11 @@
 
 use std::time::Duration;
 
-use common::order_bench::OrderBench;
-use common::store::Fate;
+use common::order_harness::OrderHarness;
+use common::store::CallOutcome;
 use sedgeridge_coordination::order_events::EngineAnswer;
 use sedgeridge_coordination::order_events::OrderEvent;
-use sedgeridge_coordination::order_events::OrderRefusal;
+use sedgeridge_coordination::order_events::OrderRejection;
 use sedgeridge_state::lease_record::FencingNumber;
 use sedgeridge_state::order_record::EngineOrder;
 use sedgeridge_state::order_record::OrderRecord;
@@ -28,13 +28,13 @@
 // The next holder reads the intent before it takes new orders, and sends it with its own number.
 #[test]
 fn the_next_holder_completes_an_intent() {
-    let mut bench = OrderBench::new(true);
+    let mut bench = OrderHarness::new(true);
     bench.want("desk-1", to_booking());
-    bench.deliver(Fate::Answered);
+    bench.deliver(CallOutcome::Answered);
     assert!(bench.sent.is_empty());
     bench.take_over();
     bench.want("desk-2", to_booking());
-    assert_eq!(bench.refused, [OrderRefusal::Recovering]);
+    assert_eq!(bench.refused, [OrderRejection::Recovering]);
     bench.run(4_000);
     assert_eq!(bench.ordered(), ["desk-1"]);
     assert_eq!(bench.sent[0].fencing, FencingNumber(2));
@@ -49,12 +49,12 @@
 // Without it the row would appear unseen, and a later holder would send a forgotten order.
 #[test]
 fn an_intent_that_arrives_after_the_epoch_is_not_written() {
-    let mut bench = OrderBench::new(true);
+    let mut bench = OrderHarness::new(true);
     bench.want("desk-1", to_booking());
-    bench.deliver(Fate::RunsLate);
+    bench.deliver(CallOutcome::Delayed);
     bench.take_over();
     bench.deliver_all();
-    bench.store.run_late();
+    bench.store.run_delayed_write();
     assert_eq!(bench.store.count("order/"), 0);
     bench.run(40_000);
     assert!(bench.sent.is_empty());
@@ -63,15 +63,15 @@
 // The table takes the intent and its answer is lost. Nothing is sent until the row is read back.
 #[test]
 fn an_order_is_not_sent_before_its_intent_is_certain() {
-    let mut bench = OrderBench::new(true);
+    let mut bench = OrderHarness::new(true);
     bench.want("desk-1", to_booking());
-    bench.deliver(Fate::AnswerLost);
+    bench.deliver(CallOutcome::AnswerLost);
     for _ in 0..50 {
         bench.now += Duration::from_millis(100);
         bench.event(OrderEvent::Tick);
     }
     assert!(bench.sent.is_empty());
-    bench.deliver(Fate::Answered);
+    bench.deliver(CallOutcome::Answered);
     bench.run(4_000);
     assert_eq!(bench.ordered(), ["desk-1"]);
 }
@@ -80,12 +80,12 @@
 // The orders are read again, so the order is completed without another change of holder.
 #[test]
 fn an_intent_missed_by_a_stale_read_is_found_later() {
-    let mut bench = OrderBench::new(true);
+    let mut bench = OrderHarness::new(true);
     bench.want("desk-1", to_booking());
-    bench.deliver(Fate::Answered);
+    bench.deliver(CallOutcome::Answered);
     bench.take_over();
-    bench.deliver(Fate::Stale(2));
-    assert_eq!(bench.orders.open().count(), 0);
+    bench.deliver(CallOutcome::Stale(2));
+    assert_eq!(bench.orders.open_orders().count(), 0);
     bench.run(10_000);
     assert_eq!(bench.ordered(), ["desk-1"]);
 }
@@ -94,14 +94,14 @@
 // When it goes on, before it learnt that its lease is lost, the order stays unsent.
 #[test]
 fn a_paused_holder_sends_nothing() {
-    let mut bench = OrderBench::new(true);
+    let mut bench = OrderHarness::new(true);
     bench.want("desk-1", to_booking());
     bench.deliver_all();
     bench.now += Duration::from_secs(4_000);
     bench.event(OrderEvent::Tick);
     assert!(bench.sent.is_empty());
     bench.want("desk-2", to_booking());
-    assert_eq!(bench.refused, [OrderRefusal::NotHolder]);
+    assert_eq!(bench.refused, [OrderRejection::NotLeaseHolder]);
 }
 
 // An engine that ignores fencing numbers obeys the new holder, and then an older holder's order
@@ -109,7 +109,7 @@
 // state, finds another one and repeats its order.
 #[test]
 fn an_engine_that_ignores_fencing_is_read_back_and_told_again() {
-    let mut bench = OrderBench::new(false);
+    let mut bench = OrderHarness::new(false);
     bench.want("desk-1", to_booking());
     bench.deliver_all();
     bench.run(4_500);
@@ -134,7 +134,7 @@
     assert_eq!(bench.ended, [("desk-1".into(), OrderState::Done)]);
 }
 
-fn read_back(bench: &mut OrderBench, in_effect: bool) {
+fn read_back(bench: &mut OrderHarness, in_effect: bool) {
     bench.event(OrderEvent::ReadBack {
         endpoint: "desk-1".into(),
         number: 1,
@@ -146,12 +146,12 @@
 // whatever its clock says, and gives no further order.
 #[test]
 fn an_engine_that_knows_a_higher_number_ends_the_orders() {
-    let mut bench = OrderBench::new(true);
+    let mut bench = OrderHarness::new(true);
     bench.want("desk-1", to_booking());
     bench.run(4_000);
     bench.answer(EngineAnswer::OldFencing);
     bench.want("desk-2", to_booking());
-    assert_eq!(bench.refused, [OrderRefusal::NotHolder]);
+    assert_eq!(bench.refused, [OrderRejection::NotLeaseHolder]);
     bench.run(60_000);
     assert_eq!(bench.ordered(), ["desk-1"]);
 }
@@ -161,7 +161,7 @@
 // heed the first drain for up to 9 s after its last announcement, so it is not back before that.
 #[test]
 fn drains_never_take_a_pool_below_its_floor() {
-    let mut bench = OrderBench::new(true);
+    let mut bench = OrderHarness::new(true);
     bench.want("desk-1", to_booking());
     bench.want("desk-2", to_booking());
     bench.run(20_000);
@@ -177,7 +177,7 @@
 // two. Routers still heed the drain, so the other endpoint stays in service until that has lapsed.
 #[test]
 fn the_next_holder_counts_drains_that_routers_still_heed() {
-    let mut bench = OrderBench::new(true);
+    let mut bench = OrderHarness::new(true);
     bench.want("desk-2", to_booking());
     bench.run(1_000);
     assert_eq!(bench.drained, ["desk-2".into()]);
@@ -194,7 +194,7 @@
 // The order waits for both; sent earlier, it would cut answers off.
 #[test]
 fn an_order_waits_for_the_work_in_progress() {
-    let mut bench = OrderBench::new(true);
+    let mut bench = OrderHarness::new(true);
     bench.want("desk-1", to_booking());
     bench.run(2_000);
     assert_eq!(bench.drained, ["desk-1".into()]);
@@ -213,7 +213,7 @@
 // The weight store sees one load an interval, also across the change of holder.
 #[test]
 fn loads_keep_to_the_rate_of_the_weight_store() {
-    let mut bench = OrderBench::new(true);
+    let mut bench = OrderHarness::new(true);
     bench.run(LOAD_INTERVAL_MS);
     bench.want("desk-1", load());
     bench.run(4_000);
@@ -234,7 +234,7 @@
 // would cut off a request that came in between, so it waits for figures of a later time.
 #[test]
 fn an_old_report_of_no_work_is_no_proof() {
-    let mut bench = OrderBench::new(true);
+    let mut bench = OrderHarness::new(true);
     bench.want("desk-1", to_booking());
     bench.run(300);
     let reported_at = bench.now;
@@ -254,7 +254,7 @@
 // second and gives the order; before, it read all rows twice a minute and the operator waited.
 #[test]
 fn an_order_that_an_operator_wrote_is_taken_up_within_seconds() {
-    let mut bench = OrderBench::new(true);
+    let mut bench = OrderHarness::new(true);
     bench.run(1_000);
     let record = OrderRecord {
         endpoint: "desk-2".into(),
@@ -280,7 +280,7 @@
 // and stays open until a configuration with the endpoint is in force.
 #[test]
 fn an_order_to_an_unknown_endpoint_is_not_sent() {
-    let mut bench = OrderBench::new(true);
+    let mut bench = OrderHarness::new(true);
     let record = OrderRecord {
         endpoint: "desk-9".into(),
         number: 1,
@@ -291,7 +291,7 @@
     bench.store.put("order/desk-9", &record.encode());
     bench.run(60_000);
     assert!(bench.sent.is_empty());
-    assert_eq!(bench.orders.open().count(), 1);
+    assert_eq!(bench.orders.open_orders().count(), 1);
 }
 
 // No router can be told of the drain, so all go on sending to the endpoint; in between its report
@@ -299,7 +299,7 @@
 // that comes next.
 #[test]
 fn a_drain_that_no_router_heard_of_leads_to_no_order() {
-    let mut bench = OrderBench::new(true);
+    let mut bench = OrderHarness::new(true);
     bench.routers_reached = false;
     bench.want("desk-1", to_booking());
     bench.run(20_000);
@@ -316,7 +316,7 @@
 // next announcement has spread, not before.
 #[test]
 fn a_drain_that_lapsed_starts_again() {
-    let mut bench = OrderBench::new(true);
+    let mut bench = OrderHarness::new(true);
     bench.want("desk-1", to_booking());
     bench.report("desk-1", 1);
     bench.run(5_000);
@@ -337,7 +337,7 @@
 // once drained it would stand idle for the whole interval, and callers would wait.
 #[test]
 fn an_engine_serves_until_shortly_before_its_load() {
-    let mut bench = OrderBench::new(true);
+    let mut bench = OrderHarness::new(true);
     bench.run(LOAD_INTERVAL_MS);
     bench.want("desk-1", load());
     bench.run(4_000);
@@ -358,7 +358,7 @@
 // must have arrived, and the engine's state is read.
 #[test]
 fn an_order_that_was_sent_twice_is_read_back_before_it_ends() {
-    let mut bench = OrderBench::new(true);
+    let mut bench = OrderHarness::new(true);
     bench.want("desk-1", to_booking());
     bench.run(4_000);
     bench.run(30_000);
@@ -377,7 +377,7 @@
 // order. It carries a time after which it is not sent, well before that.
 #[test]
 fn an_order_that_waits_in_the_ring_is_not_sent_late() {
-    let mut bench = OrderBench::new(true);
+    let mut bench = OrderHarness::new(true);
     bench.want("desk-1", to_booking());
     while bench.sent.is_empty() {
         bench.run(100);
--- a/crates/slopes/src/memory_table.rs
+++ b/crates/slopes/src/memory_table.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use sedgeridge_coordination::store_call::ABSENT;
+use sedgeridge_coordination::store_call::ABSENT_VERSION;
 use sedgeridge_coordination::store_call::StoreAction;
 use sedgeridge_coordination::store_call::StoreCheck;
 use sedgeridge_coordination::store_call::StoreEvent;
@@ -76,7 +76,7 @@
         self.transactions += 1;
         let failed = checks.iter().filter(|check| {
             let row = self.rows.get(&check.key);
-            row.map_or(ABSENT, |row| row.version) != check.version
+            row.map_or(ABSENT_VERSION, |row| row.version) != check.version
         });
         let failed: Vec<StoreRow> = failed.map(|check| self.row(&check.key)).collect();
         if !failed.is_empty() {
@@ -100,7 +100,7 @@
     fn row(&self, key: &Arc<str>) -> StoreRow {
         self.rows.get(key).cloned().unwrap_or_else(|| StoreRow {
             key: Arc::clone(key),
-            version: ABSENT,
+            version: ABSENT_VERSION,
             value: None,
         })
     }
--- a/crates/slopes/src/roles/coordinator.rs
+++ b/crates/slopes/src/roles/coordinator.rs
@@ -202,7 +202,7 @@
             fencing: FencingNumber(1),
             epoch_version,
             deadline: FAR,
-            unfenced_from: Duration::ZERO,
+            unfenced_orders_from: Duration::ZERO,
         })));
         holder
     }
@@ -210,7 +210,7 @@
     /// Gives one order and waits until it has ended.
     fn order(&mut self, endpoint: &EndpointId) {
         self.open += 1;
-        self.event(OrderEvent::Want {
+        self.event(OrderEvent::Requested {
             endpoint: endpoint.clone(),
             order: EngineOrder::Unload("adapter-v7".into()),
         });
--- a/crates/transport/src/config_reads.rs
+++ b/crates/transport/src/config_reads.rs
@@ -11,7 +11,7 @@
 use sedgeridge_coordination::config_events::ConfigItem;
 use sedgeridge_coordination::config_events::Generation;
 use sedgeridge_coordination::node_config::ConfigRead;
-use sedgeridge_coordination::store_call::ABSENT;
+use sedgeridge_coordination::store_call::ABSENT_VERSION;
 use sedgeridge_coordination::store_call::CallId;
 use sedgeridge_coordination::store_call::StoreAction;
 use sedgeridge_coordination::store_call::StoreCheck;
@@ -106,7 +106,7 @@
             call,
             checks: vec![StoreCheck {
                 key,
-                version: ABSENT,
+                version: ABSENT_VERSION,
             }],
             writes: Vec::new(),
         }
