--- a/crates/coordination/src/claim_events.rs
+++ b/crates/coordination/src/claim_events.rs
@@ -1,4 +1,4 @@
-//! What goes into and comes out of [`crate::claims::Claims`].
+//! Settings, events and actions of [`crate::claims::Claims`].
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,32 +13,33 @@
 use crate::store_call::StoreAction;
 use crate::store_call::StoreEvent;
 
-/// Limits of the claims of one router.
+/// Settings of the claims of one router.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ClaimSettings {
-    /// Longest time a claim waits for others to share its transaction.
+    /// Longest time for which a claim waits for others to share its transaction.
     pub claim_linger_ms: u64,
-    /// Longest time an outcome waits for a transaction to ride in.
+    /// Longest time for which an outcome waits to join a transaction.
     pub outcome_linger_ms: u64,
-    /// Most rows of one transaction.
+    /// Largest number of claims and outcomes in one transaction.
     pub max_batch_entries: usize,
-    /// Most transactions under way at once.
+    /// Largest number of transactions in flight at once.
     pub max_transactions_in_flight: usize,
-    /// Time a claim waits behind a transaction under way before it gets one of its own.
+    /// Time for which a claim that is due waits behind a transaction in flight before another
+    /// transaction is sent.
     pub overlap_delay_ms: u64,
     /// Time after which an unsettled claim is refused.
     pub claim_timeout_ms: u64,
-    /// First pause after a failed call; it doubles and is jittered.
+    /// First pause after a failed call; it doubles with each failure and has jitter.
     pub base_backoff_ms: u64,
     /// Longest pause after failed calls.
     pub max_backoff_ms: u64,
     /// Largest answer body kept in the table.
     pub max_answer_bytes: usize,
-    /// Most claims and outcomes held in memory.
+    /// Largest number of claims and outcomes held in memory.
     pub max_entries: usize,
-    /// Time a row is kept.
+    /// Time for which a row is kept.
     pub retention_ms: u64,
-    /// What a caller is asked to wait while its request is in progress elsewhere.
+    /// Least time that a caller is asked to wait before it repeats a refused request.
     pub in_progress_retry_ms: u64,
 }
 
@@ -61,10 +62,10 @@
     }
 }
 
-/// What happens to the claims of one router.
+/// Input of the claims of one router.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimEvent {
-    /// A request that may not be repeated is to run.
+    /// A request that must not be repeated is to run.
     Claim(ClaimRequest),
     /// The router no longer wants to dispatch a request: its caller left or its deadline passed.
     GiveUp(RequestId),
@@ -75,15 +76,15 @@
         /// How it ended.
         outcome: ClaimOutcome,
     },
-    /// The members believed alive changed. Asks for no action, whatever is due.
+    /// The members believed alive changed. This event causes no action, even if one is due.
     Members(Vec<Member>),
-    /// A store call ended.
+    /// A call to the table service ended.
     Store(StoreEvent),
     /// Time passed.
     Tick,
 }
 
-/// A request that may not be repeated.
+/// A request that must not be repeated.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ClaimRequest {
     /// The request.
@@ -94,7 +95,7 @@
     pub idempotency_key: Arc<str>,
     /// Hash of its body.
     pub body_hash: BodyHash,
-    /// The attempt that would run it; never used for another claim.
+    /// The attempt that is to run it; never used for another claim.
     pub attempt: AttemptId,
 }
 
@@ -109,7 +110,7 @@
     Unknown,
 }
 
-/// What the claims want done.
+/// Output of the claims.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimAction {
     /// Send the request to an endpoint, once; its claim is in the table.
@@ -127,14 +128,14 @@
         request: RequestId,
         /// Why.
         reason: ClaimRefusal,
-        /// What the caller is asked to wait, if a repeat can help.
+        /// Time that the caller is asked to wait, if a repeat can help.
         retry_after: Option<Duration>,
     },
-    /// Call the table.
+    /// Call the table service.
     Store(StoreAction),
 }
 
-/// Why a claim was refused.
+/// Reason why a claim was refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ClaimRefusal {
     /// The table cannot be reached: not run.
@@ -154,7 +155,7 @@
 }
 
 impl ClaimRefusal {
-    /// Tells whether the caller may be told that its request did not run.
+    /// Returns whether the caller may be told that its request did not run.
     ///
     /// ```
     /// use sedgeridge_coordination::claim_events::ClaimRefusal;
--- a/crates/coordination/src/claim_sweep.rs
+++ b/crates/coordination/src/claim_sweep.rs
@@ -1,7 +1,7 @@
 //! Deletes claims whose retention has passed, a bounded number at a time.
 //!
-//! Run by the coordinator's lease holder. Two sweeps at once do no harm: a row is deleted only at
-//! the version at which it was seen to be expired.
+//! The coordinator's lease holder runs it. Two sweeps at once do no harm, as a row is deleted only at
+//! the version that was read as expired.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -25,17 +25,17 @@
 use crate::store_call::StoreRow;
 use crate::store_call::StoreWrite;
 
-/// Key of the row that tells which bucket is swept next.
+/// Key of the row that holds the number of the bucket to sweep next.
 pub const SWEEP_CURSOR_KEY: &str = "claim-sweep/cursor";
 
 const MAX_BACKOFF_MS: u64 = 60_000;
 
-/// Limits of the sweep.
+/// Settings of the sweep.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ClaimSweepSettings {
     /// Time between two calls.
     pub interval_ms: u64,
-    /// Most claims deleted by one transaction.
+    /// Largest number of claims deleted by one transaction.
     pub max_deletes: usize,
 }
 
@@ -48,18 +48,18 @@
     }
 }
 
-/// What happens to the sweep.
+/// Input of the sweep.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimSweepEvent {
     /// This process holds the coordinator's lease, or no longer does.
     LeaseHeld(bool),
-    /// A store call ended.
+    /// A call to the table service ended.
     Store(StoreEvent),
     /// Time passed.
     Tick,
 }
 
-/// What the next call is for.
+/// Purpose of the next call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum Step {
     FindCursor,
@@ -73,19 +73,20 @@
     MoveCursor,
 }
 
-/// Sweeps expired claims.
+/// Deletes expired claims, bucket by bucket of their expiry.
 #[derive(Debug)]
 pub struct ClaimSweep {
     settings: ClaimSweepSettings,
     started_unix_ms: u64,
-    leading: bool,
+    holds_lease: bool,
     step: Step,
     bucket: u64,
-    /// Index rows of the bucket and the claims of the first one that are not looked at yet.
+    /// Index rows of the bucket that are not processed yet.
     index_rows: VecDeque<StoreRow>,
+    /// Claims of the first index row that are not checked yet.
     claim_keys: VecDeque<Arc<str>>,
     next_call_at: Duration,
-    waiting_for: Option<CallId>,
+    pending_call: Option<CallId>,
     failures: u32,
     calls: CallCounter,
     backoff: Backoff,
@@ -105,19 +106,19 @@
             backoff: Backoff::new(base, millis(MAX_BACKOFF_MS), seed),
             settings,
             started_unix_ms,
-            leading: false,
+            holds_lease: false,
             step: Step::FindCursor,
             bucket: 0,
             index_rows: VecDeque::new(),
             claim_keys: VecDeque::new(),
             next_call_at: Duration::ZERO,
-            waiting_for: None,
+            pending_call: None,
             failures: 0,
             calls: CallCounter::default(),
         }
     }
 
-    /// Takes one event and appends the calls to make.
+    /// Handles one event and appends the calls to make.
     ///
     /// ```
     /// use std::time::Duration;
@@ -135,11 +136,11 @@
         actions: &mut Vec<StoreAction>,
     ) {
         match event {
-            ClaimSweepEvent::LeaseHeld(leading) => self.leading = leading,
-            ClaimSweepEvent::Store(event) => self.take_answer(now, event),
+            ClaimSweepEvent::LeaseHeld(is_held) => self.holds_lease = is_held,
+            ClaimSweepEvent::Store(event) => self.handle_store_event(now, event),
             ClaimSweepEvent::Tick => {}
         }
-        if self.leading && self.waiting_for.is_none() && self.next_call_at <= now {
+        if self.holds_lease && self.pending_call.is_none() && self.next_call_at <= now {
             actions.extend(self.next_call(now));
         }
     }
@@ -181,45 +182,45 @@
 
     fn begin_call(&mut self) -> CallId {
         let call = self.calls.next();
-        self.waiting_for = Some(call);
+        self.pending_call = Some(call);
         call
     }
 
-    fn take_answer(&mut self, now: Duration, event: StoreEvent) {
-        if self.waiting_for != Some(event.call) {
+    fn handle_store_event(&mut self, now: Duration, event: StoreEvent) {
+        if self.pending_call != Some(event.call) {
             return;
         }
-        self.waiting_for = None;
+        self.pending_call = None;
         self.next_call_at = now + millis(self.settings.interval_ms);
         match event.result {
-            StoreResult::Rows(rows) => self.take_rows(now, rows),
-            StoreResult::Committed { .. } => self.take_commit(),
+            StoreResult::Rows(rows) => self.handle_rows(now, rows),
+            StoreResult::Committed { .. } => self.handle_commit(),
             StoreResult::Conflict { .. } => self.step = Step::ReadBucket,
             StoreResult::Unavailable | StoreResult::Unknown => {
                 self.failures = self.failures.saturating_add(1);
                 self.next_call_at = now + self.backoff.delay(self.failures);
-                self.retreat();
+                self.prepare_retry();
                 return;
             }
         }
         self.failures = 0;
     }
 
-    // What a delete without answer removed is not found again; a listing that went with it makes
-    // the next delete conflict, and the bucket is read again.
-    fn retreat(&mut self) {
+    // Claims removed by a delete without answer are not found when they are read again. If that
+    // delete also removed the index row, the next delete conflicts and the bucket is read again.
+    fn prepare_retry(&mut self) {
         if matches!(self.step, Step::Delete { .. }) {
             self.step = Step::ReadClaims;
         }
     }
 
-    fn take_rows(&mut self, now: Duration, rows: Vec<StoreRow>) {
+    fn handle_rows(&mut self, now: Duration, rows: Vec<StoreRow>) {
         match self.step {
             Step::FindCursor => {
                 let cursor = rows.first().and_then(|r| r.value.as_ref()?.parse().ok());
                 self.bucket = cursor.unwrap_or(0);
-                let known = cursor.is_some();
-                self.step = if known {
+                let has_cursor = cursor.is_some();
+                self.step = if has_cursor {
                     Step::ReadBucket
                 } else {
                     Step::FindOldest
@@ -249,17 +250,17 @@
         self.step = Step::ReadClaims;
     }
 
-    /// Deletes the expired claims among `rows`, and with the last of them their index row.
+    /// Plans to delete the expired claims among `rows`, and their index row with the last of them.
     ///
-    /// A key that was released and claimed again has a later expiry and a later index row; deleted
-    /// here, a repeat of it would run a second time.
+    /// A key that was released and claimed again has a later expiry and a later index row. If its
+    /// claim were deleted here, a repeat of the request would run a second time.
     fn plan_deletes(&mut self, now: Duration, rows: &[StoreRow]) {
         let unix_ms = self.unix_ms(now);
         let expired = rows.iter().filter(|row| is_expired(row, unix_ms));
-        let mut doomed: Vec<_> = expired.map(|r| (Arc::clone(&r.key), r.version)).collect();
+        let mut to_delete: Vec<_> = expired.map(|r| (Arc::clone(&r.key), r.version)).collect();
         if self.claim_keys.len() <= self.settings.max_deletes {
             let index_row = self.index_rows.front();
-            doomed.extend(index_row.map(|r| (Arc::clone(&r.key), r.version)));
+            to_delete.extend(index_row.map(|r| (Arc::clone(&r.key), r.version)));
         }
         let check = |(key, version): &(Arc<str>, u64)| StoreCheck {
             key: Arc::clone(key),
@@ -270,12 +271,12 @@
             value: None,
         };
         self.step = Step::Delete {
-            checks: doomed.iter().map(check).collect(),
-            writes: doomed.iter().map(delete).collect(),
+            checks: to_delete.iter().map(check).collect(),
+            writes: to_delete.iter().map(delete).collect(),
         };
     }
 
-    fn take_commit(&mut self) {
+    fn handle_commit(&mut self) {
         if self.step == Step::MoveCursor {
             self.bucket += 1;
             self.step = Step::ReadBucket;
--- a/crates/coordination/src/claims.rs
+++ b/crates/coordination/src/claims.rs
@@ -1,8 +1,8 @@
-//! At most one run of each request that may not be repeated.
+//! Ensures that each request that must not be repeated runs at most once.
 //!
-//! Before dispatch the router writes a claim for (client account, idempotency key) into the table,
-//! conditional on the key being free. Only the router run named in the claim may dispatch, once.
-//! Claims and outcomes of many requests share one transaction.
+//! Before dispatch the router writes a claim for (client account, idempotency key) to the table, on
+//! condition that the key is free. Only the router process named in the claim may dispatch the
+//! request, and only once. Claims and outcomes of many requests share one transaction.
 
 mod entry;
 mod queue;
@@ -31,11 +31,11 @@
 use crate::claim_events::ClaimRequest;
 use crate::claim_events::ClaimSettings;
 use crate::claims::entry::Entry;
+use crate::claims::entry::KeyStatus;
 use crate::claims::entry::Stage;
-use crate::claims::entry::Verdict;
 use crate::claims::queue::BatchItem;
 use crate::claims::queue::ClaimQueue;
-use crate::claims::send::Flight;
+use crate::claims::send::CallInFlight;
 use crate::store_breaker::StoreBreaker;
 use crate::store_call::ABSENT_VERSION;
 use crate::store_call::CallCounter;
@@ -46,20 +46,20 @@
 pub struct Claims {
     settings: ClaimSettings,
     started_unix_ms: u64,
-    alive: BTreeSet<Member>,
+    live_members: BTreeSet<Member>,
     entries: BTreeMap<Arc<str>, Entry>,
     requests: BTreeMap<RequestId, Arc<str>>,
     deadlines: VecDeque<(Duration, RequestId)>,
     queue: ClaimQueue,
-    flights: BTreeMap<CallId, Flight>,
+    calls_in_flight: BTreeMap<CallId, CallInFlight>,
     calls: CallCounter,
-    last_step: u64,
+    last_write_number: u64,
     breaker: StoreBreaker,
-    retry: Backoff,
+    retry_backoff: Backoff,
 }
 
 impl Claims {
-    /// Creates the claims of a router run that started at this Unix time.
+    /// Creates the claims of a router process that started at this Unix time.
     ///
     /// ```
     /// use sedgeridge_coordination::claim_events::ClaimSettings;
@@ -75,19 +75,19 @@
             queue: ClaimQueue::new(&settings),
             settings,
             started_unix_ms,
-            alive: BTreeSet::new(),
+            live_members: BTreeSet::new(),
             entries: BTreeMap::new(),
             requests: BTreeMap::new(),
             deadlines: VecDeque::new(),
-            flights: BTreeMap::new(),
+            calls_in_flight: BTreeMap::new(),
             calls: CallCounter::default(),
-            last_step: 0,
+            last_write_number: 0,
             breaker: StoreBreaker::new(Backoff::new(base, cap, seed)),
-            retry: Backoff::new(base, cap, seed.wrapping_add(1)),
+            retry_backoff: Backoff::new(base, cap, seed.wrapping_add(1)),
         }
     }
 
-    /// Takes one event and appends what is to be done.
+    /// Handles one event and appends the resulting actions.
     ///
     /// ```
     /// use std::time::Duration;
@@ -108,17 +108,17 @@
             }
             ClaimEvent::Finished { request, outcome } => self.finish(now, &request, outcome),
             ClaimEvent::Members(members) => {
-                self.alive = members.into_iter().collect();
+                self.live_members = members.into_iter().collect();
                 return;
             }
-            ClaimEvent::Store(event) => self.take_answer(now, event, actions),
+            ClaimEvent::Store(event) => self.handle_store_event(now, event, actions),
             ClaimEvent::Tick => {}
         }
         self.refuse_overdue(now, actions);
         self.send_batches(now, actions);
     }
 
-    /// Tells whether no claim is under way and every outcome is on record.
+    /// Returns whether no claim is in progress and every outcome is recorded in the table.
     ///
     /// ```
     /// use sedgeridge_coordination::claim_events::ClaimSettings;
@@ -140,24 +140,20 @@
     /// ```
     pub fn next_wake(&self) -> Option<Duration> {
         let deadline = self.deadlines.front().map(|(at, _)| *at);
-        let flush = self.queue.next_flush(self.flights.len());
+        let flush = self.queue.next_flush(self.calls_in_flight.len());
         [deadline, flush].into_iter().flatten().min()
     }
 
     fn claim(&mut self, now: Duration, claim: ClaimRequest, actions: &mut Vec<ClaimAction>) {
         let key = claim_key(&claim.account, &claim.idempotency_key);
-        if let Some(verdict) = self
-            .entries
-            .get(&key)
-            .and_then(|e| local_verdict(e, &claim))
-        {
-            self.answer(now, claim.request, verdict, actions);
+        if let Some(status) = self.entries.get(&key).and_then(|e| local_status(e, &claim)) {
+            self.answer(now, claim.request, status, actions);
         } else if self.breaker.is_open(now) {
-            let verdict = Verdict::Refused(ClaimRefusal::StoreUnavailable);
-            self.answer(now, claim.request, verdict, actions);
+            let status = KeyStatus::Refused(ClaimRefusal::StoreUnavailable);
+            self.answer(now, claim.request, status, actions);
         } else if self.entries.len() >= self.settings.max_entries {
-            let verdict = Verdict::Refused(ClaimRefusal::Overloaded);
-            self.answer(now, claim.request, verdict, actions);
+            let status = KeyStatus::Refused(ClaimRefusal::Overloaded);
+            self.answer(now, claim.request, status, actions);
         } else {
             self.start_claim(now, &key, claim);
         }
@@ -176,15 +172,15 @@
             request: Some(claim.request.clone()),
             stage: Stage::Claiming,
             version: ABSENT_VERSION,
-            step: 0,
+            write_number: 0,
             in_flight: false,
-            unsettled: false,
-            abandoned: Vec::new(),
+            write_unconfirmed: false,
+            abandoned_attempts: Vec::new(),
             failures: 0,
         };
         if let Some(earlier) = self.entries.remove(key) {
             entry.version = earlier.version;
-            entry.abandon_all(earlier.abandoned);
+            entry.abandon_all(earlier.abandoned_attempts);
             entry.abandon_all(vec![earlier.record.attempt]);
         }
         let deadline = now + millis(self.settings.claim_timeout_ms);
@@ -224,10 +220,10 @@
 
     /// Refuses a request that was not dispatched.
     ///
-    /// Its claim may stand in the table, or may yet arrive there, and would turn every repeat away
-    /// although nothing ran. So "released" is written on the same condition as the claim: either
-    /// the claim's write finds the row changed and fails, or this one does and is repeated on the
-    /// claim's version. "Not run" is true meanwhile, as nobody but this entry may dispatch.
+    /// Its claim may be in the table, or may still arrive there, and would refuse every repeat
+    /// although nothing ran. So "released" is written on the same condition as the claim. Either
+    /// the claim's write finds the row changed and fails, or the release does and is repeated on
+    /// the claim's version. The answer "not run" is true meanwhile, as only this entry may dispatch.
     fn give_up(
         &mut self,
         now: Duration,
@@ -245,34 +241,34 @@
             return;
         }
         self.requests.remove(request);
-        if entry.may_stand_in_table() {
-            entry.unsettled = true;
+        if entry.may_have_row() {
+            entry.write_unconfirmed = true;
             entry.in_flight = false;
             entry.request = None;
             entry.stage = Stage::Recording;
             entry.record.state = ClaimState::Released;
-            let due = now + self.retry.delay(entry.failures);
-            self.enqueue_later(&key, due);
+            let due = now + self.retry_backoff.delay(entry.failures);
+            self.enqueue_delayed(&key, due);
         } else {
             self.entries.remove(&key);
         }
-        self.answer(now, request.clone(), Verdict::Refused(reason), actions);
+        self.answer(now, request.clone(), KeyStatus::Refused(reason), actions);
     }
 
     fn answer(
         &mut self,
         now: Duration,
         request: RequestId,
-        verdict: Verdict,
+        status: KeyStatus,
         actions: &mut Vec<ClaimAction>,
     ) {
-        let reason = match verdict {
-            Verdict::Answered(answer) => {
+        let reason = match status {
+            KeyStatus::Answered(answer) => {
                 actions.push(ClaimAction::Replay { request, answer });
                 return;
             }
-            Verdict::Refused(reason) => reason,
-            Verdict::Own(_) | Verdict::Free(_) => return,
+            KeyStatus::Refused(reason) => reason,
+            KeyStatus::OwnWrite(_) | KeyStatus::Writable(_) => return,
         };
         let retry_after = self.retry_after(now, reason);
         actions.push(ClaimAction::Refuse {
@@ -283,14 +279,14 @@
     }
 
     fn retry_after(&mut self, now: Duration, reason: ClaimRefusal) -> Option<Duration> {
-        let least = millis(self.settings.in_progress_retry_ms);
+        let min_wait = millis(self.settings.in_progress_retry_ms);
         match reason {
             ClaimRefusal::StoreUnavailable => {
-                let pause = self.breaker.remaining_pause(now).max(least);
-                Some(pause + self.retry.jitter(least))
+                let pause = self.breaker.remaining_pause(now).max(min_wait);
+                Some(pause + self.retry_backoff.jitter(min_wait))
             }
             ClaimRefusal::StoreTimeout | ClaimRefusal::Overloaded | ClaimRefusal::InProgress => {
-                Some(least + self.retry.jitter(least))
+                Some(min_wait + self.retry_backoff.jitter(min_wait))
             }
             ClaimRefusal::GivenUp
             | ClaimRefusal::KeyReused
@@ -299,47 +295,47 @@
     }
 
     fn enqueue(&mut self, key: &Arc<str>, due: Duration) {
-        if let Some(item) = self.next_item(key) {
+        if let Some(item) = self.next_batch_item(key) {
             self.queue.push(item, due);
         }
     }
 
-    fn enqueue_later(&mut self, key: &Arc<str>, due: Duration) {
-        if let Some(item) = self.next_item(key) {
-            self.queue.push_later(item, due);
+    fn enqueue_delayed(&mut self, key: &Arc<str>, due: Duration) {
+        if let Some(item) = self.next_batch_item(key) {
+            self.queue.push_delayed(item, due);
         }
     }
 
-    fn next_item(&mut self, key: &Arc<str>) -> Option<BatchItem> {
+    fn next_batch_item(&mut self, key: &Arc<str>) -> Option<BatchItem> {
         let entry = self.entries.get_mut(key)?;
-        self.last_step += 1;
-        entry.step = self.last_step;
+        self.last_write_number += 1;
+        entry.write_number = self.last_write_number;
         Some(BatchItem {
             key: Arc::clone(key),
-            step: entry.step,
+            write_number: entry.write_number,
         })
     }
 
-    fn is_current(&self, item: &BatchItem) -> bool {
+    fn is_latest_write(&self, item: &BatchItem) -> bool {
         let entry = self.entries.get(&item.key);
-        entry.is_some_and(|e| e.step == item.step)
+        entry.is_some_and(|e| e.write_number == item.write_number)
     }
 }
 
-/// Answers a repeat from what this router itself knows of the key.
-fn local_verdict(entry: &Entry, claim: &ClaimRequest) -> Option<Verdict> {
+/// Answers a repeat from the entry that this router holds for the key.
+fn local_status(entry: &Entry, claim: &ClaimRequest) -> Option<KeyStatus> {
     if entry.record.state == ClaimState::Released {
         return None;
     }
     if entry.record.body_hash != claim.body_hash {
-        return Some(Verdict::Refused(ClaimRefusal::KeyReused));
+        return Some(KeyStatus::Refused(ClaimRefusal::KeyReused));
     }
-    let verdict = match &entry.record.state {
-        ClaimState::Ran(answer) => Verdict::Answered(answer.clone()),
-        ClaimState::Unknown => Verdict::Refused(ClaimRefusal::EarlierOutcomeUnknown),
-        ClaimState::Open | ClaimState::Released => Verdict::Refused(ClaimRefusal::InProgress),
+    let status = match &entry.record.state {
+        ClaimState::Ran(answer) => KeyStatus::Answered(answer.clone()),
+        ClaimState::Unknown => KeyStatus::Refused(ClaimRefusal::EarlierOutcomeUnknown),
+        ClaimState::Open | ClaimState::Released => KeyStatus::Refused(ClaimRefusal::InProgress),
     };
-    Some(verdict)
+    Some(status)
 }
 
 fn outcome_state(outcome: ClaimOutcome, max_answer_bytes: usize) -> ClaimState {
--- a/crates/coordination/src/claims/entry.rs
+++ b/crates/coordination/src/claims/entry.rs
@@ -1,4 +1,4 @@
-//! What one router knows of one idempotency key, and what a row of the table means for it.
+//! State that one router holds for an idempotency key, and how a row of the table changes it.
 
 use std::collections::BTreeSet;
 
@@ -13,21 +13,21 @@
 use crate::store_call::ABSENT_VERSION;
 use crate::store_call::StoreRow;
 
-/// Abandoned attempts remembered for one key; one that is forgotten counts as "may have run".
-const MAX_ABANDONED: usize = 16;
+/// Number of abandoned attempts kept for a key; a dropped one counts as "may have run".
+const MAX_ABANDONED_ATTEMPTS: usize = 16;
 
-/// Where the request of an entry stands.
+/// Progress of the request of an entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Stage {
-    /// The claim is on its way to the table; nothing was dispatched.
+    /// The claim is being written to the table; nothing was dispatched.
     Claiming,
     /// The request was handed out for dispatch.
     Dispatched,
-    /// The outcome is on its way to the table.
+    /// The outcome is being written to the table.
     Recording,
 }
 
-/// One idempotency key that this router holds or settles.
+/// An idempotency key for which this router holds a claim or has a write to complete.
 #[derive(Debug)]
 pub(crate) struct Entry {
     /// The row to write.
@@ -36,89 +36,105 @@
     pub(crate) stage: Stage,
     /// Version the row must have for the next write.
     pub(crate) version: u64,
-    /// Counts the writes asked for; an answer to an earlier one is dropped.
-    pub(crate) step: u64,
+    /// Number of the newest write; an answer to an earlier one is dropped.
+    pub(crate) write_number: u64,
     pub(crate) in_flight: bool,
-    /// Whether a write without answer may have taken effect, or may yet.
-    pub(crate) unsettled: bool,
-    /// Attempts of this router that never dispatched and never will, but may stand in the table.
-    pub(crate) abandoned: Vec<AttemptId>,
+    /// Whether a write without answer may have taken effect, or may still do so.
+    pub(crate) write_unconfirmed: bool,
+    /// Attempts of this router that were not and will not be dispatched, but may be in the table.
+    pub(crate) abandoned_attempts: Vec<AttemptId>,
     pub(crate) failures: u32,
 }
 
-/// What a row means for an entry.
+/// Status of an idempotency key, as a row or an entry shows it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) enum Verdict {
-    /// The entry's own write stands, at this version.
-    Own(u64),
-    /// The entry may write over this version.
-    Free(u64),
-    /// An earlier run with the key left this answer.
+pub(crate) enum KeyStatus {
+    /// The entry's write is in the table, at this version.
+    OwnWrite(u64),
+    /// The entry may overwrite this version.
+    Writable(u64),
+    /// An earlier run with the key has this answer.
     Answered(RecordedAnswer),
     /// The key is refused.
     Refused(ClaimRefusal),
 }
 
 impl Entry {
-    pub(crate) fn may_stand_in_table(&self) -> bool {
-        self.in_flight || self.unsettled || !self.abandoned.is_empty()
+    pub(crate) fn may_have_row(&self) -> bool {
+        self.in_flight || self.write_unconfirmed || !self.abandoned_attempts.is_empty()
     }
 
-    /// Keeps the attempt of an earlier entry that never dispatched.
+    /// Keeps attempts of an earlier entry that were never dispatched.
     pub(crate) fn abandon_all(&mut self, attempts: Vec<AttemptId>) {
-        self.abandoned.extend(attempts);
-        let excess = self.abandoned.len().saturating_sub(MAX_ABANDONED);
-        self.abandoned.drain(..excess);
+        self.abandoned_attempts.extend(attempts);
+        let excess = self
+            .abandoned_attempts
+            .len()
+            .saturating_sub(MAX_ABANDONED_ATTEMPTS);
+        self.abandoned_attempts.drain(..excess);
     }
 
-    /// Judges the current row of the entry's key.
-    pub(crate) fn judge(&self, row: Option<&StoreRow>, alive: &BTreeSet<Member>) -> Verdict {
+    /// Returns what the current row of the entry's key means for the entry.
+    pub(crate) fn status_from_row(
+        &self,
+        row: Option<&StoreRow>,
+        live_members: &BTreeSet<Member>,
+    ) -> KeyStatus {
         let found = row.and_then(|r| r.value.as_deref().map(|v| (r.version, v)));
         let Some((version, value)) = found else {
-            return Verdict::Free(ABSENT_VERSION);
+            return KeyStatus::Writable(ABSENT_VERSION);
         };
         let Some(other) = ClaimRecord::decode(value) else {
-            return Verdict::Refused(ClaimRefusal::EarlierOutcomeUnknown);
+            return KeyStatus::Refused(ClaimRefusal::EarlierOutcomeUnknown);
         };
         if other.attempt == self.record.attempt {
-            return self.judge_own(version, &other.state);
+            return self.status_from_own_row(version, &other.state);
         }
-        if self.abandoned.contains(&other.attempt) && other.state == ClaimState::Open {
-            return Verdict::Free(version);
+        if self.abandoned_attempts.contains(&other.attempt) && other.state == ClaimState::Open {
+            return KeyStatus::Writable(version);
         }
-        self.judge_other(version, other, alive)
+        self.status_from_other_row(version, other, live_members)
     }
 
-    // Without a write that lost its answer, a claim under this attempt was made by an earlier run
-    // that used the same incarnation, and may have been dispatched: taken for our own, the request
-    // would run a second time.
-    fn judge_own(&self, version: u64, state: &ClaimState) -> Verdict {
+    // If no write lost its answer, a claim under this attempt was made by an earlier process that
+    // used the same incarnation, and may have been dispatched. If it counted as this entry's claim,
+    // the request would run a second time.
+    fn status_from_own_row(&self, version: u64, state: &ClaimState) -> KeyStatus {
         match (self.stage, state) {
-            (Stage::Claiming, ClaimState::Open) if self.unsettled => Verdict::Own(version),
-            (Stage::Claiming, _) => Verdict::Refused(ClaimRefusal::EarlierOutcomeUnknown),
-            (Stage::Dispatched | Stage::Recording, ClaimState::Open) => Verdict::Free(version),
-            (Stage::Dispatched | Stage::Recording, _) => Verdict::Own(version),
+            (Stage::Claiming, ClaimState::Open) if self.write_unconfirmed => {
+                KeyStatus::OwnWrite(version)
+            }
+            (Stage::Claiming, _) => KeyStatus::Refused(ClaimRefusal::EarlierOutcomeUnknown),
+            (Stage::Dispatched | Stage::Recording, ClaimState::Open) => {
+                KeyStatus::Writable(version)
+            }
+            (Stage::Dispatched | Stage::Recording, _) => KeyStatus::OwnWrite(version),
         }
     }
 
-    fn judge_other(&self, version: u64, other: ClaimRecord, alive: &BTreeSet<Member>) -> Verdict {
+    fn status_from_other_row(
+        &self,
+        version: u64,
+        other: ClaimRecord,
+        live_members: &BTreeSet<Member>,
+    ) -> KeyStatus {
         if other.state == ClaimState::Released {
-            return Verdict::Free(version);
+            return KeyStatus::Writable(version);
         }
         if other.body_hash != self.record.body_hash {
-            return Verdict::Refused(ClaimRefusal::KeyReused);
+            return KeyStatus::Refused(ClaimRefusal::KeyReused);
         }
         match other.state {
-            ClaimState::Ran(answer) => Verdict::Answered(answer),
-            ClaimState::Open if self.is_at_work(&other.attempt, alive) => {
-                Verdict::Refused(ClaimRefusal::InProgress)
+            ClaimState::Ran(answer) => KeyStatus::Answered(answer),
+            ClaimState::Open if self.is_running_elsewhere(&other.attempt, live_members) => {
+                KeyStatus::Refused(ClaimRefusal::InProgress)
             }
-            _ => Verdict::Refused(ClaimRefusal::EarlierOutcomeUnknown),
+            _ => KeyStatus::Refused(ClaimRefusal::EarlierOutcomeUnknown),
         }
     }
 
-    // An open claim of this very run that no entry knows any more ended without a record.
-    fn is_at_work(&self, attempt: &AttemptId, alive: &BTreeSet<Member>) -> bool {
-        attempt.member != self.record.attempt.member && alive.contains(&attempt.member)
+    // An open claim of this process for which there is no entry ended without a recorded outcome.
+    fn is_running_elsewhere(&self, attempt: &AttemptId, live_members: &BTreeSet<Member>) -> bool {
+        attempt.member != self.record.attempt.member && live_members.contains(&attempt.member)
     }
 }
--- a/crates/coordination/src/claims/queue.rs
+++ b/crates/coordination/src/claims/queue.rs
@@ -1,4 +1,4 @@
-//! Gathers the table writes of many claims into few transactions.
+//! Batches the table writes of many claims into few transactions.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -13,7 +13,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct BatchItem {
     pub(crate) key: Arc<str>,
-    pub(crate) step: u64,
+    pub(crate) write_number: u64,
 }
 
 /// Writes that wait for a transaction.
@@ -21,10 +21,10 @@
 pub(crate) struct ClaimQueue {
     ready: VecDeque<BatchItem>,
     flush_at: Option<Duration>,
-    later: BTreeMap<(Duration, u64), BatchItem>,
+    delayed: BTreeMap<(Duration, u64), BatchItem>,
     max_batch_entries: usize,
     max_transactions_in_flight: usize,
-    stall: Duration,
+    overlap_delay: Duration,
 }
 
 impl ClaimQueue {
@@ -32,22 +32,22 @@
         Self {
             ready: VecDeque::new(),
             flush_at: None,
-            later: BTreeMap::new(),
+            delayed: BTreeMap::new(),
             max_batch_entries: settings.max_batch_entries,
             max_transactions_in_flight: settings.max_transactions_in_flight,
-            stall: millis(settings.overlap_delay_ms),
+            overlap_delay: millis(settings.overlap_delay_ms),
         }
     }
 
-    /// Adds a write that may ride in any transaction and wants one of its own at `due`.
+    /// Adds a write that may join any transaction; at `due` a transaction is sent for it.
     pub(crate) fn push(&mut self, item: BatchItem, due: Duration) {
         self.flush_at = Some(self.flush_at.map_or(due, |at| at.min(due)));
         self.ready.push_back(item);
     }
 
-    /// Adds a write that waits until `due`.
-    pub(crate) fn push_later(&mut self, item: BatchItem, due: Duration) {
-        self.later.insert((due, item.step), item);
+    /// Adds a write that must not be sent before `due`.
+    pub(crate) fn push_delayed(&mut self, item: BatchItem, due: Duration) {
+        self.delayed.insert((due, item.write_number), item);
     }
 
     pub(crate) fn take_ready(&mut self) -> Vec<BatchItem> {
@@ -55,20 +55,27 @@
         self.ready.drain(..).collect()
     }
 
-    /// Tells whether a transaction is to be sent now.
+    /// Returns whether a transaction is to be sent now.
     ///
-    /// While one is under way the others gather behind it, so batches grow with the load. One that
-    /// got no answer would hold all claims up for a whole timeout; so a second may start after a
-    /// stall.
-    pub(crate) fn may_send(&mut self, now: Duration, in_flight: usize, probing: bool) -> bool {
-        self.wake(now);
+    /// While one is in flight, further writes collect behind it, so batches grow with the load. A
+    /// transaction without answer would hold up all claims for a whole timeout, so another may
+    /// start after the overlap delay.
+    pub(crate) fn should_send(
+        &mut self,
+        now: Duration,
+        in_flight: usize,
+        is_probing: bool,
+    ) -> bool {
+        self.move_due_writes(now);
         let Some(due) = self.flush_at else {
             return false;
         };
         if in_flight == 0 {
             return due <= now || self.ready.len() >= self.max_batch_entries;
         }
-        !probing && in_flight < self.max_transactions_in_flight && due + self.stall <= now
+        !is_probing
+            && in_flight < self.max_transactions_in_flight
+            && due + self.overlap_delay <= now
     }
 
     pub(crate) fn take_batch(&mut self, now: Duration) -> Vec<BatchItem> {
@@ -79,19 +86,19 @@
     }
 
     pub(crate) fn next_flush(&self, in_flight: usize) -> Option<Duration> {
-        let stall = if in_flight == 0 {
+        let overlap_delay = if in_flight == 0 {
             Duration::ZERO
         } else {
-            self.stall
+            self.overlap_delay
         };
-        let ready = self.flush_at.map(|at| at + stall);
+        let ready = self.flush_at.map(|at| at + overlap_delay);
         let ready = ready.filter(|_| in_flight < self.max_transactions_in_flight);
-        let later = self.later.keys().next().map(|(due, _)| *due);
-        [ready, later].into_iter().flatten().min()
+        let delayed = self.delayed.keys().next().map(|(due, _)| *due);
+        [ready, delayed].into_iter().flatten().min()
     }
 
-    fn wake(&mut self, now: Duration) {
-        while let Some(first) = self.later.first_entry() {
+    fn move_due_writes(&mut self, now: Duration) {
+        while let Some(first) = self.delayed.first_entry() {
             if first.key().0 > now {
                 return;
             }
--- a/crates/coordination/src/claims/send.rs
+++ b/crates/coordination/src/claims/send.rs
@@ -1,4 +1,4 @@
-//! The table calls of the claims.
+//! Sends the store calls of the claims.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,9 +14,9 @@
 use crate::store_call::StoreQuery;
 use crate::store_call::StoreWrite;
 
-/// A call under way and the writes it is about.
+/// A store call in flight and the writes that it makes or reads back.
 #[derive(Debug)]
-pub(super) struct Flight {
+pub(super) struct CallInFlight {
     pub(super) is_read_back: bool,
     pub(super) items: Vec<BatchItem>,
 }
@@ -26,10 +26,13 @@
         if self.breaker.is_open(now) {
             return;
         }
-        let probing = self.breaker.is_probing();
-        while self.queue.may_send(now, self.flights.len(), probing) {
+        let is_probing = self.breaker.is_probing();
+        while self
+            .queue
+            .should_send(now, self.calls_in_flight.len(), is_probing)
+        {
             let mut items = self.queue.take_batch(now);
-            items.retain(|item| self.is_current(item));
+            items.retain(|item| self.is_latest_write(item));
             if !items.is_empty() {
                 self.send_transaction(items, actions);
             }
@@ -61,18 +64,19 @@
             writes,
         }));
         let is_read_back = false;
-        self.flights.insert(
+        self.calls_in_flight.insert(
             call,
-            Flight {
+            CallInFlight {
                 is_read_back,
                 items,
             },
         );
     }
 
-    /// Lists the new claims of a transaction under their expiry, for the sweep.
+    /// Returns an index row that lists the new claims of a transaction under their expiry.
     ///
-    /// Expired claims could not be found without reading every claim of the retention time.
+    /// Without it the sweep would have to read every claim of the retention time to find the expired
+    /// ones.
     fn index_write(&self, items: &[BatchItem]) -> Option<StoreWrite> {
         let entries = items.iter().map(|item| (item, self.entries.get(&item.key)));
         let mut claims = entries
@@ -87,25 +91,29 @@
         Some(StoreWrite { key, value })
     }
 
-    /// Asks what became of a transaction without answer.
-    pub(super) fn send_read_back(&mut self, flight: Flight, actions: &mut Vec<ClaimAction>) {
-        for item in &flight.items {
+    /// Reads the rows of a transaction without answer, to learn its result.
+    pub(super) fn send_read_back(
+        &mut self,
+        sent_call: CallInFlight,
+        actions: &mut Vec<ClaimAction>,
+    ) {
+        for item in &sent_call.items {
             if let Some(entry) = self.entries.get_mut(&item.key) {
-                entry.unsettled = true;
+                entry.write_unconfirmed = true;
             }
         }
-        if flight.items.is_empty() {
+        if sent_call.items.is_empty() {
             return;
         }
-        let keys = flight.items.iter().map(|i| Arc::clone(&i.key)).collect();
+        let keys = sent_call.items.iter().map(|i| Arc::clone(&i.key)).collect();
         let call = self.calls.next();
         let query = StoreQuery::Keys(keys);
         actions.push(ClaimAction::Store(StoreAction::Read { call, query }));
-        let items = flight.items;
+        let items = sent_call.items;
         let is_read_back = true;
-        self.flights.insert(
+        self.calls_in_flight.insert(
             call,
-            Flight {
+            CallInFlight {
                 is_read_back,
                 items,
             },
--- a/crates/coordination/src/claims/settle.rs
+++ b/crates/coordination/src/claims/settle.rs
@@ -1,4 +1,4 @@
-//! What the answers of the table mean for the claims that asked.
+//! Applies the results of store calls to the claims that made them.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -6,8 +6,8 @@
 use crate::claim_events::ClaimAction;
 use crate::claim_events::ClaimRefusal;
 use crate::claims::Claims;
+use crate::claims::entry::KeyStatus;
 use crate::claims::entry::Stage;
-use crate::claims::entry::Verdict;
 use crate::claims::queue::BatchItem;
 use crate::store_call::StoreEvent;
 use crate::store_call::StoreResult;
@@ -15,43 +15,43 @@
 use crate::store_call::find_row;
 
 impl Claims {
-    pub(super) fn take_answer(
+    pub(super) fn handle_store_event(
         &mut self,
         now: Duration,
         event: StoreEvent,
         actions: &mut Vec<ClaimAction>,
     ) {
-        let Some(mut flight) = self.flights.remove(&event.call) else {
+        let Some(mut call) = self.calls_in_flight.remove(&event.call) else {
             return;
         };
-        flight.items.retain(|item| self.is_current(item));
+        call.items.retain(|item| self.is_latest_write(item));
         match event.result {
             StoreResult::Committed { version } => {
                 self.breaker.record_success();
-                for item in &flight.items {
-                    self.settle(now, &item.key, Verdict::Own(version), actions);
+                for item in &call.items {
+                    self.settle(now, &item.key, KeyStatus::OwnWrite(version), actions);
                 }
             }
             StoreResult::Conflict { rows } => {
                 self.breaker.record_success();
-                self.split(now, &flight.items, &rows, actions);
+                self.settle_conflict(now, &call.items, &rows, actions);
             }
-            StoreResult::Rows(rows) if flight.is_read_back => {
+            StoreResult::Rows(rows) if call.is_read_back => {
                 self.breaker.record_success();
-                for item in &flight.items {
-                    self.read_back(now, &item.key, find_row(&rows, &item.key), actions);
+                for item in &call.items {
+                    self.settle_read_back(now, &item.key, find_row(&rows, &item.key), actions);
                 }
             }
-            StoreResult::Unknown if !flight.is_read_back => self.send_read_back(flight, actions),
+            StoreResult::Unknown if !call.is_read_back => self.send_read_back(call, actions),
             StoreResult::Rows(_) | StoreResult::Unavailable | StoreResult::Unknown => {
                 self.breaker.record_failure(now);
-                self.fail(now, &flight.items, actions);
+                self.settle_failure(now, &call.items, actions);
             }
         }
     }
 
-    /// Settles the claims that made a shared transaction fail, and sends the others again.
-    fn split(
+    /// Settles the claims that made a shared transaction fail, and queues the others again.
+    fn settle_conflict(
         &mut self,
         now: Duration,
         items: &[BatchItem],
@@ -64,19 +64,19 @@
                 continue;
             };
             if let Some(entry) = self.entries.get(&item.key) {
-                let verdict = entry.judge(Some(row), &self.alive);
-                self.settle(now, &item.key, verdict, actions);
+                let status = entry.status_from_row(Some(row), &self.live_members);
+                self.settle(now, &item.key, status, actions);
             }
         }
     }
 
     /// Settles a write whose answer was lost.
     ///
-    /// Only the entry's own record proves anything here. A row that is missing may be a stale read
-    /// or a write still on its way; taken for "not done", the claim would be given to another and
-    /// both would run. So everything else is tried again by the same conditional write, whose
-    /// answer is exact.
-    fn read_back(
+    /// Only the entry's own record is proof. A missing row may be a stale read or a write that is
+    /// still in transit. If it counted as "not done", another request could get the claim and both
+    /// would run. So in every other case the same conditional write is repeated, as its answer is
+    /// exact.
+    fn settle_read_back(
         &mut self,
         now: Duration,
         key: &Arc<str>,
@@ -86,15 +86,15 @@
         let Some(entry) = self.entries.get_mut(key) else {
             return;
         };
-        if let verdict @ Verdict::Own(_) = entry.judge(row, &self.alive) {
-            self.settle(now, key, verdict, actions);
+        if let status @ KeyStatus::OwnWrite(_) = entry.status_from_row(row, &self.live_members) {
+            self.settle(now, key, status, actions);
             return;
         }
         entry.failures += 1;
-        let due = now + self.retry.delay(entry.failures);
+        let due = now + self.retry_backoff.delay(entry.failures);
         match entry.stage {
             Stage::Claiming => self.enqueue(key, now),
-            Stage::Dispatched | Stage::Recording => self.enqueue_later(key, due),
+            Stage::Dispatched | Stage::Recording => self.enqueue_delayed(key, due),
         }
     }
 
@@ -102,31 +102,31 @@
         &mut self,
         now: Duration,
         key: &Arc<str>,
-        verdict: Verdict,
+        status: KeyStatus,
         actions: &mut Vec<ClaimAction>,
     ) {
         let Some(entry) = self.entries.get_mut(key) else {
             return;
         };
         entry.in_flight = false;
-        match (verdict, entry.stage) {
-            (Verdict::Own(version), Stage::Claiming) => {
+        match (status, entry.stage) {
+            (KeyStatus::OwnWrite(version), Stage::Claiming) => {
                 entry.version = version;
-                entry.unsettled = false;
-                entry.abandoned.clear();
+                entry.write_unconfirmed = false;
+                entry.abandoned_attempts.clear();
                 entry.stage = Stage::Dispatched;
                 actions.extend(entry.request.clone().map(ClaimAction::Dispatch));
             }
-            (Verdict::Free(version), _) => {
+            (KeyStatus::Writable(version), _) => {
                 entry.version = version;
                 self.enqueue(key, now);
             }
-            (verdict, Stage::Claiming) => {
+            (status, Stage::Claiming) => {
                 let request = entry.request.clone();
                 self.entries.remove(key);
                 if let Some(request) = request {
                     self.requests.remove(&request);
-                    self.answer(now, request, verdict, actions);
+                    self.answer(now, request, status, actions);
                 }
             }
             (_, Stage::Dispatched | Stage::Recording) => {
@@ -135,8 +135,13 @@
         }
     }
 
-    /// Ends writes that the store refused, and every claim that waits for it.
-    fn fail(&mut self, now: Duration, items: &[BatchItem], actions: &mut Vec<ClaimAction>) {
+    /// Ends writes that failed in the store, and every claim that waits for a transaction.
+    fn settle_failure(
+        &mut self,
+        now: Duration,
+        items: &[BatchItem],
+        actions: &mut Vec<ClaimAction>,
+    ) {
         for item in items {
             if let Some(entry) = self.entries.get_mut(&item.key) {
                 entry.in_flight = false;
@@ -145,19 +150,19 @@
         let mut waiting = items.to_vec();
         waiting.extend(self.queue.take_ready());
         for item in waiting {
-            if !self.is_current(&item) {
+            if !self.is_latest_write(&item) {
                 continue;
             }
             let Some(entry) = self.entries.get_mut(&item.key) else {
                 continue;
             };
             entry.failures += 1;
-            let due = now + self.retry.delay(entry.failures);
+            let due = now + self.retry_backoff.delay(entry.failures);
             match entry.request.clone() {
                 Some(request) => {
                     self.give_up(now, &request, ClaimRefusal::StoreUnavailable, actions);
                 }
-                None => self.enqueue_later(&item.key, due),
+                None => self.enqueue_delayed(&item.key, due),
             }
         }
     }
--- a/crates/coordination/src/coordinator.rs
+++ b/crates/coordination/src/coordinator.rs
@@ -1,5 +1,5 @@
-//! One coordinator's decisions as a whole: the lease, the orders to engines and the sweep of
-//! expired claims.
+//! Combines the parts of one coordinator: the lease, the orders to engines and the sweep of expired
+//! claims.
 
 use std::time::Duration;
 
@@ -17,8 +17,8 @@
 use crate::coordinator_events::CoordinatorEvent;
 use crate::coordinator_events::CoordinatorPart;
 use crate::coordinator_events::CoordinatorSettings;
-use crate::coordinator_input::Events;
-use crate::coordinator_input::configured;
+use crate::coordinator_input::PartEvents;
+use crate::coordinator_input::configured_event;
 use crate::coordinator_input::route;
 use crate::lease::Lease;
 use crate::lease_events::HeldLease;
@@ -33,7 +33,7 @@
 use crate::repeats::Repeats;
 use crate::store_call::StoreAction;
 
-/// All decisions of one coordinator.
+/// Decision logic of one coordinator.
 ///
 /// ```
 /// use std::time::Duration;
@@ -56,16 +56,16 @@
     lease: Lease,
     orders: Orders,
     sweep: ClaimSweep,
-    drains: Repeats,
-    /// The epoch that orders and sweep know of.
-    epoch: Option<FencingNumber>,
-    followed: Repeats,
-    /// The accepted configuration, unless the files stay in force.
+    drain_announcements: Repeats,
+    /// Fencing number of the lease that the orders and the sweep were told of.
+    known_epoch: Option<FencingNumber>,
+    load_reads: Repeats,
+    /// Follows the accepted configuration; none if the settings files stay in force.
     config: Option<NodeConfig>,
 }
 
 impl Coordinator {
-    /// Creates the coordinator of a process that started at this Unix time; `seed` feeds every
+    /// Creates the coordinator of a process that started at this Unix time; `seed` determines every
     /// random choice.
     pub fn new(
         member: Member,
@@ -77,47 +77,51 @@
         let sweep_seed = seed.wrapping_add(1);
         let config = NodeConfig::of_host(&member.host, configuration, seed.wrapping_add(2));
         let mut orders = Orders::new(settings.orders.clone());
-        // Until the accepted configuration is read, an order would go by files that may be old.
+        // Files may be out of date, so with an accepted configuration orders wait until it is read.
         if config.is_none() {
-            orders.handle(Duration::ZERO, configured(configuration), &mut Vec::new());
+            orders.handle(
+                Duration::ZERO,
+                configured_event(configuration),
+                &mut Vec::new(),
+            );
         }
         Self {
             lease: Lease::new(member, settings.lease.clone(), seed),
             orders,
             sweep: ClaimSweep::new(settings.sweep.clone(), started_unix_ms, sweep_seed),
-            drains: Repeats::default(),
-            epoch: None,
-            followed: Repeats::default(),
+            drain_announcements: Repeats::default(),
+            known_epoch: None,
+            load_reads: Repeats::default(),
             config,
             settings,
         }
     }
 
-    /// Takes one event and appends what is to be done.
+    /// Handles one event and appends the resulting actions.
     ///
-    /// The lease comes first, so that a process that was paused past its term learns so before
-    /// anything else is decided.
+    /// The lease is handled first, so that a process that was paused past its term learns of the
+    /// loss before it decides anything else.
     pub fn handle(
         &mut self,
         now: Duration,
         event: CoordinatorEvent,
         actions: &mut Vec<CoordinatorAction>,
     ) {
-        let Events {
+        let PartEvents {
             lease,
             config,
             orders,
             sweep,
         } = route(now, event);
-        self.lease_event(now, lease, actions);
-        self.config_event(now, config, actions);
-        self.order_event(now, orders, actions);
-        self.sweep_event(now, sweep, actions);
+        self.handle_lease_event(now, lease, actions);
+        self.handle_config_event(now, config, actions);
+        self.handle_order_event(now, orders, actions);
+        self.handle_sweep_event(now, sweep, actions);
         self.announce_drains(now, actions);
-        self.follow_reports(now, actions);
+        self.read_watched_loads(now, actions);
     }
 
-    /// Returns the lease if an order may be sent at this time; see [`Lease::held`].
+    /// Returns the lease if this process may send an order at `now`; see [`Lease::held`].
     pub fn held(&self, now: Duration) -> Option<HeldLease> {
         self.lease.held(now)
     }
@@ -127,17 +131,17 @@
         self.lease.record()
     }
 
-    /// Tells whether a coordinator that was told to stop has given its lease back.
+    /// Returns whether a coordinator that was told to stop has released its lease.
     pub fn is_stopped(&self) -> bool {
         self.lease.is_released()
     }
 
-    /// Lists the orders under way.
+    /// Lists the orders in progress.
     pub fn open_orders(&self) -> impl Iterator<Item = OpenOrder<'_>> {
         self.orders.open_orders()
     }
 
-    fn lease_event(
+    fn handle_lease_event(
         &mut self,
         now: Duration,
         event: LeaseEvent,
@@ -151,29 +155,34 @@
                     part: CoordinatorPart::Lease,
                     action,
                 }),
-                LeaseAction::Held(held) => self.take_held(now, held, actions),
-                LeaseAction::Lost => self.lose(now, actions),
+                LeaseAction::Held(held) => self.handle_held(now, held, actions),
+                LeaseAction::Lost => self.handle_lost(now, actions),
             }
         }
     }
 
-    fn take_held(&mut self, now: Duration, held: HeldLease, actions: &mut Vec<CoordinatorAction>) {
-        if self.epoch != Some(held.fencing) {
-            self.epoch = Some(held.fencing);
+    fn handle_held(
+        &mut self,
+        now: Duration,
+        held: HeldLease,
+        actions: &mut Vec<CoordinatorAction>,
+    ) {
+        if self.known_epoch != Some(held.fencing) {
+            self.known_epoch = Some(held.fencing);
             actions.push(CoordinatorAction::Held(held));
         }
-        self.order_event(now, OrderEvent::Lease(Some(held)), actions);
-        self.sweep_event(now, ClaimSweepEvent::LeaseHeld(true), actions);
+        self.handle_order_event(now, OrderEvent::Lease(Some(held)), actions);
+        self.handle_sweep_event(now, ClaimSweepEvent::LeaseHeld(true), actions);
     }
 
-    fn lose(&mut self, now: Duration, actions: &mut Vec<CoordinatorAction>) {
-        self.epoch = None;
+    fn handle_lost(&mut self, now: Duration, actions: &mut Vec<CoordinatorAction>) {
+        self.known_epoch = None;
         actions.push(CoordinatorAction::Lost);
-        self.order_event(now, OrderEvent::Lease(None), actions);
-        self.sweep_event(now, ClaimSweepEvent::LeaseHeld(false), actions);
+        self.handle_order_event(now, OrderEvent::Lease(None), actions);
+        self.handle_sweep_event(now, ClaimSweepEvent::LeaseHeld(false), actions);
     }
 
-    fn order_event(
+    fn handle_order_event(
         &mut self,
         now: Duration,
         event: OrderEvent,
@@ -206,21 +215,22 @@
                     number,
                     state,
                 }),
-                // Drains are announced as long as they last. Orders come from the table only.
+                // Drains are announced from the list of drained endpoints, and orders come only from
+                // the table.
                 OrderAction::Drain(_) | OrderAction::Undrain(_) | OrderAction::Rejected { .. } => {}
             }
         }
     }
 
-    /// Follows the accepted configuration while this process holds the lease; candidates have no use
-    /// for it, and their reads would cost the table more than the holder's.
-    fn config_event(
+    /// Follows the accepted configuration while this process holds the lease. Candidates don't need
+    /// it, and their reads would cost the table more than the holder's.
+    fn handle_config_event(
         &mut self,
         now: Duration,
         event: ConfigEvent<ConfigContent>,
         actions: &mut Vec<CoordinatorAction>,
     ) {
-        let Some(config) = self.config.as_mut().filter(|_| self.epoch.is_some()) else {
+        let Some(config) = self.config.as_mut().filter(|_| self.known_epoch.is_some()) else {
             return;
         };
         let mut steps = Vec::new();
@@ -232,7 +242,7 @@
                     generation,
                     settings,
                 } => {
-                    self.order_event(now, configured(&settings), actions);
+                    self.handle_order_event(now, configured_event(&settings), actions);
                     actions.push(CoordinatorAction::Configured {
                         generation,
                         settings,
@@ -251,7 +261,7 @@
         }
     }
 
-    fn sweep_event(
+    fn handle_sweep_event(
         &mut self,
         now: Duration,
         event: ClaimSweepEvent,
@@ -264,28 +274,30 @@
         actions.extend(calls.into_iter().map(store));
     }
 
-    /// Tells routers of the drains, again and again.
+    /// Announces the drains to routers, and repeats that at an interval.
     ///
-    /// Routers believe a drain for a time only. A holder that dies in the middle of one thus takes
-    /// no endpoint out of service for good, and no message is needed to end a drain.
+    /// Routers honour a drain only for a limited time. So a holder that dies during a drain does not
+    /// take the endpoint out of service for good, and no message is needed to end a drain.
     fn announce_drains(&mut self, now: Duration, actions: &mut Vec<CoordinatorAction>) {
-        self.drains.keep(now, self.orders.drained_endpoints());
+        self.drain_announcements
+            .keep(now, self.orders.drained_endpoints());
         let interval = millis(self.settings.drain_announce_interval_ms);
-        for endpoint in self.drains.take_due(now, interval) {
+        for endpoint in self.drain_announcements.take_due(now, interval) {
             actions.push(CoordinatorAction::AnnounceDrain { endpoint });
         }
     }
 
-    /// Reads the load reports that the orders under way need.
+    /// Reads the load reports that the orders in progress need.
     ///
-    /// An endpoint that is no longer followed is forgotten: its last report would otherwise count
-    /// as serving when the next order comes, hours later, and the pool could fall below its floor.
-    fn follow_reports(&mut self, now: Duration, actions: &mut Vec<CoordinatorAction>) {
-        for endpoint in self.followed.keep(now, &self.orders.watched_endpoints()) {
-            self.order_event(now, OrderEvent::EndpointUnknown { endpoint }, actions);
+    /// The report of an endpoint that is no longer watched is dropped. Otherwise the endpoint would
+    /// count as serving when the next order comes hours later, and the pool could fall below its
+    /// floor.
+    fn read_watched_loads(&mut self, now: Duration, actions: &mut Vec<CoordinatorAction>) {
+        for endpoint in self.load_reads.keep(now, &self.orders.watched_endpoints()) {
+            self.handle_order_event(now, OrderEvent::EndpointUnknown { endpoint }, actions);
         }
         let interval = millis(self.settings.report_interval_ms);
-        for endpoint in self.followed.take_due(now, interval) {
+        for endpoint in self.load_reads.take_due(now, interval) {
             actions.push(CoordinatorAction::ReadLoad { endpoint });
         }
     }
--- a/crates/coordination/src/coordinator_events.rs
+++ b/crates/coordination/src/coordinator_events.rs
@@ -1,4 +1,4 @@
-//! What goes into and comes out of [`crate::coordinator::Coordinator`].
+//! Settings, events and actions of [`crate::coordinator::Coordinator`].
 
 use sedgeridge_state::config_records::ConfigContent;
 use sedgeridge_state::ids::EndpointId;
@@ -19,18 +19,19 @@
 use crate::store_call::StoreAction;
 use crate::store_call::StoreEvent;
 
-/// Times and limits of a coordinator.
+/// Settings of a coordinator.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CoordinatorSettings {
-    /// Of its lease.
+    /// Settings of its lease.
     pub lease: LeaseSettings,
-    /// Of its orders.
+    /// Settings of its orders.
     pub orders: OrderSettings,
-    /// Of its sweep of expired claims.
+    /// Settings of its sweep of expired claims.
     pub sweep: ClaimSweepSettings,
     /// Time between two reads of an endpoint's load report while an order needs it.
     pub report_interval_ms: u64,
-    /// Time between two announcements of the same drain; less than routers believe one for.
+    /// Time between two announcements of the same drain; less than the time for which routers honour
+    /// one.
     pub drain_announce_interval_ms: u64,
 }
 
@@ -46,7 +47,7 @@
     }
 }
 
-/// Which part of a coordinator calls the table service; each numbers its own calls.
+/// Part of a coordinator that calls the table service; each part numbers its own calls.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CoordinatorPart {
     /// The lease.
@@ -57,14 +58,14 @@
     Sweep,
 }
 
-/// What happens to a coordinator.
+/// Input of a coordinator.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CoordinatorEvent {
-    /// A store call ended.
+    /// A call to the table service ended.
     StoreEnded {
-        /// Whose call it was.
+        /// Part that made the call.
         part: CoordinatorPart,
-        /// How it ended.
+        /// Result of the call.
         event: StoreEvent,
     },
     /// An engine answered an order, or did not.
@@ -82,7 +83,7 @@
         endpoint: EndpointId,
         /// Number of the order that was asked about.
         number: u64,
-        /// Whether the order is in effect; none if the engine did not tell.
+        /// Whether the order is in effect; none if the engine did not answer.
         in_effect: Option<bool>,
     },
     /// An endpoint's load report was read, or could not be.
@@ -94,7 +95,7 @@
     },
     /// A read of the accepted configuration ended.
     ConfigRead(ConfigEvent<ConfigContent>),
-    /// A router took an announced drain.
+    /// A router accepted an announced drain.
     DrainAnnounced {
         /// The endpoint.
         endpoint: EndpointId,
@@ -105,17 +106,17 @@
     Tick,
 }
 
-/// What a coordinator wants done.
+/// Output of a coordinator.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CoordinatorAction {
-    /// Call the table.
+    /// Call the table service.
     Store {
-        /// Whose call it is.
+        /// Part that makes the call.
         part: CoordinatorPart,
         /// The call.
         action: StoreAction,
     },
-    /// Send an order to an engine, unless [`SendOrder::not_after`] has come by then.
+    /// Send an order to an engine, unless [`SendOrder::not_after`] has passed by then.
     Send(SendOrder),
     /// Ask an engine whether an order is in effect.
     ReadBack {
@@ -131,7 +132,7 @@
         /// The endpoint.
         endpoint: EndpointId,
     },
-    /// Tell a router that an endpoint gets no new work; routers pass it on.
+    /// Tell one router that an endpoint gets no new work; routers pass it on.
     AnnounceDrain {
         /// The endpoint.
         endpoint: EndpointId,
@@ -145,16 +146,16 @@
         /// Its settings.
         settings: Box<Settings>,
     },
-    /// The content of a generation is not usable here; the settings before it stay in force.
+    /// The content of a generation is not usable here; the previous settings stay in force.
     ConfigUnusable {
         /// The generation.
         generation: Generation,
         /// What is wrong with it.
         findings: String,
     },
-    /// The lease was taken; renewals are not told.
+    /// The lease was acquired; renewals are not reported.
     Held(HeldLease),
-    /// The lease is held no more.
+    /// The lease is no longer held.
     Lost,
     /// An order ended.
     Ended {
--- a/crates/coordination/src/coordinator_input.rs
+++ b/crates/coordination/src/coordinator_input.rs
@@ -1,4 +1,4 @@
-//! What an event of the coordinator means to each of its parts.
+//! Translates an event of the coordinator into one event for each of its parts.
 
 use std::time::Duration;
 
@@ -16,18 +16,18 @@
 use crate::order_events::PoolFloor;
 use crate::slot_budget::Load;
 
-/// One event for each part; those that an event does not concern get a tick.
+/// One event for each part; a part that the event does not concern gets a tick.
 #[derive(Debug)]
-pub(crate) struct Events {
+pub(crate) struct PartEvents {
     pub(crate) lease: LeaseEvent,
     pub(crate) config: ConfigEvent<ConfigContent>,
     pub(crate) orders: OrderEvent,
     pub(crate) sweep: ClaimSweepEvent,
 }
 
-/// Gives each part its event.
-pub(crate) fn route(now: Duration, event: CoordinatorEvent) -> Events {
-    let mut events = Events {
+/// Translates an event of the coordinator for each part.
+pub(crate) fn route(now: Duration, event: CoordinatorEvent) -> PartEvents {
+    let mut events = PartEvents {
         lease: LeaseEvent::Tick,
         config: ConfigEvent::Tick,
         orders: OrderEvent::Tick,
@@ -74,8 +74,8 @@
     events
 }
 
-/// Tells the orders of the settings in force.
-pub(crate) fn configured(settings: &Settings) -> OrderEvent {
+/// Returns the event that tells the orders of the settings in force.
+pub(crate) fn configured_event(settings: &Settings) -> OrderEvent {
     OrderEvent::Configured {
         endpoints: engines(settings),
         floors: floors(settings),
--- a/crates/coordination/src/lease.rs
+++ b/crates/coordination/src/lease.rs
@@ -1,8 +1,9 @@
-//! The coordinator's lease: one holder at a time, told apart by a fencing number.
+//! The coordinator's lease: at most one holder at a time, each identified by a fencing number.
 //!
-//! No wall clock is compared between hosts. A candidate notes the lease's version, and takes the
-//! lease over when its own clock has counted a whole term without a renewal. The holder counts its
-//! term from the moment it sent the renewal, so it always stops first.
+//! Wall clocks of different hosts are never compared. A candidate remembers the lease's version and
+//! takes the lease over once its own clock has counted a whole term without a renewal. The holder
+//! counts its term from the moment it sent the renewal, so it always stops before a candidate
+//! starts.
 
 mod view;
 
@@ -32,29 +33,29 @@
 use crate::store_call::StoreWrite;
 use crate::store_call::find_row;
 
-/// A call under way and the record it writes, if any.
+/// A store call in progress and the record it writes, if any.
 #[derive(Debug)]
-struct Pending {
+struct PendingCall {
     call: CallId,
     record: Option<LeaseRecord>,
     sent_at: Duration,
 }
 
-/// A write whose answer was lost. Sent again it is the same record, so whichever of the two took
-/// effect, the term counted from the first is not too long.
+/// A write whose answer was lost. A retry writes the same record, so the term is counted from the
+/// first attempt: whichever attempt took effect, the term is then not too long.
 #[derive(Debug)]
-struct Unsettled {
+struct UnconfirmedWrite {
     record: LeaseRecord,
     first_sent_at: Duration,
-    looked: bool,
+    was_read_back: bool,
 }
 
-/// What was last read of a lease that another holds.
+/// Newest lease row read while this process does not hold the lease, and when it was first read.
 #[derive(Debug, Clone)]
-struct Seen {
+struct ObservedLease {
     version: u64,
     record: Option<LeaseRecord>,
-    since: Duration,
+    first_read_at: Duration,
 }
 
 /// One host's view of the lease.
@@ -62,21 +63,21 @@
 pub struct Lease {
     member: Member,
     settings: LeaseSettings,
-    seen: Option<Seen>,
+    observed: Option<ObservedLease>,
     held: Option<HeldLease>,
-    /// Own record in the table, and its version.
-    own: Option<(LeaseRecord, u64)>,
-    unsettled: Option<Unsettled>,
-    pending: Option<Pending>,
+    /// This process's record in the table, and its version.
+    own_record: Option<(LeaseRecord, u64)>,
+    unconfirmed: Option<UnconfirmedWrite>,
+    pending: Option<PendingCall>,
     next_call_at: Duration,
     failures: u32,
-    stopping: bool,
+    is_stopping: bool,
     calls: CallCounter,
     backoff: Backoff,
 }
 
 impl Lease {
-    /// Creates the lease of a process that does not hold it.
+    /// Creates the state of a process that does not hold the lease.
     ///
     /// ```
     /// use std::time::Duration;
@@ -94,24 +95,24 @@
             backoff: Backoff::new(base, millis(settings.renew_interval_ms), seed),
             member,
             settings,
-            seen: None,
+            observed: None,
             held: None,
-            own: None,
-            unsettled: None,
+            own_record: None,
+            unconfirmed: None,
             pending: None,
             next_call_at: Duration::ZERO,
             failures: 0,
-            stopping: false,
+            is_stopping: false,
             calls: CallCounter::default(),
         }
     }
 
-    /// Returns the lease if an order may be sent at this time.
+    /// Returns the lease if this process may send an order at `now`.
     ///
-    /// To be asked with a fresh `now` right before each order. A holder that was paused past its
-    /// term would otherwise go on with orders while another holds the lease, and two sets of
-    /// orders would reach the engines. The term is counted from before the renewal was sent, so no
-    /// candidate can have taken over earlier.
+    /// Call it with a fresh `now` right before each order. Otherwise a holder that was paused past
+    /// its term would continue to send orders while another process holds the lease, and the
+    /// engines would get orders from both. The term is counted from before the renewal was sent, so
+    /// no candidate can have taken over earlier.
     ///
     /// ```
     /// use std::time::Duration;
@@ -126,7 +127,7 @@
         self.held.filter(|held| now < held.deadline)
     }
 
-    /// Takes one event and appends what is to be done.
+    /// Handles one event and appends the resulting actions.
     ///
     /// ```
     /// use std::time::Duration;
@@ -142,27 +143,27 @@
     /// ```
     pub fn handle(&mut self, now: Duration, event: LeaseEvent, actions: &mut Vec<LeaseAction>) {
         match event {
-            LeaseEvent::Store(event) => self.take_answer(now, event, actions),
+            LeaseEvent::Store(event) => self.handle_store_event(now, event, actions),
             LeaseEvent::Stop => self.stop(now, actions),
             LeaseEvent::Tick => {}
         }
-        self.end_overdue(now, actions);
+        self.end_expired_term(now, actions);
         if self.pending.is_none() && self.next_call_at <= now {
             actions.extend(self.next_call(now).map(LeaseAction::Store));
         }
     }
 
-    fn end_overdue(&mut self, now: Duration, actions: &mut Vec<LeaseAction>) {
+    fn end_expired_term(&mut self, now: Duration, actions: &mut Vec<LeaseAction>) {
         if self.held.is_some_and(|held| held.deadline <= now) {
-            self.lose(now, actions);
+            self.lose_lease(now, actions);
         }
     }
 
-    // What is left of the own record is waited out like anybody else's.
-    fn lose(&mut self, now: Duration, actions: &mut Vec<LeaseAction>) {
-        self.own = None;
-        self.seen = None;
-        self.unsettled = None;
+    // A remaining record of this process is waited out like that of any other holder.
+    fn lose_lease(&mut self, now: Duration, actions: &mut Vec<LeaseAction>) {
+        self.own_record = None;
+        self.observed = None;
+        self.unconfirmed = None;
         self.pending = None;
         self.next_call_at = now;
         if self.held.take().is_some() {
@@ -171,7 +172,7 @@
     }
 
     fn stop(&mut self, now: Duration, actions: &mut Vec<LeaseAction>) {
-        self.stopping = true;
+        self.is_stopping = true;
         self.next_call_at = now;
         if self.held.take().is_some() {
             actions.push(LeaseAction::Lost);
@@ -179,11 +180,11 @@
     }
 
     fn next_call(&mut self, now: Duration) -> Option<StoreAction> {
-        if self.unsettled.as_ref().is_some_and(|u| !u.looked) {
-            return Some(self.look(now));
+        if self.unconfirmed.as_ref().is_some_and(|u| !u.was_read_back) {
+            return Some(self.read_lease(now));
         }
-        match &self.own {
-            Some((own, version)) if self.stopping => {
+        match &self.own_record {
+            Some((own, version)) if self.is_stopping => {
                 let record = LeaseRecord {
                     released: true,
                     ..own.clone()
@@ -197,34 +198,34 @@
                 };
                 Some(self.write(now, record, *version))
             }
-            None if self.stopping => None,
-            None => Some(self.look_or_acquire(now)),
+            None if self.is_stopping => None,
+            None => Some(self.read_or_acquire(now)),
         }
     }
 
-    fn look_or_acquire(&mut self, now: Duration) -> StoreAction {
+    fn read_or_acquire(&mut self, now: Duration) -> StoreAction {
         let wait = millis(self.settings.term_ms + self.settings.clock_drift_margin_ms);
-        let Some(seen) = self.seen.clone() else {
-            return self.look(now);
+        let Some(observed) = self.observed.clone() else {
+            return self.read_lease(now);
         };
-        let free = match &seen.record {
-            None => seen.version == ABSENT_VERSION,
-            Some(record) => record.released || seen.since + wait <= now,
+        let free = match &observed.record {
+            None => observed.version == ABSENT_VERSION,
+            Some(record) => record.released || observed.first_read_at + wait <= now,
         };
         if !free {
-            return self.look(now);
+            return self.read_lease(now);
         }
         let record = LeaseRecord {
             holder: self.member.clone(),
-            fencing: FencingNumber(seen.record.map_or(0, |r| r.fencing.0) + 1),
+            fencing: FencingNumber(observed.record.map_or(0, |r| r.fencing.0) + 1),
             renewal: 0,
             released: false,
         };
-        self.write(now, record, seen.version)
+        self.write(now, record, observed.version)
     }
 
-    fn look(&mut self, now: Duration) -> StoreAction {
-        let call = self.begin(now, None);
+    fn read_lease(&mut self, now: Duration) -> StoreAction {
+        let call = self.begin_call(now, None);
         let query = StoreQuery::Keys(vec![LEASE_KEY.into()]);
         StoreAction::Read { call, query }
     }
@@ -245,7 +246,7 @@
             key: LEASE_KEY.into(),
             version,
         }];
-        let call = self.begin(now, Some(record));
+        let call = self.begin_call(now, Some(record));
         StoreAction::Transact {
             call,
             checks,
@@ -253,9 +254,9 @@
         }
     }
 
-    fn begin(&mut self, now: Duration, record: Option<LeaseRecord>) -> CallId {
+    fn begin_call(&mut self, now: Duration, record: Option<LeaseRecord>) -> CallId {
         let call = self.calls.next();
-        self.pending = Some(Pending {
+        self.pending = Some(PendingCall {
             call,
             record,
             sent_at: now,
@@ -263,39 +264,44 @@
         call
     }
 
-    fn take_answer(&mut self, now: Duration, event: StoreEvent, actions: &mut Vec<LeaseAction>) {
+    fn handle_store_event(
+        &mut self,
+        now: Duration,
+        event: StoreEvent,
+        actions: &mut Vec<LeaseAction>,
+    ) {
         let Some(pending) = self.pending.take_if(|p| p.call == event.call) else {
             return;
         };
         match (event.result, pending.record) {
             (StoreResult::Committed { version }, Some(record)) => {
-                self.keep(now, record, version, pending.sent_at, actions);
+                self.confirm_record(now, record, version, pending.sent_at, actions);
             }
             (StoreResult::Conflict { rows } | StoreResult::Rows(rows), _) => {
-                self.take_row(now, find_row(&rows, LEASE_KEY), actions);
+                self.apply_row(now, find_row(&rows, LEASE_KEY), actions);
             }
-            (StoreResult::Unknown, Some(record)) => self.doubt(now, record, pending.sent_at),
-            _ => self.pause(now),
+            (StoreResult::Unknown, Some(record)) => self.note_unknown(now, record, pending.sent_at),
+            _ => self.back_off(now),
         }
     }
 
-    fn pause(&mut self, now: Duration) {
+    fn back_off(&mut self, now: Duration) {
         self.failures = self.failures.saturating_add(1);
         self.next_call_at = now + self.backoff.delay(self.failures);
     }
 
-    fn doubt(&mut self, now: Duration, record: LeaseRecord, sent_at: Duration) {
-        let earlier = self.unsettled.take().filter(|u| u.record == record);
-        self.unsettled = Some(Unsettled {
+    fn note_unknown(&mut self, now: Duration, record: LeaseRecord, sent_at: Duration) {
+        let earlier = self.unconfirmed.take().filter(|u| u.record == record);
+        self.unconfirmed = Some(UnconfirmedWrite {
             record,
             first_sent_at: earlier.map_or(sent_at, |u| u.first_sent_at),
-            looked: false,
+            was_read_back: false,
         });
         self.next_call_at = now;
     }
 
-    /// Notes that the own record stands in the table since a write that was sent at `sent_at`.
-    fn keep(
+    /// Notes that the table holds `record` of this process, written by a call sent at `sent_at`.
+    fn confirm_record(
         &mut self,
         now: Duration,
         record: LeaseRecord,
@@ -304,23 +310,23 @@
         actions: &mut Vec<LeaseAction>,
     ) {
         self.failures = 0;
-        self.unsettled = None;
+        self.unconfirmed = None;
         if record.released {
-            self.own = None;
+            self.own_record = None;
             return;
         }
         let fencing = record.fencing;
         let first = (version, now + millis(self.settings.max_order_delay_ms));
         let epoch = self.held.map(|h| (h.epoch_version, h.unfenced_orders_from));
         let (epoch_version, unfenced_orders_from) = epoch.unwrap_or(first);
-        self.own = Some((record, version));
-        if self.stopping {
+        self.own_record = Some((record, version));
+        if self.is_stopping {
             self.next_call_at = now;
             return;
         }
         let deadline = sent_at + millis(self.settings.term_ms);
         if deadline <= now {
-            self.lose(now, actions);
+            self.lose_lease(now, actions);
             return;
         }
         self.next_call_at = sent_at + millis(self.settings.renew_interval_ms);
@@ -334,33 +340,37 @@
         actions.push(LeaseAction::Held(held));
     }
 
-    /// Takes the current row, or an older one if the read was stale.
-    fn take_row(&mut self, now: Duration, row: Option<&StoreRow>, actions: &mut Vec<LeaseAction>) {
+    /// Applies a row that was read: the current one, or an older one if the read was stale.
+    fn apply_row(&mut self, now: Duration, row: Option<&StoreRow>, actions: &mut Vec<LeaseAction>) {
         self.failures = 0;
         let version = row.map_or(ABSENT_VERSION, |r| r.version);
         let record = row.and_then(|r| LeaseRecord::decode(r.value.as_deref()?));
-        if let Some(unsettled) = &mut self.unsettled {
-            unsettled.looked = true;
-            if record.as_ref() == Some(&unsettled.record) {
-                let (sent, sent_at) = (unsettled.record.clone(), unsettled.first_sent_at);
-                self.keep(now, sent, version, sent_at, actions);
+        if let Some(unconfirmed) = &mut self.unconfirmed {
+            unconfirmed.was_read_back = true;
+            if record.as_ref() == Some(&unconfirmed.record) {
+                let (sent, sent_at) = (unconfirmed.record.clone(), unconfirmed.first_sent_at);
+                self.confirm_record(now, sent, version, sent_at, actions);
                 return;
             }
         }
         self.next_call_at = now;
-        let own_version = self.own.as_ref().map(|(_, version)| *version);
+        let own_version = self.own_record.as_ref().map(|(_, version)| *version);
         if own_version.is_some_and(|own| version <= own) {
             return;
         }
         if own_version.is_some() {
-            self.lose(now, actions);
+            self.lose_lease(now, actions);
         }
-        if self.seen.as_ref().is_none_or(|seen| seen.version < version) {
-            self.unsettled = None;
-            self.seen = Some(Seen {
+        if self
+            .observed
+            .as_ref()
+            .is_none_or(|observed| observed.version < version)
+        {
+            self.unconfirmed = None;
+            self.observed = Some(ObservedLease {
                 version,
                 record,
-                since: now,
+                first_read_at: now,
             });
         }
         self.wait_as_candidate(now);
@@ -368,11 +378,14 @@
 
     fn wait_as_candidate(&mut self, now: Duration) {
         let wait = millis(self.settings.term_ms + self.settings.clock_drift_margin_ms);
-        let due = self.seen.as_ref().map(|seen| match &seen.record {
-            None if seen.version == ABSENT_VERSION => now,
-            Some(record) if record.released => now,
-            _ => seen.since + wait,
-        });
+        let due = self
+            .observed
+            .as_ref()
+            .map(|observed| match &observed.record {
+                None if observed.version == ABSENT_VERSION => now,
+                Some(record) if record.released => now,
+                _ => observed.first_read_at + wait,
+            });
         let poll = now + millis(self.settings.poll_interval_ms);
         self.next_call_at = due.map_or(now, |due| due.clamp(now, poll));
     }
--- a/crates/coordination/src/lease/view.rs
+++ b/crates/coordination/src/lease/view.rs
@@ -1,4 +1,4 @@
-//! What others may know of the lease.
+//! Read access to the state of the lease.
 
 use sedgeridge_state::lease_record::LeaseRecord;
 
@@ -16,11 +16,11 @@
     /// assert!(Lease::new(member, LeaseSettings::default(), 7).record().is_none());
     /// ```
     pub fn record(&self) -> Option<&LeaseRecord> {
-        let own = self.own.as_ref().map(|(record, _)| record);
-        own.or_else(|| self.seen.as_ref()?.record.as_ref())
+        let own = self.own_record.as_ref().map(|(record, _)| record);
+        own.or_else(|| self.observed.as_ref()?.record.as_ref())
     }
 
-    /// Tells whether a lease that was told to stop has nothing left to give back.
+    /// Returns whether this process was told to stop and holds no lease that it must still release.
     ///
     /// ```
     /// use sedgeridge_coordination::lease::Lease;
@@ -31,7 +31,7 @@
     /// assert!(!Lease::new(member, LeaseSettings::default(), 7).is_released());
     /// ```
     pub fn is_released(&self) -> bool {
-        let is_idle = self.pending.is_none() && self.unsettled.is_none();
-        self.stopping && is_idle && self.own.is_none()
+        let is_idle = self.pending.is_none() && self.unconfirmed.is_none();
+        self.is_stopping && is_idle && self.own_record.is_none()
     }
 }
--- a/crates/coordination/src/lease_events.rs
+++ b/crates/coordination/src/lease_events.rs
@@ -1,4 +1,4 @@
-//! What goes into and comes out of [`crate::lease::Lease`].
+//! Settings, events and actions of [`crate::lease::Lease`].
 
 use std::time::Duration;
 
@@ -7,18 +7,18 @@
 use crate::store_call::StoreAction;
 use crate::store_call::StoreEvent;
 
-/// Times of the lease.
+/// Timing of the lease.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LeaseSettings {
-    /// Time a holder may give orders after it sent a renewal.
+    /// Time for which a holder may give orders after it sent a renewal.
     pub term_ms: u64,
     /// Time between two renewals.
     pub renew_interval_ms: u64,
-    /// Time between two looks of a candidate at the lease.
+    /// Longest time between two reads of the lease by a candidate.
     pub poll_interval_ms: u64,
-    /// How much longer than the term a candidate waits, as clocks run at different rates.
+    /// Time that a candidate waits in addition to the term, as clocks run at different rates.
     pub clock_drift_margin_ms: u64,
-    /// Longest time an order is on its way to an engine.
+    /// Longest time until an order that was sent reaches its engine.
     pub max_order_delay_ms: u64,
 }
 
@@ -34,34 +34,34 @@
     }
 }
 
-/// What happens to the lease.
+/// Input of the lease.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LeaseEvent {
-    /// A store call ended.
+    /// A call to the table service ended.
     Store(StoreEvent),
-    /// The process stops as planned: the lease is given back and not taken again.
+    /// The process stops as planned: the lease is released and not acquired again.
     Stop,
     /// Time passed.
     Tick,
 }
 
-/// What the lease wants done.
+/// Output of the lease.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LeaseAction {
-    /// Call the table.
+    /// Call the table service.
     Store(StoreAction),
-    /// The lease is held, or was renewed.
+    /// The lease was acquired or renewed.
     Held(HeldLease),
-    /// The lease is held no more.
+    /// The lease is no longer held.
     Lost,
 }
 
-/// What a holder may do, and until when.
+/// A lease that this process holds, with the limits on its orders.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HeldLease {
-    /// Number that each order carries.
+    /// Fencing number that each order carries.
     pub fencing: FencingNumber,
-    /// Version of the epoch row: a condition of each write by the holder.
+    /// Version of the epoch row; each write by the holder is conditional on it.
     pub epoch_version: u64,
     /// No order may be sent at or after this time.
     pub deadline: Duration,
--- a/crates/coordination/src/order_events.rs
+++ b/crates/coordination/src/order_events.rs
@@ -1,4 +1,4 @@
-//! What goes into and comes out of [`crate::orders::Orders`].
+//! Settings, events and actions of [`crate::orders::Orders`].
 
 use std::time::Duration;
 
@@ -12,25 +12,25 @@
 use crate::store_call::StoreAction;
 use crate::store_call::StoreEvent;
 
-/// Limits of the orders.
+/// Timing of the orders.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OrderSettings {
-    /// Least time between two loads, by the weight store's rate limit.
+    /// Least time between two loads, set by the weight store's rate limit.
     pub load_interval_ms: u64,
     /// Time after which an unanswered order is sent again.
     pub answer_timeout_ms: u64,
-    /// Longest time from the decision to send an order to its arrival; after it an engine's state
-    /// is read back.
+    /// Longest time from the decision to send an order to its arrival; an engine's state is read
+    /// back only after it.
     pub max_order_delay_ms: u64,
-    /// Time between two tries of a failed store call.
+    /// Time before a failed store call is tried again.
     pub store_retry_ms: u64,
     /// Time between two reads of all orders.
     pub rescan_interval_ms: u64,
     /// Time between two reads of the orders that changed.
     pub poll_interval_ms: u64,
-    /// Time after which every router has heard of a drain that one of them took.
+    /// Time until every router knows of a drain that one of them accepted.
     pub drain_propagation_ms: u64,
-    /// Time after which routers may forget a drain that was not announced again.
+    /// Time after which routers may drop a drain that was not announced again.
     pub drain_expiry_ms: u64,
 }
 
@@ -49,17 +49,17 @@
     }
 }
 
-/// What happens to the orders.
+/// Input of the orders.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OrderEvent {
     /// A configuration is in force.
     Configured {
         /// All engines.
         endpoints: Vec<OrderEndpoint>,
-        /// Fewest serving endpoints by pool.
+        /// Minimum numbers of serving endpoints, by pool.
         floors: Vec<PoolFloor>,
     },
-    /// The lease is held, was renewed, or is held no more.
+    /// The lease was acquired, renewed or lost.
     Lease(Option<HeldLease>),
     /// An operator or planner asks for an order.
     Requested {
@@ -76,15 +76,15 @@
         serving: bool,
         /// Requests it is running.
         in_progress: u32,
-        /// When this was so; reports lag.
+        /// Time that the report describes; reports lag.
         as_of: Duration,
     },
-    /// A router took the drain of an endpoint and passes it on.
+    /// A router accepted the drain of an endpoint and passes it on.
     DrainAnnounced {
         /// The endpoint.
         endpoint: EndpointId,
     },
-    /// An endpoint's state is no longer followed, or its report could not be read.
+    /// An endpoint's reports are no longer read, or its report could not be read.
     EndpointUnknown {
         /// The endpoint.
         endpoint: EndpointId,
@@ -104,36 +104,36 @@
         endpoint: EndpointId,
         /// Number of the order that was asked about.
         number: u64,
-        /// Whether the order is in effect; none if the engine did not tell.
+        /// Whether the order is in effect; none if the engine did not answer.
         in_effect: Option<bool>,
     },
-    /// A store call ended.
+    /// A call to the table service ended.
     Store(StoreEvent),
     /// Time passed.
     Tick,
 }
 
-/// An engine as the orders see it.
+/// Configuration of an engine that orders depend on.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OrderEndpoint {
     /// Name of the endpoint.
     pub id: EndpointId,
     /// Pool it serves.
     pub pool: PoolId,
-    /// Whether it refuses orders with an old fencing number.
+    /// Whether it refuses orders with a fencing number lower than the highest it has seen.
     pub checks_fencing: bool,
 }
 
-/// Fewest serving endpoints of a pool.
+/// Minimum number of serving endpoints of a pool.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PoolFloor {
     /// The pool.
     pub pool: PoolId,
-    /// Endpoints that orders must leave serving.
+    /// Number of endpoints that orders must leave serving.
     pub floor: u32,
 }
 
-/// What became of an order that was sent.
+/// Result of an order that was sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EngineAnswer {
     /// The engine obeyed.
@@ -142,17 +142,17 @@
     OldFencing,
     /// The engine cannot obey.
     Refused,
-    /// No answer: the engine may have obeyed, or may yet.
+    /// No answer: the engine may have obeyed, or may still obey.
     Unknown,
 }
 
-/// What the orders want done.
+/// Output of the orders.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum OrderAction {
-    /// Call the table.
+    /// Call the table service.
     Store(StoreAction),
-    /// Give the endpoint no new work, until [`OrderAction::Undrain`] or the lease's end; answered
-    /// by [`OrderEvent::DrainAnnounced`] each time a router was told.
+    /// Give the endpoint no new work until [`OrderAction::Undrain`] or the end of the lease;
+    /// answered by [`OrderEvent::DrainAnnounced`] each time a router was told.
     Drain(EndpointId),
     /// Give the endpoint work again.
     Undrain(EndpointId),
@@ -176,7 +176,7 @@
         /// How it ended.
         state: OrderState,
     },
-    /// A wanted order was not taken; nothing was written or sent.
+    /// A requested order was not accepted; nothing was written or sent.
     Rejected {
         /// The endpoint.
         endpoint: EndpointId,
@@ -185,7 +185,7 @@
     },
 }
 
-/// An order on its way to an engine.
+/// An order to send to an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SendOrder {
     /// The endpoint.
@@ -194,18 +194,18 @@
     pub number: u64,
     /// The order.
     pub order: EngineOrder,
-    /// The sender's epoch.
+    /// Fencing number of the sender's lease.
     pub fencing: FencingNumber,
-    /// Not to be written to the connection at or after this time.
+    /// Time at and after which the order must not be written to the connection.
     pub not_after: Duration,
 }
 
-/// Why a wanted order was not taken.
+/// Reason why a requested order was not accepted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum OrderRejection {
     /// This process does not hold the lease.
     NotLeaseHolder,
-    /// The orders of the holder before are not read yet.
+    /// The orders of the previous holder are not read yet.
     Recovering,
     /// The endpoint is not in the configuration.
     UnknownEndpoint,
--- a/crates/coordination/src/orders.rs
+++ b/crates/coordination/src/orders.rs
@@ -1,8 +1,9 @@
-//! Orders to engines: intent in the table first, effect second, and the next holder completes.
+//! Orders to engines. The holder first writes the intent to the table and then sends the order; the
+//! next holder completes what is left open.
 //!
-//! The intent's write is the commit point of the related paper: a holder that dies before it left
-//! no effect, and one that dies after it has its order completed by the next holder, who reads all
-//! open intents before it takes new orders. Instead of the paper's log there is one row for each
+//! The intent's write is the commit point of the related paper. A holder that dies before it has had
+//! no effect. If a holder dies after it, the next holder completes the order, as it reads all open
+//! intents before it accepts new orders. Instead of the paper's log there is one row for each
 //! endpoint, replaced by the next order, so nothing has to be invalidated or compacted.
 
 mod drain;
@@ -41,10 +42,10 @@
 
 pub use crate::orders::view::OpenOrder;
 
-/// What a call under way is for.
+/// Purpose of a store call in progress.
 #[derive(Debug, Clone, PartialEq, Eq)]
-enum Purpose {
-    Recover,
+enum CallPurpose {
+    FullRead,
     Poll,
     Write(EndpointId),
     ReadBack(EndpointId),
@@ -56,21 +57,22 @@
     settings: OrderSettings,
     pools: Pools,
     lease: Option<HeldLease>,
-    /// Newest orders by endpoint and their versions, once read; without it no order is taken.
-    known: Option<BTreeMap<EndpointId, (OrderRecord, u64)>>,
+    /// Newest order and its row version by endpoint; none until all were read, and no order is
+    /// accepted before that.
+    latest: Option<BTreeMap<EndpointId, (OrderRecord, u64)>>,
     jobs: BTreeMap<EndpointId, Job>,
     next_load_at: Duration,
     next_load_drain_at: Duration,
-    recover_at: Duration,
-    poll_at: Duration,
-    /// Highest version among the rows read; a poll leaves out what is not newer.
+    next_full_read_at: Duration,
+    next_poll_at: Duration,
+    /// Highest version among the rows read; a poll reads only newer rows.
     read_version: u64,
     calls: CallCounter,
-    pending: BTreeMap<CallId, Purpose>,
+    pending: BTreeMap<CallId, CallPurpose>,
 }
 
 impl Orders {
-    /// Creates the orders of a process that does not hold the lease.
+    /// Creates the order state of a process that does not hold the lease.
     ///
     /// ```
     /// use sedgeridge_coordination::order_events::OrderSettings;
@@ -83,19 +85,19 @@
             settings,
             pools: Pools::default(),
             lease: None,
-            known: None,
+            latest: None,
             jobs: BTreeMap::new(),
             next_load_at: Duration::ZERO,
             next_load_drain_at: Duration::ZERO,
-            recover_at: Duration::ZERO,
-            poll_at: Duration::ZERO,
+            next_full_read_at: Duration::ZERO,
+            next_poll_at: Duration::ZERO,
             read_version: 0,
             calls: CallCounter::default(),
             pending: BTreeMap::new(),
         }
     }
 
-    /// Takes one event and appends what is to be done.
+    /// Handles one event and appends the resulting actions.
     ///
     /// ```
     /// use std::time::Duration;
@@ -108,12 +110,12 @@
     /// assert!(actions.is_empty());
     /// ```
     pub fn handle(&mut self, now: Duration, event: OrderEvent, actions: &mut Vec<OrderAction>) {
-        let lapse = millis(self.settings.drain_expiry_ms);
-        self.pools.set_now(now, lapse);
+        let drain_expiry = millis(self.settings.drain_expiry_ms);
+        self.pools.set_now(now, drain_expiry);
         match event {
             OrderEvent::Configured { endpoints, floors } => self.pools.configure(endpoints, floors),
-            OrderEvent::Lease(lease) => self.take_lease(now, lease),
-            OrderEvent::Requested { endpoint, order } => self.want(now, endpoint, order, actions),
+            OrderEvent::Lease(lease) => self.set_lease(now, lease),
+            OrderEvent::Requested { endpoint, order } => self.admit(now, endpoint, order, actions),
             OrderEvent::EndpointState {
                 endpoint,
                 serving,
@@ -121,18 +123,18 @@
                 as_of,
             } => self.pools.report(endpoint, serving, in_progress, as_of),
             OrderEvent::DrainAnnounced { endpoint } => self.note_announcement(now, &endpoint),
-            OrderEvent::EndpointUnknown { endpoint } => self.pools.forget(&endpoint),
+            OrderEvent::EndpointUnknown { endpoint } => self.pools.forget_report(&endpoint),
             OrderEvent::Answered {
                 endpoint,
                 number,
                 answer,
-            } => self.take_engine_answer(now, &endpoint, number, answer),
+            } => self.handle_engine_answer(now, &endpoint, number, answer),
             OrderEvent::ReadBack {
                 endpoint,
                 number,
                 in_effect,
-            } => self.take_read_back(now, &endpoint, number, in_effect),
-            OrderEvent::Store(event) => self.take_store_answer(now, event, actions),
+            } => self.handle_read_back(now, &endpoint, number, in_effect),
+            OrderEvent::Store(event) => self.handle_store_event(now, event, actions),
             OrderEvent::Tick => {}
         }
         if self.lease.is_some_and(|lease| now < lease.deadline) {
@@ -140,28 +142,28 @@
         }
     }
 
-    fn take_lease(&mut self, now: Duration, lease: Option<HeldLease>) {
+    fn set_lease(&mut self, now: Duration, lease: Option<HeldLease>) {
         let fencing = |lease: Option<HeldLease>| lease.map(|l| l.fencing);
         if fencing(lease) != fencing(self.lease) {
-            self.forget_orders(now);
-            // The holder before may have spent the weight store's allowance just now.
+            self.reset_orders(now);
+            // The previous holder may have used up the weight store's rate limit just now.
             self.next_load_at = now + millis(self.settings.load_interval_ms);
             self.next_load_drain_at = now;
         }
         self.lease = lease;
     }
 
-    /// Has all orders read again before any is given.
-    fn forget_orders(&mut self, read_at: Duration) {
-        self.known = None;
+    /// Forgets all orders, so that they are read again before any is given.
+    fn reset_orders(&mut self, read_at: Duration) {
+        self.latest = None;
         self.jobs.clear();
         self.pending.clear();
-        self.pools.forget_drains();
+        self.pools.end_all_drains();
         self.read_version = 0;
-        self.recover_at = read_at;
+        self.next_full_read_at = read_at;
     }
 
-    fn want(
+    fn admit(
         &mut self,
         now: Duration,
         endpoint: EndpointId,
@@ -169,7 +171,7 @@
         actions: &mut Vec<OrderAction>,
     ) {
         let lease = self.lease.filter(|lease| now < lease.deadline);
-        let (reason, fencing) = match (lease, &self.known) {
+        let (reason, fencing) = match (lease, &self.latest) {
             (None, _) => (Some(OrderRejection::NotLeaseHolder), None),
             (_, None) => (Some(OrderRejection::Recovering), None),
             _ if self.jobs.contains_key(&endpoint) => (Some(OrderRejection::OrderInProgress), None),
@@ -185,7 +187,10 @@
         let Some(fencing) = fencing else {
             return;
         };
-        let last = self.known.as_ref().and_then(|known| known.get(&endpoint));
+        let last = self
+            .latest
+            .as_ref()
+            .and_then(|latest| latest.get(&endpoint));
         let record = OrderRecord {
             endpoint: endpoint.clone(),
             number: last.map_or(0, |(record, _)| record.number) + 1,
@@ -203,14 +208,14 @@
         self.jobs.insert(endpoint, job);
     }
 
-    fn take_engine_answer(
+    fn handle_engine_answer(
         &mut self,
         now: Duration,
         endpoint: &EndpointId,
         number: u64,
         answer: EngineAnswer,
     ) {
-        let Some(job) = self.job_at(endpoint, number) else {
+        let Some(job) = self.job_with_number(endpoint, number) else {
             return;
         };
         if !matches!(job.stage, Stage::Sent { .. }) {
@@ -221,49 +226,49 @@
         let at = now + millis(self.settings.max_order_delay_ms);
         match answer {
             EngineAnswer::Done if checks_fencing && is_only_copy => {
-                self.end(now, endpoint, OrderState::Done);
+                self.finish(now, endpoint, OrderState::Done);
             }
-            // An older holder's order, or another copy of this one, may still be on its way to an
-            // engine that would obey it, and undo the next order.
-            EngineAnswer::Done => self.enter(endpoint, Stage::AwaitingReadBack { at }),
-            EngineAnswer::Refused => self.end(now, endpoint, OrderState::Refused),
-            EngineAnswer::OldFencing => self.take_lease(now, None),
+            // An older holder's order, or another copy of this one, may still be in transit. The
+            // engine would obey it, which would undo the next order.
+            EngineAnswer::Done => self.set_stage(endpoint, Stage::AwaitingReadBack { at }),
+            EngineAnswer::Refused => self.finish(now, endpoint, OrderState::Refused),
+            EngineAnswer::OldFencing => self.set_lease(now, None),
             EngineAnswer::Unknown => {}
         }
     }
 
-    fn take_read_back(
+    fn handle_read_back(
         &mut self,
         now: Duration,
         endpoint: &EndpointId,
         number: u64,
         in_effect: Option<bool>,
     ) {
-        let Some(job) = self.job_at(endpoint, number) else {
+        let Some(job) = self.job_with_number(endpoint, number) else {
             return;
         };
         if !matches!(job.stage, Stage::AwaitingReadBack { .. }) {
             return;
         }
         match in_effect {
-            Some(true) => self.end(now, endpoint, OrderState::Done),
-            Some(false) => self.enter(endpoint, Stage::AwaitingSend),
+            Some(true) => self.finish(now, endpoint, OrderState::Done),
+            Some(false) => self.set_stage(endpoint, Stage::AwaitingSend),
             None => {}
         }
     }
 
-    fn job_at(&self, endpoint: &EndpointId, number: u64) -> Option<&Job> {
+    fn job_with_number(&self, endpoint: &EndpointId, number: u64) -> Option<&Job> {
         let job = self.jobs.get(endpoint)?;
         (job.record.number == number).then_some(job)
     }
 
-    fn enter(&mut self, endpoint: &EndpointId, stage: Stage) {
+    fn set_stage(&mut self, endpoint: &EndpointId, stage: Stage) {
         if let Some(job) = self.jobs.get_mut(endpoint) {
             job.stage = stage;
         }
     }
 
-    fn end(&mut self, now: Duration, endpoint: &EndpointId, state: OrderState) {
+    fn finish(&mut self, now: Duration, endpoint: &EndpointId, state: OrderState) {
         if let (Some(lease), Some(job)) = (self.lease, self.jobs.get_mut(endpoint)) {
             job.record.state = state;
             job.record.fencing = lease.fencing;
@@ -280,7 +285,7 @@
         }
     }
 
-    fn begin(&mut self, purpose: Purpose) -> CallId {
+    fn begin_call(&mut self, purpose: CallPurpose) -> CallId {
         let call = self.calls.next();
         self.pending.insert(call, purpose);
         call
@@ -296,9 +301,9 @@
             return;
         };
         match job.stage {
-            Stage::WritingIntent | Stage::WritingEnd => self.write(now, endpoint, actions),
+            Stage::WritingIntent | Stage::WritingEnd => self.write_row(now, endpoint, actions),
             Stage::AwaitingFloor if !job.record.order.interrupts() => {
-                self.enter(endpoint, Stage::AwaitingSend);
+                self.set_stage(endpoint, Stage::AwaitingSend);
                 self.send(now, endpoint, actions);
             }
             Stage::AwaitingFloor => {
@@ -306,14 +311,14 @@
             }
             Stage::Draining { announced } => {
                 if self.is_drained(now, endpoint, announced) {
-                    self.enter(endpoint, Stage::AwaitingSend);
+                    self.set_stage(endpoint, Stage::AwaitingSend);
                     self.send(now, endpoint, actions);
                 }
             }
             Stage::AwaitingSend => self.send(now, endpoint, actions),
             Stage::Sent { repeat_at } if repeat_at <= now => self.send(now, endpoint, actions),
             Stage::AwaitingReadBack { at } if at <= now => {
-                self.ask_back(now, endpoint, actions);
+                self.request_read_back(now, endpoint, actions);
             }
             Stage::Sent { .. } | Stage::AwaitingReadBack { .. } => {}
         }
@@ -323,10 +328,10 @@
         let (Some(lease), Some(job)) = (self.lease, self.jobs.get_mut(endpoint)) else {
             return;
         };
-        let Some(known) = self.pools.get(endpoint) else {
+        let Some(engine) = self.pools.get(endpoint) else {
             return;
         };
-        if !known.checks_fencing && now < lease.unfenced_orders_from {
+        if !engine.checks_fencing && now < lease.unfenced_orders_from {
             return;
         }
         if job.record.order.reads_weights() {
@@ -336,8 +341,8 @@
             self.next_load_at = now + millis(self.settings.load_interval_ms);
         }
         let repeat_at = now + millis(self.settings.answer_timeout_ms);
-        // Half of the longest delay is for the process itself, half for the way.
-        let stale_at = now + millis(self.settings.max_order_delay_ms / 2);
+        // Half of the longest delay is for this process, half for the network.
+        let latest_send_at = now + millis(self.settings.max_order_delay_ms / 2);
         job.stage = Stage::Sent { repeat_at };
         job.sends += 1;
         actions.push(OrderAction::Send(SendOrder {
@@ -345,11 +350,16 @@
             number: job.record.number,
             order: job.record.order.clone(),
             fencing: lease.fencing,
-            not_after: lease.deadline.min(stale_at),
+            not_after: lease.deadline.min(latest_send_at),
         }));
     }
 
-    fn ask_back(&mut self, now: Duration, endpoint: &EndpointId, actions: &mut Vec<OrderAction>) {
+    fn request_read_back(
+        &mut self,
+        now: Duration,
+        endpoint: &EndpointId,
+        actions: &mut Vec<OrderAction>,
+    ) {
         let at = now + millis(self.settings.answer_timeout_ms);
         if let Some(job) = self.jobs.get_mut(endpoint) {
             job.stage = Stage::AwaitingReadBack { at };
@@ -361,11 +371,11 @@
         }
     }
 
-    /// Writes the job's row on condition that this epoch lasts and the row is as it was read.
+    /// Writes the job's row, on condition that the epoch and the row's version are unchanged.
     ///
-    /// The deadline alone would not do: a write delayed in the network could overwrite the row of
-    /// a later holder, and an order that was completed would be sent again.
-    fn write(&mut self, now: Duration, endpoint: &EndpointId, actions: &mut Vec<OrderAction>) {
+    /// The deadline alone is not enough: a write delayed in the network could overwrite the row of
+    /// a later holder, and a completed order would be sent again.
+    fn write_row(&mut self, now: Duration, endpoint: &EndpointId, actions: &mut Vec<OrderAction>) {
         let (Some(lease), Some(job)) = (self.lease, self.jobs.get_mut(endpoint)) else {
             return;
         };
@@ -386,7 +396,7 @@
         ];
         let value = Some(job.record.encode().into());
         let writes = vec![StoreWrite { key, value }];
-        let call = self.begin(Purpose::Write(endpoint.clone()));
+        let call = self.begin_call(CallPurpose::Write(endpoint.clone()));
         actions.push(OrderAction::Store(StoreAction::Transact {
             call,
             checks,
--- a/crates/coordination/src/orders/drain.rs
+++ b/crates/coordination/src/orders/drain.rs
@@ -1,4 +1,4 @@
-//! When an endpoint's work in progress has ended for an order.
+//! Drains endpoints for orders, and decides when an endpoint's work in progress has ended.
 
 use std::time::Duration;
 
@@ -9,11 +9,11 @@
 use crate::orders::Orders;
 use crate::orders::job::Stage;
 
-/// Since when routers have been told without a gap that an endpoint gets no new work.
+/// Time span in which routers were continuously told that an endpoint gets no new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct Announcement {
-    since: Duration,
-    last: Duration,
+    first_at: Duration,
+    last_at: Duration,
 }
 
 impl Orders {
@@ -33,50 +33,54 @@
                 self.next_load_drain_at = now + millis(self.settings.load_interval_ms);
             }
             actions.push(OrderAction::Drain(endpoint.clone()));
-            self.enter(endpoint, Stage::Draining { announced: None });
+            self.set_stage(endpoint, Stage::Draining { announced: None });
         }
     }
 
-    /// Returns when an endpoint may be drained for a load: as late as the weight store's next turn
-    /// allows, and one a turn.
+    /// Returns when the next endpoint may be drained for a load: as late as the weight store's rate
+    /// limit allows, and one endpoint for each load interval.
     ///
-    /// Drained at once, every endpoint with a load ahead of its turn would stand idle; ten loads
-    /// would take the tenth out of service for over a minute. A drain that takes long does not hold
-    /// up the loads after it.
+    /// If all were drained at once, every endpoint would stand idle until its load is allowed; with
+    /// ten loads the tenth would be out of service for over a minute. A drain that takes long does
+    /// not delay the loads after it.
     fn load_drain_at(&self) -> Duration {
-        let settle = millis(self.settings.drain_propagation_ms);
-        let before_turn = self.next_load_at.saturating_sub(settle);
-        before_turn.max(self.next_load_drain_at)
+        let propagation = millis(self.settings.drain_propagation_ms);
+        let before_load = self.next_load_at.saturating_sub(propagation);
+        before_load.max(self.next_load_drain_at)
     }
 
-    /// Notes that a router took the drain.
+    /// Notes that a router accepted the drain announcement.
     ///
-    /// Time counts from here and not from the decision to drain: while no router can be reached,
-    /// all go on sending, and an order in a lull would cut off the request that comes next.
+    /// Time counts from here and not from the decision to drain. While no router can be reached, all
+    /// continue to send requests; an order sent while the endpoint happens to be idle would cut off
+    /// the next request.
     pub(super) fn note_announcement(&mut self, now: Duration, endpoint: &EndpointId) {
-        let lapse = millis(self.settings.drain_expiry_ms);
+        let drain_expiry = millis(self.settings.drain_expiry_ms);
         let Some(job) = self.jobs.get_mut(endpoint) else {
             return;
         };
         if let Stage::Draining { announced } = &mut job.stage {
-            let in_force = announced.filter(|a| now < a.last + lapse);
-            let since = in_force.map_or(now, |a| a.since);
-            *announced = Some(Announcement { since, last: now });
+            let in_force = announced.filter(|a| now < a.last_at + drain_expiry);
+            let first_at = in_force.map_or(now, |a| a.first_at);
+            *announced = Some(Announcement {
+                first_at,
+                last_at: now,
+            });
         }
     }
 
-    /// Tells whether every router has heard of the drain, still heeds it, and no work is left.
+    /// Returns whether every router knows of the drain and still honours it, and no work is left.
     pub(super) fn is_drained(
         &self,
         now: Duration,
         endpoint: &EndpointId,
         announced: Option<Announcement>,
     ) -> bool {
-        let Some(Announcement { since, last }) = announced else {
+        let Some(Announcement { first_at, last_at }) = announced else {
             return false;
         };
-        let settled_at = since + millis(self.settings.drain_propagation_ms);
-        let is_heeded = now < last + millis(self.settings.drain_expiry_ms);
-        is_heeded && settled_at <= now && self.pools.was_empty(endpoint, settled_at)
+        let propagated_at = first_at + millis(self.settings.drain_propagation_ms);
+        let is_honoured = now < last_at + millis(self.settings.drain_expiry_ms);
+        is_honoured && propagated_at <= now && self.pools.was_idle_since(endpoint, propagated_at)
     }
 }
--- a/crates/coordination/src/orders/job.rs
+++ b/crates/coordination/src/orders/job.rs
@@ -1,4 +1,4 @@
-//! One order on its way from intent to effect.
+//! State of one order, from its intent to its end.
 
 use std::time::Duration;
 
@@ -6,16 +6,16 @@
 
 use crate::orders::drain::Announcement;
 
-/// What a job waits for.
+/// What a job waits for in its current step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Stage {
-    /// The table to take the intent.
+    /// The table to commit the intent.
     WritingIntent,
     /// A pool that can spare the endpoint.
     AwaitingFloor,
     /// The endpoint's work in progress to end.
     Draining {
-        /// Since when routers know; none before the first has taken it.
+        /// When routers were told; none before one has accepted the drain.
         announced: Option<Announcement>,
     },
     /// The lease and the weight store to allow the order.
@@ -25,16 +25,16 @@
         /// When the order is sent again.
         repeat_at: Duration,
     },
-    /// Orders of earlier holders to have arrived, before the engine's state is read.
+    /// The arrival of any earlier order still in transit, after which the engine's state is read.
     AwaitingReadBack {
-        /// When they have.
+        /// When the state is read next.
         at: Duration,
     },
-    /// The table to take the end.
+    /// The table to commit the final state.
     WritingEnd,
 }
 
-/// One order.
+/// An order that is not complete.
 #[derive(Debug)]
 pub(super) struct Job {
     pub(super) record: OrderRecord,
@@ -43,6 +43,6 @@
     pub(super) stage: Stage,
     /// When the next write may be tried, unless one is under way.
     pub(super) write_at: Option<Duration>,
-    /// How often this process sent the order.
+    /// Number of times this process sent the order.
     pub(super) sends: u32,
 }
--- a/crates/coordination/src/orders/pools.rs
+++ b/crates/coordination/src/orders/pools.rs
@@ -1,4 +1,4 @@
-//! Which endpoints a pool can spare.
+//! Decides which endpoints a pool can spare for an order.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -17,17 +17,17 @@
     as_of: Duration,
 }
 
-/// Endpoints, what they reported, and which of them are drained.
+/// The configured endpoints, their last reports, and which of them are drained.
 #[derive(Debug, Default)]
 pub(super) struct Pools {
     endpoints: BTreeMap<EndpointId, OrderEndpoint>,
     floors: BTreeMap<PoolId, u32>,
     reports: BTreeMap<EndpointId, Report>,
     drained: BTreeSet<EndpointId>,
-    /// Until when routers may heed a drain that has ended.
-    heeded_until: BTreeMap<EndpointId, Duration>,
+    /// Time until which routers may still honour a drain that has ended.
+    honoured_until: BTreeMap<EndpointId, Duration>,
     now: Duration,
-    lapse: Duration,
+    drain_expiry: Duration,
 }
 
 impl Pools {
@@ -52,8 +52,8 @@
         self.reports.insert(endpoint, report);
     }
 
-    /// Forgets an endpoint's report: it counts as neither serving nor idle.
-    pub(super) fn forget(&mut self, endpoint: &EndpointId) {
+    /// Forgets an endpoint's report, so that it counts as neither serving nor idle.
+    pub(super) fn forget_report(&mut self, endpoint: &EndpointId) {
         self.reports.remove(endpoint);
     }
 
@@ -71,64 +71,64 @@
         self.endpoints.get(endpoint)
     }
 
-    /// Marks the endpoint as drained if its pool can spare it.
+    /// Marks the endpoint as drained if its pool can spare it, and returns whether it did.
     ///
-    /// Only endpoints that reported to serve, and are not drained for another order, count. Orders
-    /// that each saw the pool above its floor would together take it below, and its callers would
-    /// be refused.
+    /// Only endpoints that reported to be serving and are not drained for another order count.
+    /// Otherwise several orders, each of which sees the pool above its floor, would together take it
+    /// below, and its callers would be refused.
     pub(super) fn try_drain(&mut self, endpoint: &EndpointId) -> bool {
         let Some(pool) = self.endpoints.get(endpoint).map(|e| e.pool.clone()) else {
             return false;
         };
         let floor = self.floors.get(&pool).copied().unwrap_or(0);
         let others = self.endpoints.values().filter(|e| e.pool == pool);
-        let left = others.filter(|e| e.id != *endpoint && self.is_in_service(&e.id));
-        let is_spare = left.count() >= floor as usize;
-        let is_idle = self.reports.get(endpoint).is_some_and(|r| !r.serving);
-        if is_spare || is_idle {
+        let remaining = others.filter(|e| e.id != *endpoint && self.is_in_service(&e.id));
+        let is_spare = remaining.count() >= floor as usize;
+        let is_not_serving = self.reports.get(endpoint).is_some_and(|r| !r.serving);
+        if is_spare || is_not_serving {
             self.drained.insert(endpoint.clone());
         }
-        is_spare || is_idle
+        is_spare || is_not_serving
     }
 
     pub(super) fn drained(&self) -> &BTreeSet<EndpointId> {
         &self.drained
     }
 
-    /// Sets the time, and how long routers may heed a drain that is not announced any more.
-    pub(super) fn set_now(&mut self, now: Duration, lapse: Duration) {
+    /// Sets the time, and how long routers may honour a drain that is no longer announced.
+    pub(super) fn set_now(&mut self, now: Duration, drain_expiry: Duration) {
         self.now = now;
-        self.lapse = lapse;
-        self.heeded_until.retain(|_, until| now < *until);
+        self.drain_expiry = drain_expiry;
+        self.honoured_until.retain(|_, until| now < *until);
     }
 
-    pub(super) fn undrain(&mut self, endpoint: &EndpointId) {
+    pub(super) fn end_drain(&mut self, endpoint: &EndpointId) {
         if self.drained.remove(endpoint) {
-            self.assume_heeded(endpoint);
+            self.assume_honoured(endpoint);
         }
     }
 
-    pub(super) fn forget_drains(&mut self) {
+    pub(super) fn end_all_drains(&mut self) {
         for endpoint in std::mem::take(&mut self.drained) {
-            self.assume_heeded(&endpoint);
+            self.assume_honoured(&endpoint);
         }
     }
 
     /// Notes that a drain of the endpoint may have been announced just now.
     ///
-    /// A drain ends by lapse. Counted as serving from its last announcement on, the endpoint would
-    /// let the next one of its pool be drained while routers use neither, and the pool would be
-    /// below its floor.
-    pub(super) fn assume_heeded(&mut self, endpoint: &EndpointId) {
-        let until = self.now + self.lapse;
-        self.heeded_until.insert(endpoint.clone(), until);
+    /// Routers end a drain only when it expires. If the endpoint counted as serving from its last
+    /// announcement on, the next endpoint of its pool could be drained while routers use neither,
+    /// and the pool would be below its floor.
+    pub(super) fn assume_honoured(&mut self, endpoint: &EndpointId) {
+        let until = self.now + self.drain_expiry;
+        self.honoured_until.insert(endpoint.clone(), until);
     }
 
-    /// Tells whether a report shows that there was no work in progress at `since` or later.
+    /// Returns whether a report shows that no work was in progress at `since` or later.
     ///
-    /// Reports lag: one that comes after the drain has settled may tell of the time before, when
-    /// routers still sent requests, and an order on the strength of it would cut them off.
-    pub(super) fn was_empty(&self, endpoint: &EndpointId, since: Duration) -> bool {
+    /// Reports lag. One that arrives after all routers know of the drain may describe an earlier
+    /// time, when routers still sent requests; an order based on it would cut them off.
+    pub(super) fn was_idle_since(&self, endpoint: &EndpointId, since: Duration) -> bool {
         let report = self.reports.get(endpoint);
         report.is_some_and(|r| r.in_progress == 0 && since <= r.as_of)
     }
@@ -138,7 +138,7 @@
     }
 
     fn is_in_service(&self, endpoint: &EndpointId) -> bool {
-        let is_out = self.drained.contains(endpoint) || self.heeded_until.contains_key(endpoint);
+        let is_out = self.drained.contains(endpoint) || self.honoured_until.contains_key(endpoint);
         self.is_serving(endpoint) && !is_out
     }
 }
--- a/crates/coordination/src/orders/settle.rs
+++ b/crates/coordination/src/orders/settle.rs
@@ -1,4 +1,4 @@
-//! What the answers of the table mean for the orders.
+//! Applies the results of store calls to the orders.
 
 use std::time::Duration;
 
@@ -10,8 +10,8 @@
 use sedgeridge_state::settings::millis;
 
 use crate::order_events::OrderAction;
+use crate::orders::CallPurpose;
 use crate::orders::Orders;
-use crate::orders::Purpose;
 use crate::orders::job::Job;
 use crate::orders::job::Stage;
 use crate::store_call::StoreEvent;
@@ -20,56 +20,58 @@
 use crate::store_call::find_row;
 
 impl Orders {
-    pub(super) fn take_store_answer(
+    pub(super) fn handle_store_event(
         &mut self,
         now: Duration,
         event: StoreEvent,
         actions: &mut Vec<OrderAction>,
     ) {
         match (self.pending.remove(&event.call), event.result) {
-            (Some(Purpose::Recover | Purpose::Poll), StoreResult::Rows(rows)) => {
-                self.take_orders(now, &rows);
+            (Some(CallPurpose::FullRead | CallPurpose::Poll), StoreResult::Rows(rows)) => {
+                self.apply_rows(now, &rows);
             }
-            (Some(Purpose::Poll), _) => {}
-            (Some(Purpose::Recover), _) => {
-                self.recover_at = now + millis(self.settings.store_retry_ms);
+            (Some(CallPurpose::Poll), _) => {}
+            (Some(CallPurpose::FullRead), _) => {
+                self.next_full_read_at = now + millis(self.settings.store_retry_ms);
             }
-            (Some(Purpose::Write(endpoint)), StoreResult::Committed { version }) => {
-                self.written(&endpoint, version, actions);
+            (Some(CallPurpose::Write(endpoint)), StoreResult::Committed { version }) => {
+                self.handle_written(&endpoint, version, actions);
             }
-            (Some(Purpose::Write(endpoint)), StoreResult::Conflict { rows }) => {
-                self.conflicted(now, &endpoint, &rows, actions);
+            (Some(CallPurpose::Write(endpoint)), StoreResult::Conflict { rows }) => {
+                self.handle_conflict(now, &endpoint, &rows, actions);
             }
-            (Some(Purpose::Write(endpoint)), StoreResult::Unknown) => {
+            (Some(CallPurpose::Write(endpoint)), StoreResult::Unknown) => {
                 self.read_row(&endpoint, actions);
             }
-            (Some(Purpose::ReadBack(endpoint)), StoreResult::Rows(rows)) => {
-                if !self.take_own_row(&endpoint, &rows, actions) {
-                    self.write_again(now, &endpoint);
+            (Some(CallPurpose::ReadBack(endpoint)), StoreResult::Rows(rows)) => {
+                if !self.confirm_written(&endpoint, &rows, actions) {
+                    self.retry_write(now, &endpoint);
                 }
             }
-            (Some(Purpose::Write(endpoint) | Purpose::ReadBack(endpoint)), _) => {
-                self.write_again(now, &endpoint);
+            (Some(CallPurpose::Write(endpoint) | CallPurpose::ReadBack(endpoint)), _) => {
+                self.retry_write(now, &endpoint);
             }
             (None, _) => {}
         }
     }
 
-    /// Takes up the orders that earlier holders left open, or that operators wrote.
-    fn take_orders(&mut self, now: Duration, rows: &[StoreRow]) {
-        let is_first_read = self.known.is_none();
-        let known = self.known.get_or_insert_default();
+    /// Starts jobs for the open orders that earlier holders left or operators wrote.
+    fn apply_rows(&mut self, now: Duration, rows: &[StoreRow]) {
+        let is_first_read = self.latest.is_none();
+        let latest = self.latest.get_or_insert_default();
         for row in rows {
             self.read_version = self.read_version.max(row.version);
             let Some(record) = row.value.as_deref().and_then(OrderRecord::decode) else {
                 continue;
             };
             let endpoint = record.endpoint.clone();
-            // The holder before may have announced this drain a moment ago.
+            // The previous holder may have announced this drain a moment ago.
             if is_first_read && record.order.interrupts() {
-                self.pools.assume_heeded(&endpoint);
+                self.pools.assume_honoured(&endpoint);
             }
-            let is_old = known.get(&endpoint).is_some_and(|(_, v)| row.version <= *v);
+            let is_old = latest
+                .get(&endpoint)
+                .is_some_and(|(_, v)| row.version <= *v);
             if is_old || self.jobs.contains_key(&endpoint) {
                 continue;
             }
@@ -83,25 +85,30 @@
                 };
                 self.jobs.insert(endpoint.clone(), job);
             }
-            known.insert(endpoint, (record, row.version));
+            latest.insert(endpoint, (record, row.version));
         }
     }
 
-    fn written(&mut self, endpoint: &EndpointId, version: u64, actions: &mut Vec<OrderAction>) {
+    fn handle_written(
+        &mut self,
+        endpoint: &EndpointId,
+        version: u64,
+        actions: &mut Vec<OrderAction>,
+    ) {
         let Some(job) = self.jobs.get_mut(endpoint) else {
             return;
         };
         job.version = version;
         let record = job.record.clone();
-        if let Some(known) = &mut self.known {
-            known.insert(endpoint.clone(), (record.clone(), version));
+        if let Some(latest) = &mut self.latest {
+            latest.insert(endpoint.clone(), (record.clone(), version));
         }
         if record.state == OrderState::Intended {
             job.stage = Stage::AwaitingFloor;
             return;
         }
         self.jobs.remove(endpoint);
-        self.pools.undrain(endpoint);
+        self.pools.end_drain(endpoint);
         if record.order.interrupts() {
             actions.push(OrderAction::Undrain(endpoint.clone()));
         }
@@ -112,7 +119,7 @@
         });
     }
 
-    fn conflicted(
+    fn handle_conflict(
         &mut self,
         now: Duration,
         endpoint: &EndpointId,
@@ -120,19 +127,19 @@
         actions: &mut Vec<OrderAction>,
     ) {
         let epoch_is_over = find_row(rows, EPOCH_KEY).is_some();
-        if !epoch_is_over && self.take_own_row(endpoint, rows, actions) {
+        if !epoch_is_over && self.confirm_written(endpoint, rows, actions) {
             return;
         }
         if epoch_is_over {
-            self.take_lease(now, None);
+            self.set_lease(now, None);
         } else {
-            // The orders were read stale.
-            self.forget_orders(now + millis(self.settings.store_retry_ms));
+            // The read of the orders was stale.
+            self.reset_orders(now + millis(self.settings.store_retry_ms));
         }
     }
 
-    /// Settles a write whose answer was lost, if its row stands in the table.
-    fn take_own_row(
+    /// Completes a write whose answer was lost if its row is in the table; returns whether it is.
+    fn confirm_written(
         &mut self,
         endpoint: &EndpointId,
         rows: &[StoreRow],
@@ -146,11 +153,11 @@
         if record.is_none() || record.as_ref() != job.map(|j| &j.record) {
             return false;
         }
-        self.written(endpoint, row.version, actions);
+        self.handle_written(endpoint, row.version, actions);
         true
     }
 
-    fn write_again(&mut self, now: Duration, endpoint: &EndpointId) {
+    fn retry_write(&mut self, now: Duration, endpoint: &EndpointId) {
         let at = now + millis(self.settings.store_retry_ms);
         if let Some(job) = self.jobs.get_mut(endpoint) {
             job.write_at = Some(at);
--- a/crates/coordination/src/orders/view.rs
+++ b/crates/coordination/src/orders/view.rs
@@ -1,4 +1,4 @@
-//! What others may know of the orders under way.
+//! Read access to the orders in progress.
 
 use std::collections::BTreeSet;
 
@@ -8,17 +8,17 @@
 use crate::orders::Orders;
 use crate::orders::job::Stage;
 
-/// An order under way.
+/// An order in progress.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct OpenOrder<'a> {
     /// The order.
     pub record: &'a OrderRecord,
-    /// What it waits for.
+    /// Name of the step that it is in.
     pub stage: &'static str,
 }
 
 impl Orders {
-    /// Lists the orders under way, by endpoint.
+    /// Lists the orders in progress, by endpoint.
     ///
     /// ```
     /// use sedgeridge_coordination::order_events::OrderSettings;
@@ -33,7 +33,7 @@
         })
     }
 
-    /// Lists the endpoints that get no new work for the sake of an order.
+    /// Lists the endpoints that are drained for an order.
     ///
     /// ```
     /// use sedgeridge_coordination::order_events::OrderSettings;
@@ -45,8 +45,8 @@
         self.pools.drained()
     }
 
-    /// Lists the endpoints whose load reports are needed: those of the pools that an order under
-    /// way takes an endpoint from. Reading all 2,200 of a large fleet would cost more than the
+    /// Lists the endpoints whose load reports are needed: those of each pool from which an order in
+    /// progress takes an endpoint. Reading all 2,200 of a large fleet would cost more than the
     /// orders.
     ///
     /// ```
--- a/crates/coordination/src/store_call.rs
+++ b/crates/coordination/src/store_call.rs
@@ -1,11 +1,11 @@
-//! Calls of the table service as the decision parts see them.
+//! Calls to the table service, as actions and events of the parts of this crate.
 //!
-//! A part appends a [`StoreAction`] and later gets exactly one [`StoreEvent`] for it. The edge
-//! answers [`StoreResult::Unknown`] when its timeout passes, and drops an answer that comes later.
+//! A part appends a [`StoreAction`] and later gets exactly one [`StoreEvent`] for it. The code that
+//! makes the calls returns [`StoreResult::Unknown`] after its timeout, and drops a later answer.
 
 use std::sync::Arc;
 
-/// Numbers the calls of one part of one process.
+/// Number of a call, unique within one part of one process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
@@ -15,9 +15,9 @@
 /// A call to make.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StoreAction {
-    /// Make all writes if all checks hold, else none.
+    /// Make all writes if all checks hold, otherwise none.
     Transact {
-        /// Names the call.
+        /// Number of the call.
         call: CallId,
         /// Conditions on current versions.
         checks: Vec<StoreCheck>,
@@ -26,28 +26,28 @@
     },
     /// Read rows.
     Read {
-        /// Names the call.
+        /// Number of the call.
         call: CallId,
         /// What to read.
         query: StoreQuery,
     },
 }
 
-/// Which rows to read.
+/// Selects the rows to read.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StoreQuery {
     /// These keys.
     Keys(Vec<Arc<str>>),
     /// All keys with the prefix whose version is above `after_version`.
     Prefix {
-        /// First part of the keys.
+        /// Prefix of the keys.
         prefix: Arc<str>,
         /// Rows at this version or a lower one are left out.
         after_version: u64,
     },
 }
 
-/// Condition: the key stands at this version; [`ABSENT_VERSION`] means that there is no row.
+/// Condition that a key has this version; [`ABSENT_VERSION`] means that there is no row.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoreCheck {
     /// The key.
@@ -56,7 +56,7 @@
     pub version: u64,
 }
 
-/// A write; no value deletes the row.
+/// A write; without a value it deletes the row.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoreWrite {
     /// The key.
@@ -65,7 +65,7 @@
     pub value: Option<Arc<str>>,
 }
 
-/// A row; an absent one has version [`ABSENT_VERSION`] and no value.
+/// A row; an absent row has version [`ABSENT_VERSION`] and no value.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoreRow {
     /// The key.
@@ -81,16 +81,16 @@
 pub struct StoreEvent {
     /// The call that ended.
     pub call: CallId,
-    /// How it ended.
+    /// Its result.
     pub result: StoreResult,
 }
 
-/// How a call ended.
+/// Result of a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum StoreResult {
     /// Every write was made; the written rows now have this version.
     Committed {
-        /// Store-wide version, higher than any before.
+        /// Store-wide version, higher than all earlier ones.
         version: u64,
     },
     /// Nothing was written; these rows did not match.
@@ -98,15 +98,15 @@
         /// Current rows of the failed checks.
         rows: Vec<StoreRow>,
     },
-    /// The rows that exist.
+    /// The selected rows that exist.
     Rows(Vec<StoreRow>),
-    /// Refused or not sent: certainly not done.
+    /// The call was refused or not sent: certainly not executed.
     Unavailable,
-    /// No answer: the writes may have been made, or may yet be.
+    /// No answer: the writes may have been made, or may still be made.
     Unknown,
 }
 
-/// Hands out the call numbers of one part.
+/// Assigns the call numbers of one part.
 #[derive(Debug, Default)]
 pub(crate) struct CallCounter {
     last: u64,
