--- a/crates/coordination/benches/claims_slope.rs
+++ b/crates/coordination/benches/claims_slope.rs
@@ -1,5 +1,5 @@
-//! Cost of the whole life of claims, from the claim to the recorded outcome, against how many share
-//! their transactions.
+//! Measures the cost of claims, from the claim to the recorded outcome, by the number of requests
+//! that share their transactions.
 
 use std::hint::black_box;
 use std::sync::Arc;
@@ -28,8 +28,8 @@
 use sedgeridge_state::ids::Member;
 
 const ANSWER_BYTES: usize = 1_024;
-/// Longer than claims and outcomes wait for a transaction.
-const STEP: Duration = Duration::from_millis(200);
+/// Longer than the time for which claims and outcomes wait for a transaction.
+const TICK_INTERVAL: Duration = Duration::from_millis(200);
 
 /// A router's claims, with a store that commits every transaction.
 struct Bench {
@@ -76,9 +76,9 @@
             .handle(self.now, ClaimEvent::Claim(claim), actions);
     }
 
-    /// Commits what is due and returns the requests to dispatch.
+    /// Commits the due transactions and returns the resulting actions.
     fn commit(&mut self, mut actions: Vec<ClaimAction>) -> Vec<ClaimAction> {
-        self.now += STEP;
+        self.now += TICK_INTERVAL;
         self.claims.handle(self.now, ClaimEvent::Tick, &mut actions);
         let mut answers = Vec::new();
         for action in actions {
--- a/crates/coordination/src/claim_sweep.rs
+++ b/crates/coordination/src/claim_sweep.rs
@@ -1,7 +1,7 @@
 //! Deletes claims whose retention has passed, a bounded number at a time.
 //!
-//! The coordinator's lease holder runs it. Two sweeps at once do no harm, as a row is deleted only at
-//! the version that was read as expired.
+//! The coordinator's lease holder runs it. Two sweeps at once do no harm, as a row is deleted only
+//! at the version that was read as expired.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
--- a/crates/coordination/src/claims.rs
+++ b/crates/coordination/src/claims.rs
@@ -223,7 +223,8 @@
     /// Its claim may be in the table, or may still arrive there, and would refuse every repeat
     /// although nothing ran. So "released" is written on the same condition as the claim. Either
     /// the claim's write finds the row changed and fails, or the release does and is repeated on
-    /// the claim's version. The answer "not run" is true meanwhile, as only this entry may dispatch.
+    /// the claim's version. The answer "not run" is true meanwhile, as only this entry may
+    /// dispatch.
     fn give_up(
         &mut self,
         now: Duration,
--- a/crates/coordination/src/claims/send.rs
+++ b/crates/coordination/src/claims/send.rs
@@ -75,8 +75,8 @@
 
     /// Returns an index row that lists the new claims of a transaction under their expiry.
     ///
-    /// Without it the sweep would have to read every claim of the retention time to find the expired
-    /// ones.
+    /// Without it the sweep would have to read every claim of the retention time to find the
+    /// expired ones.
     fn index_write(&self, items: &[BatchItem]) -> Option<StoreWrite> {
         let entries = items.iter().map(|item| (item, self.entries.get(&item.key)));
         let mut claims = entries
--- a/crates/coordination/src/coordinator.rs
+++ b/crates/coordination/src/coordinator.rs
@@ -215,8 +215,8 @@
                     number,
                     state,
                 }),
-                // Drains are announced from the list of drained endpoints, and orders come only from
-                // the table.
+                // Drains are announced from the list of drained endpoints, and orders come only
+                // from the table.
                 OrderAction::Drain(_) | OrderAction::Undrain(_) | OrderAction::Rejected { .. } => {}
             }
         }
@@ -276,8 +276,8 @@
 
     /// Announces the drains to routers, and repeats that at an interval.
     ///
-    /// Routers honour a drain only for a limited time. So a holder that dies during a drain does not
-    /// take the endpoint out of service for good, and no message is needed to end a drain.
+    /// Routers honour a drain only for a limited time. So a holder that dies during a drain does
+    /// not take the endpoint out of service for good, and no message is needed to end a drain.
     fn announce_drains(&mut self, now: Duration, actions: &mut Vec<CoordinatorAction>) {
         self.drain_announcements
             .keep(now, self.orders.drained_endpoints());
--- a/crates/coordination/src/coordinator_events.rs
+++ b/crates/coordination/src/coordinator_events.rs
@@ -30,8 +30,8 @@
     pub sweep: ClaimSweepSettings,
     /// Time between two reads of an endpoint's load report while an order needs it.
     pub report_interval_ms: u64,
-    /// Time between two announcements of the same drain; less than the time for which routers honour
-    /// one.
+    /// Time between two announcements of the same drain; less than the time for which routers
+    /// honour one.
     pub drain_announce_interval_ms: u64,
 }
 
--- a/crates/coordination/src/orders/drain.rs
+++ b/crates/coordination/src/orders/drain.rs
@@ -51,9 +51,9 @@
 
     /// Notes that a router accepted the drain announcement.
     ///
-    /// Time counts from here and not from the decision to drain. While no router can be reached, all
-    /// continue to send requests; an order sent while the endpoint happens to be idle would cut off
-    /// the next request.
+    /// Time counts from here and not from the decision to drain. While no router can be reached,
+    /// all continue to send requests; an order sent while the endpoint happens to be idle would cut
+    /// off the next request.
     pub(super) fn note_announcement(&mut self, now: Duration, endpoint: &EndpointId) {
         let drain_expiry = millis(self.settings.drain_expiry_ms);
         let Some(job) = self.jobs.get_mut(endpoint) else {
--- a/crates/coordination/src/orders/pools.rs
+++ b/crates/coordination/src/orders/pools.rs
@@ -74,8 +74,8 @@
     /// Marks the endpoint as drained if its pool can spare it, and returns whether it did.
     ///
     /// Only endpoints that reported to be serving and are not drained for another order count.
-    /// Otherwise several orders, each of which sees the pool above its floor, would together take it
-    /// below, and its callers would be refused.
+    /// Otherwise several orders, each of which sees the pool above its floor, would together take
+    /// it below, and its callers would be refused.
     pub(super) fn try_drain(&mut self, endpoint: &EndpointId) -> bool {
         let Some(pool) = self.endpoints.get(endpoint).map(|e| e.pool.clone()) else {
             return false;
--- a/crates/coordination/src/orders/reads.rs
+++ b/crates/coordination/src/orders/reads.rs
@@ -17,7 +17,8 @@
     /// Reads all orders at the start and at a long interval, and in between those that changed.
     ///
     /// The first read may have been stale, and an intent that it missed would wait for the next
-    /// change of holder. Polls alone can miss it too, if a row read since then has a higher version.
+    /// change of holder. Polls alone can miss it too, if a row read since then has a higher
+    /// version.
     pub(super) fn read_orders(&mut self, now: Duration, actions: &mut Vec<OrderAction>) {
         if self.next_full_read_at <= now {
             self.next_full_read_at = now + millis(self.settings.rescan_interval_ms);
--- a/crates/coordination/src/store_breaker.rs
+++ b/crates/coordination/src/store_breaker.rs
@@ -6,8 +6,8 @@
 
 /// Circuit breaker of one part's store calls.
 ///
-/// Without it, each claim made during an outage would wait for its own timeout: callers would get no
-/// answer for seconds instead of an immediate refusal, and the recovering store would be flooded
+/// Without it, each claim made during an outage would wait for its own timeout: callers would get
+/// no answer for seconds instead of an immediate refusal, and the recovering store would be flooded
 /// with calls.
 #[derive(Debug)]
 pub(crate) struct StoreBreaker {
--- a/crates/coordination/tests/claim_sweep.rs
+++ b/crates/coordination/tests/claim_sweep.rs
@@ -1,4 +1,4 @@
-//! Expired claims are deleted, and only those.
+//! The sweep deletes all expired claims and no others.
 
 mod common;
 
@@ -26,7 +26,7 @@
     ClaimFleet::new(1, settings)
 }
 
-/// Sweeps for a while from `now`; about every third call meets `fault`.
+/// Runs a sweep of 400 steps from `now`; about every third call ends with `fault`.
 fn sweep(store: &mut Store, now: Duration, fault: CallOutcome, seed: u64) {
     let mut random = seed;
     let settings = ClaimSweepSettings {
@@ -42,12 +42,12 @@
             random = random
                 .wrapping_mul(6_364_136_223_846_793_005)
                 .wrapping_add(1);
-            let fate = if (random >> 33).is_multiple_of(3) {
+            let outcome = if (random >> 33).is_multiple_of(3) {
                 fault
             } else {
                 CallOutcome::Answered
             };
-            let event = store.call(&call, fate);
+            let event = store.call(&call, outcome);
             sweep.handle(at, ClaimSweepEvent::Store(event), &mut actions);
         }
         let later = at + Duration::from_secs(60 * u64::from(step.min(1)));
@@ -55,37 +55,37 @@
     }
 }
 
-// A claim is released and its key claimed again an hour later, while the index still lists both.
-// The first listing expires first. Deleting the row by it would let a repeat charge twice.
+// A claim is released and its key is claimed again later, while the index still lists both claims.
+// The first index entry expires first. If it led to deletion of the row, a repeat would run twice.
 #[test]
 fn a_key_claimed_again_outlives_its_first_listing() {
     let mut fleet = fleet();
     fleet.claim(0, 1, 0);
     fleet.claim(0, 2, 0);
-    step(&mut fleet);
+    run_calls(&mut fleet);
     fleet.finish(0, 1);
     fleet.finish(0, 0);
-    step(&mut fleet);
+    run_calls(&mut fleet);
     fleet.advance(RETENTION_MS - 60_000);
     let again = fleet.claim(0, 1, 0);
-    step(&mut fleet);
+    run_calls(&mut fleet);
     fleet.finish(0, 0);
-    step(&mut fleet);
+    run_calls(&mut fleet);
 
     let now = Duration::from_millis(RETENTION_MS + 120_000);
     sweep(&mut fleet.store, now, CallOutcome::Answered, 0);
     assert!(fleet.store.value("claim/crew-07/deposit-2").is_none());
     fleet.now = now;
     let repeat = fleet.claim(0, 1, 0);
-    step(&mut fleet);
+    run_calls(&mut fleet);
     assert_eq!(
-        fleet.told(&repeat),
+        fleet.outcomes_of(&repeat),
         [RequestOutcome::Replayed(answer_of(&again))]
     );
 }
 
 // The store loses answers and refuses calls during the sweep of more claims than one transaction
-// may delete. The sweep starts the bucket again; in the end no row and no listing is left.
+// may delete. The sweep reads the bucket again; in the end no claim and no index row is left.
 #[test]
 fn a_sweep_through_faults_leaves_nothing_behind() {
     let faults = [
@@ -98,7 +98,7 @@
         for key in 0..11 {
             fleet.claim(0, key, 0);
         }
-        step(&mut fleet);
+        run_calls(&mut fleet);
         let now = Duration::from_millis(RETENTION_MS + 120_000);
         sweep(&mut fleet.store, now, fault, seed);
         assert_eq!(fleet.store.count("claim/"), 0, "{fault:?}");
@@ -107,7 +107,7 @@
     }
 }
 
-fn step(fleet: &mut ClaimFleet) {
+fn run_calls(fleet: &mut ClaimFleet) {
     for _ in 0..2 {
         fleet.advance(100);
         while !fleet.routers[0].calls.is_empty() {
--- a/crates/coordination/tests/claim_writes.rs
+++ b/crates/coordination/tests/claim_writes.rs
@@ -1,4 +1,5 @@
-//! Table transactions that one router spends on each request which may not be repeated.
+//! Measures the table transactions that one router needs for each request that must not be
+//! repeated.
 //!
 //! The clock is simulated, so the figures are counts and do not depend on the machine. Run with
 //! `--nocapture` to see them.
@@ -15,14 +16,14 @@
 use sedgeridge_state::ids::RequestId;
 
 const STORE_LATENCY_MS: u64 = 5;
-/// Requests run for 20 to 180 ms, so that callers don't move in step.
-const LEAST_SERVICE_MS: u64 = 20;
+/// Requests run for 20 to 180 ms, so that callers don't run in lockstep.
+const MIN_SERVICE_MS: u64 = 20;
 const SERVICE_SPREAD_MS: u64 = 161;
 const RUN_MS: u64 = 4_000;
-/// Most transactions a request may cost at load.
-const TARGET: f64 = 0.25;
-/// Requests at once in one router from which the target must hold.
-const LOAD: u64 = 64;
+/// Largest number of transactions per request at load.
+const MAX_TRANSACTIONS_PER_REQUEST: f64 = 0.25;
+/// Number of concurrent requests in one router from which the limit must hold.
+const LOAD_CONCURRENCY: u64 = 64;
 
 #[derive(Debug)]
 struct Cost {
@@ -37,7 +38,7 @@
     }
 }
 
-/// Runs `concurrency` callers, each of which sends its next request when the last one ended.
+/// Runs `concurrency` callers, each of which sends its next request when the previous one ended.
 fn run(concurrency: u64, claim_linger_ms: u64) -> Cost {
     let settings = ClaimSettings {
         claim_linger_ms,
@@ -72,15 +73,16 @@
             idle += 1;
         }
         fleet.advance(0);
-        let dispatched =
-            arrivals.extract_if(.., |r, _| fleet.told(r) == [RequestOutcome::Dispatched]);
+        let dispatched = arrivals.extract_if(.., |r, _| {
+            fleet.outcomes_of(r) == [RequestOutcome::Dispatched]
+        });
         for (_, arrived_ms) in dispatched {
             cost.claim_wait_ms += now_ms - arrived_ms;
             *ends.entry(now_ms + service_ms(&mut random)).or_default() += 1;
         }
         let scheduled: usize = calls.values().sum();
-        let fresh = fleet.routers[0].calls.len() - scheduled;
-        *calls.entry(now_ms + STORE_LATENCY_MS).or_default() += fresh;
+        let new_calls = fleet.routers[0].calls.len() - scheduled;
+        *calls.entry(now_ms + STORE_LATENCY_MS).or_default() += new_calls;
     }
     cost.transactions = fleet.store.transactions;
     cost
@@ -91,11 +93,11 @@
     *random = random
         .wrapping_mul(6_364_136_223_846_793_005)
         .wrapping_add(1);
-    LEAST_SERVICE_MS + (*random >> 33) % SERVICE_SPREAD_MS
+    MIN_SERVICE_MS + (*random >> 33) % SERVICE_SPREAD_MS
 }
 
-// At load the claims and outcomes of many requests share transactions; a lone caller pays for two
-// of its own. The table takes several hundred writes a second in all.
+// At load the claims and outcomes of many requests share transactions; the request of a single
+// caller needs two of its own. The whole table can process several hundred writes per second.
 #[test]
 fn requests_share_transactions_at_load() {
     let claim_linger_ms = ClaimSettings::default().claim_linger_ms;
@@ -103,7 +105,7 @@
         "linger ms | at once | requests | transactions a second | per request | claim wait ms"
     );
     for claim_linger_ms in [2, 10, claim_linger_ms] {
-        for concurrency in [1, 2, 4, 8, 16, 32, LOAD, 128, 256] {
+        for concurrency in [1, 2, 4, 8, 16, 32, LOAD_CONCURRENCY, 128, 256] {
             print_cost(
                 concurrency,
                 claim_linger_ms,
@@ -111,10 +113,10 @@
             );
         }
     }
-    for concurrency in [LOAD, 128, 256] {
+    for concurrency in [LOAD_CONCURRENCY, 128, 256] {
         let per_request = run(concurrency, claim_linger_ms).per_request();
         assert!(
-            per_request <= TARGET,
+            per_request <= MAX_TRANSACTIONS_PER_REQUEST,
             "{per_request} at {concurrency} at once"
         );
     }
--- a/crates/coordination/tests/claims_fuzz.rs
+++ b/crates/coordination/tests/claims_fuzz.rs
@@ -1,4 +1,4 @@
-//! Claims of three routers against a store that misbehaves, with a crash possible at every step.
+//! Claims of three routers against a faulty store. A router may crash at any step.
 
 mod common;
 
@@ -20,19 +20,19 @@
 #[derive(Debug, Clone)]
 enum Step {
     Claim { router: usize, key: u32, body: u64 },
-    Deliver { router: usize, fate: CallOutcome },
+    Deliver { router: usize, outcome: CallOutcome },
     RunDelayedWrite,
     Advance { by_ms: u64 },
     Finish { router: usize, kind: u8 },
     GiveUp { newest: bool },
     Restart { router: usize },
-    Alone { router: usize },
+    IsolateMembership { router: usize },
 }
 
 #[derive(Debug, Clone)]
 struct Oracle;
 
-fn fate() -> impl Strategy<Value = CallOutcome> {
+fn outcome() -> impl Strategy<Value = CallOutcome> {
     prop_oneof![
         6 => Just(CallOutcome::Answered),
         2 => Just(CallOutcome::AnswerLost),
@@ -57,14 +57,15 @@
             6 => (router.clone(), 0..KEYS, 0..8_u64).prop_map(|(router, key, body)| {
                 Step::Claim { router, key, body: body / 7 }
             }),
-            10 => (router.clone(), fate()).prop_map(|(router, fate)| Step::Deliver { router, fate }),
+            10 => (router.clone(), outcome())
+                .prop_map(|(router, outcome)| Step::Deliver { router, outcome }),
             2 => Just(Step::RunDelayedWrite),
             5 => prop_oneof![Just(20_u64), Just(100), Just(400), Just(6_000)]
                 .prop_map(|by_ms| Step::Advance { by_ms }),
             4 => (router.clone(), 0..3_u8).prop_map(|(router, kind)| Step::Finish { router, kind }),
             2 => any::<bool>().prop_map(|newest| Step::GiveUp { newest }),
             1 => router.clone().prop_map(|router| Step::Restart { router }),
-            1 => router.prop_map(|router| Step::Alone { router }),
+            1 => router.prop_map(|router| Step::IsolateMembership { router }),
         ]
         .boxed()
     }
@@ -87,13 +88,13 @@
             Step::Claim { router, key, body } => {
                 fleet.claim(router, key, body);
             }
-            Step::Deliver { router, fate } => fleet.deliver(router, fate),
+            Step::Deliver { router, outcome } => fleet.deliver(router, outcome),
             Step::RunDelayedWrite => fleet.store.run_delayed_write(),
             Step::Advance { by_ms } => fleet.advance(by_ms),
             Step::Finish { router, kind } => fleet.finish(router, kind),
             Step::GiveUp { newest } => give_up(&mut fleet, newest),
             Step::Restart { router } => fleet.restart(router),
-            Step::Alone { router } => {
+            Step::IsolateMembership { router } => {
                 let members = vec![fleet.routers[router].member.clone()];
                 fleet.event(router, ClaimEvent::Members(members));
             }
@@ -105,26 +106,29 @@
         fleet.check();
     }
 
-    // A request refused as "not run" stays so, every request of a router that lives is answered,
-    // and a key that never ran and that nobody lost track of can still be used.
+    // A request refused as "not run" never runs, every request is answered unless a router
+    // restarted, and a key that never ran and whose outcomes are all known can still be used.
     fn teardown(mut fleet: ClaimFleet, (): ()) {
-        fleet.announce();
-        fleet.heal();
+        fleet.announce_members();
+        fleet.run_until_settled();
         fleet.check();
-        let restarted = fleet.any_restart;
+        let restarted = fleet.has_restarted;
         for (request, sent) in &fleet.sent {
-            assert!(restarted || sent.told.len() == 1, "{request} got no answer");
+            assert!(
+                restarted || sent.outcomes.len() == 1,
+                "{request} got no answer"
+            );
         }
         for key in 0..KEYS {
             let free = fleet.ran.get(&key).is_none_or(Vec::is_empty);
-            if !free || restarted || fleet.lost_track.contains(&key) {
+            if !free || restarted || fleet.unknown_outcome_keys.contains(&key) {
                 continue;
             }
             let repeat = fleet.claim(0, key, 0);
             fleet.advance(20);
-            fleet.heal();
+            fleet.run_until_settled();
             assert_eq!(
-                fleet.told(&repeat),
+                fleet.outcomes_of(&repeat),
                 [RequestOutcome::Dispatched],
                 "key {key} is blocked"
             );
@@ -133,7 +137,7 @@
 }
 
 fn give_up(fleet: &mut ClaimFleet, newest: bool) {
-    let mut open = fleet.sent.iter().filter(|(_, s)| s.told.is_empty());
+    let mut open = fleet.sent.iter().filter(|(_, s)| s.outcomes.is_empty());
     let found = if newest {
         open.next_back()
     } else {
--- a/crates/coordination/tests/claims_linearizable.rs
+++ b/crates/coordination/tests/claims_linearizable.rs
@@ -1,8 +1,9 @@
 //! Recorded concurrent runs of the claims, checked for linearizability.
 //!
-//! The register of one idempotency key is free, claimed by a request, or holds its answer. Callers
-//! of three routers use few keys at the same time, the store loses, delays and refuses calls, and
-//! the history of each key is checked by itself, as linearizability is local.
+//! Each idempotency key is a register that is free, claimed by a request, or holds its answer.
+//! Callers of three routers use the same few keys concurrently, and the store loses, delays and
+//! refuses calls. The history of each key is checked separately, as linearizability is a local
+//! property.
 
 mod common;
 
@@ -21,11 +22,11 @@
 
 const ROUTERS: u64 = 3;
 const KEYS: u64 = 2;
-const RUNS: u64 = 300;
-const STEPS: u64 = 150;
-const MOST_REQUESTS: usize = 24;
+const RUN_COUNT: u64 = 300;
+const STEPS_PER_RUN: u64 = 150;
+const MAX_REQUESTS: usize = 24;
 
-/// What one request did to the register of its key.
+/// Effect of one request on the register of its key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum Operation {
     /// It claimed the key and was dispatched.
@@ -77,7 +78,7 @@
     }
 }
 
-/// Calls and responses in the order in which they happened.
+/// Calls and responses in the order of their occurrence.
 #[derive(Debug, Default)]
 struct Recorder {
     /// Key, process and action.
@@ -85,8 +86,8 @@
     processes: usize,
     /// Requests that were sent and not answered, with their processes.
     open: Vec<(RequestId, usize)>,
-    /// Operations whose effect may come at any later time.
-    unended: Vec<(u32, usize, Operation)>,
+    /// Operations that may take effect at any later time.
+    unfinished: Vec<(u32, usize, Operation)>,
 }
 
 impl Recorder {
@@ -102,12 +103,12 @@
         self.open.push((request, process));
     }
 
-    /// Notes the answers that came since the last step.
-    fn note_answers(&mut self, fleet: &ClaimFleet) {
+    /// Records the answers that arrived since the last step.
+    fn record_answers(&mut self, fleet: &ClaimFleet) {
         let open = std::mem::take(&mut self.open);
         for (request, process) in open {
             let sent = &fleet.sent[&request];
-            let operation = match sent.told.first() {
+            let operation = match sent.outcomes.first() {
                 None => {
                     self.open.push((request, process));
                     continue;
@@ -125,9 +126,9 @@
         }
     }
 
-    /// Ends the operations that may take effect until the end, and the requests never answered.
+    /// Ends the operations that may still take effect, and the requests without answer.
     fn finish(mut self, fleet: &ClaimFleet) -> Self {
-        for (key, process, operation) in std::mem::take(&mut self.unended) {
+        for (key, process, operation) in std::mem::take(&mut self.unfinished) {
             self.actions
                 .push((key, process, Action::Response(operation)));
         }
@@ -146,7 +147,7 @@
     }
 }
 
-/// Numbers processes from 0, as the checker keeps a list by process.
+/// Numbers the processes from 0, as the checker indexes a list by process.
 fn renumber(actions: Vec<(usize, Action<Operation>)>) -> History<Operation> {
     let mut seen = Vec::new();
     let numbered = actions.into_iter().map(|(process, action)| {
@@ -160,7 +161,7 @@
     History::from_actions(numbered.collect())
 }
 
-fn fate(random: &mut SeededRandom) -> CallOutcome {
+fn call_outcome(random: &mut SeededRandom) -> CallOutcome {
     match random.below(10) {
         0 => CallOutcome::AnswerLost,
         1 => CallOutcome::CallLost,
@@ -175,21 +176,21 @@
     let mut random = SeededRandom::new(seed);
     let mut fleet = ClaimFleet::new(ROUTERS as usize, ClaimSettings::default());
     let mut recorder = Recorder::default();
-    for _ in 0..STEPS {
+    for _ in 0..STEPS_PER_RUN {
         let router = random.below(ROUTERS) as usize;
         match random.below(20) {
-            0..5 if fleet.sent.len() < MOST_REQUESTS => {
+            0..5 if fleet.sent.len() < MAX_REQUESTS => {
                 let key = random.below(KEYS) as u32;
                 let request = fleet.claim(router, key, 0);
                 recorder.sent(key, request);
             }
-            0..14 => fleet.deliver(router, fate(&mut random)),
+            0..14 => fleet.deliver(router, call_outcome(&mut random)),
             14 => fleet.store.run_delayed_write(),
             15 => fleet.restart(router),
             16..18 => finish(&mut fleet, &mut recorder, router, random.below(2) as u8),
             _ => fleet.advance([20, 100, 400][random.below(3) as usize]),
         }
-        recorder.note_answers(&fleet);
+        recorder.record_answers(&fleet);
     }
     recorder.finish(&fleet)
 }
@@ -204,18 +205,18 @@
         _ => Operation::Released(request),
     };
     let process = recorder.call(key, operation.clone());
-    recorder.unended.push((key, process, operation));
+    recorder.unfinished.push((key, process, operation));
     fleet.finish(router, kind);
 }
 
-// Routers are killed, answers lost and writes delayed while callers repeat their keys elsewhere.
-// Whatever they were told must fit one order in which each key was claimed by one at a time, freed
-// only by a holder that did not run, and answered only with the holder's answer.
+// Routers are killed, answers lost and writes delayed while callers repeat their keys at other
+// routers. All answers must fit one order in which each key is claimed by one request at a time,
+// freed only by a claimant that did not run, and answered only with the claimant's answer.
 #[test]
 fn claims_of_concurrent_callers_are_linearizable() {
     let mut claimed = 0;
     let mut replayed = 0;
-    for seed in 0..RUNS {
+    for seed in 0..RUN_COUNT {
         let recorder = record(seed);
         for (_, _, action) in &recorder.actions {
             let Action::Response(operation) = action else {
@@ -233,11 +234,14 @@
             );
         }
     }
-    println!("{RUNS} runs: {claimed} claims, {replayed} replays");
-    assert!(claimed > 100 && replayed > 10, "the runs show too little");
+    println!("{RUN_COUNT} runs: {claimed} claims, {replayed} replays");
+    assert!(
+        claimed > 100 && replayed > 10,
+        "the runs had too few claims or replays"
+    );
 }
 
-// The checker itself refuses a history in which one key was claimed twice.
+// The checker rejects a history in which one key was claimed twice.
 #[test]
 fn a_key_claimed_twice_is_not_linearizable() {
     let mut recorder = Recorder::default();
@@ -251,7 +255,8 @@
     assert!(!recorder.is_linearizable(0));
 }
 
-// A caller that gave up may still be claimed for; nothing is dispatched and the key stays usable.
+// The claim of a request that was given up may still be written. Nothing is dispatched for it, and
+// the key remains usable.
 #[test]
 fn a_claim_given_up_leaves_no_trace_in_the_history() {
     let mut fleet = ClaimFleet::new(1, ClaimSettings::default());
@@ -260,11 +265,11 @@
     recorder.sent(0, first.clone());
     fleet.advance(20);
     fleet.event(0, ClaimEvent::GiveUp(first));
-    recorder.note_answers(&fleet);
+    recorder.record_answers(&fleet);
     let second = fleet.claim(0, 0, 0);
     recorder.sent(0, second);
-    fleet.heal();
-    recorder.note_answers(&fleet);
+    fleet.run_until_settled();
+    recorder.record_answers(&fleet);
     let recorder = recorder.finish(&fleet);
     assert!(recorder.is_linearizable(0));
 }
--- a/crates/coordination/tests/common/claim_fleet.rs
+++ b/crates/coordination/tests/common/claim_fleet.rs
@@ -1,4 +1,4 @@
-//! Routers that claim against one store, and the ledger of what their endpoints ran.
+//! Routers that write claims to one store, and a ledger of the requests that ran.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -27,10 +27,10 @@
 use super::store::CallOutcome;
 use super::store::Store;
 
-/// When every process of the fleet started.
+/// Start time of every process of the fleet.
 pub const STARTED_UNIX_MS: u64 = 1_800_000_000_000;
 
-/// What a request was told, or that it was dispatched.
+/// Result of a request at its router.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RequestOutcome {
     Dispatched,
@@ -38,7 +38,7 @@
     Refused(ClaimRefusal),
 }
 
-/// One router process.
+/// A router process.
 #[derive(Debug)]
 pub struct Router {
     pub member: Member,
@@ -52,22 +52,22 @@
 pub struct Sent {
     pub key: u32,
     pub body: u64,
-    pub told: Vec<RequestOutcome>,
+    pub outcomes: Vec<RequestOutcome>,
 }
 
-/// Routers, store and ledger.
+/// Routers, their store and the ledger.
 #[derive(Debug)]
 pub struct ClaimFleet {
     pub now: Duration,
     pub store: Store,
     pub routers: Vec<Router>,
     pub sent: BTreeMap<RequestId, Sent>,
-    /// Requests that ran, or may have, by key.
+    /// Requests that ran or may have run, by key.
     pub ran: BTreeMap<u32, Vec<RequestId>>,
-    /// Keys whose outcome no router can know any more.
-    pub lost_track: BTreeSet<u32>,
-    /// Whether a router was killed, with all that it knew.
-    pub any_restart: bool,
+    /// Keys with a request whose outcome is unknown.
+    pub unknown_outcome_keys: BTreeSet<u32>,
+    /// Whether a router was killed and restarted without memory.
+    pub has_restarted: bool,
     settings: ClaimSettings,
     next_id: u64,
 }
@@ -80,8 +80,8 @@
             routers: Vec::new(),
             sent: BTreeMap::new(),
             ran: BTreeMap::new(),
-            lost_track: BTreeSet::new(),
-            any_restart: false,
+            unknown_outcome_keys: BTreeSet::new(),
+            has_restarted: false,
             settings,
             next_id: 0,
         };
@@ -89,7 +89,7 @@
             let router = fleet.start(index, 1);
             fleet.routers.push(router);
         }
-        fleet.announce();
+        fleet.announce_members();
         fleet
     }
 
@@ -107,14 +107,14 @@
     }
 
     /// Tells every router which members are alive.
-    pub fn announce(&mut self) {
+    pub fn announce_members(&mut self) {
         let members: Vec<_> = self.routers.iter().map(|r| r.member.clone()).collect();
         for index in 0..self.routers.len() {
             self.event(index, ClaimEvent::Members(members.clone()));
         }
     }
 
-    /// Sends a request with this key to a router.
+    /// Sends a request with this key to a router, with body 0.
     pub fn claim_key(&mut self, router: usize, key: u32) -> RequestId {
         self.claim(router, key, 0)
     }
@@ -126,7 +126,7 @@
         let sent = Sent {
             key,
             body,
-            told: Vec::new(),
+            outcomes: Vec::new(),
         };
         self.sent.insert(request.clone(), sent);
         let attempt = AttemptId {
@@ -144,7 +144,7 @@
         request
     }
 
-    /// Hands an event to a router and carries out what it asks for.
+    /// Passes an event to a router and executes the resulting actions.
     pub fn event(&mut self, router: usize, event: ClaimEvent) {
         let mut actions = Vec::new();
         let claims = &mut self.routers[router].claims;
@@ -154,36 +154,36 @@
                 ClaimAction::Store(call) => self.routers[router].calls.push_back(call),
                 ClaimAction::Dispatch(request) => self.dispatch(router, request),
                 ClaimAction::Replay { request, answer } => {
-                    self.tell(&request, RequestOutcome::Replayed(answer));
+                    self.record_outcome(&request, RequestOutcome::Replayed(answer));
                 }
                 ClaimAction::Refuse {
                     request, reason, ..
-                } => self.tell(&request, RequestOutcome::Refused(reason)),
+                } => self.record_outcome(&request, RequestOutcome::Refused(reason)),
             }
         }
     }
 
     fn dispatch(&mut self, router: usize, request: RequestId) {
-        self.tell(&request, RequestOutcome::Dispatched);
+        self.record_outcome(&request, RequestOutcome::Dispatched);
         let key = self.sent[&request].key;
         self.ran.entry(key).or_default().push(request.clone());
         self.routers[router].running.push_back(request);
     }
 
-    fn tell(&mut self, request: &RequestId, told: RequestOutcome) {
+    fn record_outcome(&mut self, request: &RequestId, outcome: RequestOutcome) {
         let sent = self.sent.get_mut(request).expect("a request that was sent");
-        sent.told.push(told);
+        sent.outcomes.push(outcome);
     }
 
-    /// Lets the store take the oldest call of a router.
-    pub fn deliver(&mut self, router: usize, fate: CallOutcome) {
+    /// Delivers the oldest call of a router to the store.
+    pub fn deliver(&mut self, router: usize, call_outcome: CallOutcome) {
         if let Some(call) = self.routers[router].calls.pop_front() {
-            let event = self.store.call(&call, fate);
+            let event = self.store.call(&call, call_outcome);
             self.event(router, ClaimEvent::Store(event));
         }
     }
 
-    /// Ends the oldest dispatched request of a router.
+    /// Ends the oldest dispatched request of a router: it ran (0), did not run (1) or may have run.
     pub fn finish(&mut self, router: usize, kind: u8) {
         let Some(request) = self.routers[router].running.pop_front() else {
             return;
@@ -197,25 +197,25 @@
                 ClaimOutcome::NotRun
             }
             _ => {
-                self.lost_track.insert(key);
+                self.unknown_outcome_keys.insert(key);
                 ClaimOutcome::Unknown
             }
         };
         self.event(router, ClaimEvent::Finished { request, outcome });
     }
 
-    /// Kills a router and starts it again with no memory. What it sent may still arrive.
+    /// Kills a router and starts it again without memory. Its calls may still reach the store.
     pub fn restart(&mut self, router: usize) {
         for call in &self.routers[router].calls {
             self.store.delay_write(call);
         }
         let incarnation = self.routers[router].member.incarnation.0 + 1;
-        self.any_restart = true;
+        self.has_restarted = true;
         self.routers[router] = self.start(router, incarnation);
-        self.announce();
+        self.announce_members();
     }
 
-    /// Moves the clock of all routers.
+    /// Advances the clock of all routers.
     pub fn advance(&mut self, by_ms: u64) {
         self.now += Duration::from_millis(by_ms);
         for index in 0..self.routers.len() {
@@ -223,8 +223,8 @@
         }
     }
 
-    /// Lets everything come to rest with a store that works.
-    pub fn heal(&mut self) {
+    /// Runs with a store that answers every call until all requests and claims are settled.
+    pub fn run_until_settled(&mut self) {
         for _ in 0..200 {
             self.advance(200);
             for index in 0..self.routers.len() {
@@ -238,18 +238,22 @@
         }
     }
 
-    pub fn told(&self, request: &RequestId) -> &[RequestOutcome] {
-        &self.sent[request].told
+    pub fn outcomes_of(&self, request: &RequestId) -> &[RequestOutcome] {
+        &self.sent[request].outcomes
     }
 
-    /// Checks what must hold at every moment.
+    /// Checks the invariants.
     pub fn check(&self) {
         for (key, ran) in &self.ran {
             assert!(ran.len() <= 1, "key {key} ran more than once: {ran:?}");
         }
         for (request, sent) in &self.sent {
-            assert!(sent.told.len() <= 1, "{request} was told {:?}", sent.told);
-            if let Some(RequestOutcome::Replayed(answer)) = sent.told.first() {
+            assert!(
+                sent.outcomes.len() <= 1,
+                "{request} has several outcomes: {:?}",
+                sent.outcomes
+            );
+            if let Some(RequestOutcome::Replayed(answer)) = sent.outcomes.first() {
                 self.check_replay(sent, answer);
             }
         }
@@ -257,8 +261,15 @@
 
     fn check_replay(&self, sent: &Sent, answer: &RecordedAnswer) {
         let ran = &self.ran[&sent.key][0];
-        assert_eq!(*answer, answer_of(ran), "replay of another answer");
-        assert_eq!(sent.body, self.sent[ran].body, "replay for another body");
+        assert_eq!(
+            *answer,
+            answer_of(ran),
+            "replayed the answer of another request"
+        );
+        assert_eq!(
+            sent.body, self.sent[ran].body,
+            "replayed an answer for another body"
+        );
     }
 }
 
--- a/crates/coordination/tests/common/coordinator_fleet.rs
+++ b/crates/coordination/tests/common/coordinator_fleet.rs
@@ -1,4 +1,5 @@
-//! Coordinators that compete for the lease and order engines, over a network that delays and loses.
+//! Coordinators that compete for the lease and give orders to engines, over a network that delays
+//! and loses messages.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -30,36 +31,36 @@
 use super::store::CallOutcome;
 use super::store::Store;
 
-/// Engines; those at odd places ignore fencing numbers.
+/// Engines; those with odd numbers ignore fencing numbers.
 pub const ENGINES: [&str; 4] = ["desk-0", "desk-1", "desk-2", "desk-3"];
 const LOAD_INTERVAL: Duration = Duration::from_secs(10);
 const TICK_MS: u64 = 100;
 
-/// One process.
+/// One coordinator process.
 #[derive(Debug)]
 pub struct Host {
     pub coordinator: Coordinator,
     pub calls: VecDeque<(CoordinatorPart, StoreAction)>,
     pub paused: bool,
-    /// Answers of engines that wait for the process.
+    /// Events that arrived while the process was paused.
     inbox: VecDeque<CoordinatorEvent>,
     incarnation: u64,
     started_at: Duration,
 }
 
-/// An order or its answer on the way.
+/// An order or its answer.
 #[derive(Debug)]
-enum Flight {
+enum Message {
     Order(SendOrder),
     Answer(CoordinatorEvent),
 }
 
 #[derive(Debug)]
-struct InFlight {
+struct MessageInFlight {
     arrives_at: Duration,
     host: usize,
     incarnation: u64,
-    flight: Flight,
+    message: Message,
 }
 
 #[derive(Debug, Default)]
@@ -69,25 +70,25 @@
     loaded: Option<String>,
 }
 
-/// How the network treats the next order and its answer.
+/// Treatment of the next messages by the network.
 #[derive(Debug, Clone, Copy)]
 pub struct Network {
-    /// Time of the order on its way; less than the longest order delay.
+    /// Transit time of an order; less than the longest order delay.
     pub order_ms: u64,
-    /// Time of the answer on its way; none if it is lost.
+    /// Transit time of an answer; none if it is lost.
     pub answer_ms: Option<u64>,
-    /// Whether reports, read-backs and drains get through.
-    pub is_reached: bool,
+    /// Whether reports, read-backs and drains are delivered.
+    pub is_reachable: bool,
 }
 
-/// A network that works.
+/// A network that delivers every message quickly.
 pub const WORKING_NETWORK: Network = Network {
     order_ms: 10,
     answer_ms: Some(10),
-    is_reached: true,
+    is_reachable: true,
 };
 
-/// Hosts, engines and the store.
+/// Hosts, engines, the store and the network.
 #[derive(Debug)]
 pub struct CoordinatorFleet {
     pub now: Duration,
@@ -95,9 +96,9 @@
     pub hosts: Vec<Host>,
     pub network: Network,
     engines: BTreeMap<EndpointId, Engine>,
-    flights: Vec<InFlight>,
-    /// Highest number with which an engine that ignores numbers was sent an order.
-    sent: BTreeMap<EndpointId, FencingNumber>,
+    messages_in_flight: Vec<MessageInFlight>,
+    /// Highest fencing number of the orders sent to each engine that ignores fencing numbers.
+    sent_fencing: BTreeMap<EndpointId, FencingNumber>,
     last_load_at: Option<Duration>,
 }
 
@@ -111,13 +112,13 @@
             hosts: (0..hosts).map(start).collect(),
             network: WORKING_NETWORK,
             engines: engines.into(),
-            flights: Vec::new(),
-            sent: BTreeMap::new(),
+            messages_in_flight: Vec::new(),
+            sent_fencing: BTreeMap::new(),
             last_load_at: None,
         }
     }
 
-    /// Kills a process and starts it again with no memory.
+    /// Kills a process and starts it again without memory.
     pub fn restart(&mut self, index: usize) {
         let incarnation = self.hosts[index].incarnation + 1;
         self.hosts[index] = start(index, incarnation, self.now);
@@ -130,7 +131,7 @@
         }
     }
 
-    /// Hands an event to a process; a paused one finds it later.
+    /// Passes an event to a process; a paused one handles it on resuming, unless it is a tick.
     pub fn event(&mut self, index: usize, event: CoordinatorEvent) {
         let host = &mut self.hosts[index];
         if host.paused {
@@ -143,11 +144,11 @@
         let now = self.now - host.started_at;
         host.coordinator.handle(now, event, &mut actions);
         for action in actions {
-            self.act(index, action);
+            self.execute(index, action);
         }
     }
 
-    fn act(&mut self, index: usize, action: CoordinatorAction) {
+    fn execute(&mut self, index: usize, action: CoordinatorAction) {
         match action {
             CoordinatorAction::Store { part, action } => {
                 self.hosts[index].calls.push_back((part, action));
@@ -158,8 +159,8 @@
                 number,
                 order,
             } => {
-                let reached = self.network.is_reached;
-                let in_effect = reached.then(|| self.is_in_effect(&endpoint, &order));
+                let is_reachable = self.network.is_reachable;
+                let in_effect = is_reachable.then(|| self.is_in_effect(&endpoint, &order));
                 self.event(
                     index,
                     CoordinatorEvent::ReadBack {
@@ -170,7 +171,7 @@
                 );
             }
             CoordinatorAction::ReadLoad { endpoint } => {
-                let load = self.network.is_reached.then_some(Load {
+                let load = self.network.is_reachable.then_some(Load {
                     running: 0,
                     waiting: 0,
                     slots: 4,
@@ -179,14 +180,14 @@
                 });
                 self.event(index, CoordinatorEvent::LoadRead { endpoint, load });
             }
-            CoordinatorAction::AnnounceDrain { endpoint } if self.network.is_reached => {
+            CoordinatorAction::AnnounceDrain { endpoint } if self.network.is_reachable => {
                 self.event(index, CoordinatorEvent::DrainAnnounced { endpoint });
             }
             _ => {}
         }
     }
 
-    /// Sends an order and checks what holds for every sending.
+    /// Sends an order and checks the invariants of sending.
     fn send(&mut self, index: usize, order: SendOrder) {
         let host = &self.hosts[index];
         assert!(
@@ -195,7 +196,7 @@
         );
         if !checks_fencing(&order.endpoint) {
             let highest = self
-                .sent
+                .sent_fencing
                 .entry(order.endpoint.clone())
                 .or_insert(order.fencing);
             assert!(
@@ -212,23 +213,29 @@
             );
         }
         let arrives_at = self.now + millis(self.network.order_ms);
-        self.fly(index, host.incarnation, arrives_at, Flight::Order(order));
+        self.send_message(index, host.incarnation, arrives_at, Message::Order(order));
     }
 
-    fn fly(&mut self, host: usize, incarnation: u64, arrives_at: Duration, flight: Flight) {
-        self.flights.push(InFlight {
+    fn send_message(
+        &mut self,
+        host: usize,
+        incarnation: u64,
+        arrives_at: Duration,
+        message: Message,
+    ) {
+        self.messages_in_flight.push(MessageInFlight {
             arrives_at,
             host,
             incarnation,
-            flight,
+            message,
         });
     }
 
-    /// Moves the time; what is on its way arrives in its order.
+    /// Advances the time; messages in flight arrive in order of their arrival times.
     pub fn advance(&mut self, by_ms: u64) {
         let end = self.now + millis(by_ms);
         while let Some(next) = self.next_arrival(end) {
-            let arrived = self.flights.remove(next);
+            let arrived = self.messages_in_flight.remove(next);
             self.now = arrived.arrives_at;
             self.arrive(arrived);
         }
@@ -239,20 +246,20 @@
     }
 
     fn next_arrival(&self, end: Duration) -> Option<usize> {
-        let due = self.flights.iter().enumerate();
-        let due = due.filter(|(_, flight)| flight.arrives_at <= end);
-        due.min_by_key(|(_, flight)| flight.arrives_at)
+        let due = self.messages_in_flight.iter().enumerate();
+        let due = due.filter(|(_, message)| message.arrives_at <= end);
+        due.min_by_key(|(_, message)| message.arrives_at)
             .map(|(index, _)| index)
     }
 
-    fn arrive(&mut self, arrived: InFlight) {
+    fn arrive(&mut self, arrived: MessageInFlight) {
         let (host, incarnation) = (arrived.host, arrived.incarnation);
-        match arrived.flight {
-            Flight::Answer(event) if self.hosts[host].incarnation == incarnation => {
+        match arrived.message {
+            Message::Answer(event) if self.hosts[host].incarnation == incarnation => {
                 self.event(host, event);
             }
-            Flight::Answer(_) => {}
-            Flight::Order(order) => {
+            Message::Answer(_) => {}
+            Message::Order(order) => {
                 let answer = CoordinatorEvent::Answered {
                     answer: self.obey(&order),
                     endpoint: order.endpoint,
@@ -260,7 +267,7 @@
                 };
                 if let Some(answer_ms) = self.network.answer_ms {
                     let arrives_at = self.now + millis(answer_ms);
-                    self.fly(host, incarnation, arrives_at, Flight::Answer(answer));
+                    self.send_message(host, incarnation, arrives_at, Message::Answer(answer));
                 }
             }
         }
@@ -290,18 +297,18 @@
         state.as_deref() == Some(subject)
     }
 
-    /// Lets the store take the oldest call of a process.
-    pub fn deliver(&mut self, index: usize, fate: CallOutcome) {
+    /// Delivers the oldest call of a process to the store.
+    pub fn deliver(&mut self, index: usize, outcome: CallOutcome) {
         if self.hosts[index].paused {
             return;
         }
         if let Some((part, call)) = self.hosts[index].calls.pop_front() {
-            let event = self.store.call(&call, fate);
+            let event = self.store.call(&call, outcome);
             self.event(index, CoordinatorEvent::StoreEnded { part, event });
         }
     }
 
-    /// Writes an operator's order unless one is open, as `orders add` does.
+    /// Writes an operator's order unless one is open, as the command `orders add` does.
     pub fn order(&mut self, endpoint: &str, order: EngineOrder) {
         let key = order_key(&endpoint.into());
         let last = self.store.value(&key).and_then(OrderRecord::decode);
@@ -321,7 +328,7 @@
         self.store.put(&key, &record.encode());
     }
 
-    /// Runs for a while with a store that works.
+    /// Runs for the given time with a store that answers every call.
     pub fn run(&mut self, for_ms: u64) {
         for _ in 0..for_ms / TICK_MS {
             self.advance(TICK_MS);
@@ -333,7 +340,7 @@
         }
     }
 
-    /// Checks that every order has ended and that each engine is as the newest one says.
+    /// Checks that every order has ended and that each engine is in the state of its newest order.
     pub fn check_ended(&self) {
         for endpoint in ENGINES {
             let endpoint = EndpointId::from(endpoint);
--- a/crates/coordination/tests/common/lease_fleet.rs
+++ b/crates/coordination/tests/common/lease_fleet.rs
@@ -19,10 +19,10 @@
 use super::store::CallOutcome;
 use super::store::Store;
 
-/// Clock rates of the hosts, in thousandths.
-const CLOCK_RATES: [u64; 3] = [1_000, 970, 1_030];
+/// Clock rates of the hosts, in thousandths of real time.
+const CLOCK_RATES_PER_MILLE: [u64; 3] = [1_000, 970, 1_030];
 
-/// One process that may hold the lease.
+/// A process that competes for the lease.
 #[derive(Debug)]
 pub struct LeaseHost {
     pub member: Member,
@@ -30,10 +30,10 @@
     pub calls: VecDeque<StoreAction>,
     pub paused: bool,
     pub started_at: Duration,
-    pub rate: u64,
+    pub clock_rate_per_mille: u64,
 }
 
-/// Hosts, store and the orders they sent.
+/// Hosts, their store and the orders that they sent.
 #[derive(Debug)]
 pub struct LeaseFleet {
     pub now: Duration,
@@ -74,11 +74,11 @@
             calls: VecDeque::new(),
             paused: false,
             started_at: self.now,
-            rate: CLOCK_RATES[index % CLOCK_RATES.len()],
+            clock_rate_per_mille: CLOCK_RATES_PER_MILLE[index % CLOCK_RATES_PER_MILLE.len()],
         }
     }
 
-    /// Kills a host and starts it again with no memory. What it sent may still arrive.
+    /// Kills a host and starts it again without memory. Its calls may still reach the store.
     pub fn restart(&mut self, index: usize) {
         for call in &self.hosts[index].calls {
             self.store.delay_write(call);
@@ -89,10 +89,10 @@
 
     fn local_now(&self, index: usize) -> Duration {
         let host = &self.hosts[index];
-        (self.now - host.started_at) * host.rate as u32 / 1_000
+        (self.now - host.started_at) * host.clock_rate_per_mille as u32 / 1_000
     }
 
-    /// Hands an event to a host that is not paused.
+    /// Passes an event to a host unless it is paused.
     pub fn event(&mut self, index: usize, event: LeaseEvent) {
         if self.hosts[index].paused {
             return;
@@ -114,18 +114,18 @@
         }
     }
 
-    /// Lets the store take the oldest call of a host.
-    pub fn deliver(&mut self, index: usize, fate: CallOutcome) {
+    /// Delivers the oldest call of a host to the store.
+    pub fn deliver(&mut self, index: usize, outcome: CallOutcome) {
         if self.hosts[index].paused {
             return;
         }
         if let Some(call) = self.hosts[index].calls.pop_front() {
-            let event = self.store.call(&call, fate);
+            let event = self.store.call(&call, outcome);
             self.event(index, LeaseEvent::Store(event));
         }
     }
 
-    /// Moves all clocks, paused hosts' included.
+    /// Advances all clocks, also those of paused hosts.
     pub fn advance(&mut self, by_ms: u64) {
         self.now += Duration::from_millis(by_ms);
         for index in 0..self.hosts.len() {
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Runs for a while with a store that works.
+    /// Runs for the given time with a store that answers every call.
     pub fn run(&mut self, for_ms: u64) {
         for _ in 0..for_ms / 100 {
             self.advance(100);
@@ -145,19 +145,19 @@
         }
     }
 
-    /// Returns what a host holds at this moment.
+    /// Returns the lease that a host holds now.
     pub fn held(&self, index: usize) -> Option<HeldLease> {
         let host = &self.hosts[index];
         host.lease.held(self.local_now(index))
     }
 
-    /// Lists the hosts that hold the lease at this moment.
+    /// Lists the hosts that hold the lease now.
     pub fn holders(&self) -> Vec<usize> {
         let all = 0..self.hosts.len();
         all.filter(|i| self.held(*i).is_some()).collect()
     }
 
-    /// Sends an order from a host to an engine that ignores fencing, if its lease lets it.
+    /// Sends an order from a host to an engine that ignores fencing, if its lease allows it.
     pub fn order_unfenced(&mut self, index: usize) -> bool {
         let local_now = self.local_now(index);
         let Some(held) = self.held(index) else {
@@ -166,19 +166,19 @@
         if self.hosts[index].paused || local_now < held.unfenced_orders_from {
             return false;
         }
-        let longest = Duration::from_millis(LeaseSettings::default().max_order_delay_ms);
+        let max_order_delay = Duration::from_millis(LeaseSettings::default().max_order_delay_ms);
         for (fencing, sent_at) in self.unfenced_orders.range(..held.fencing) {
-            let arrived_by = *sent_at + longest;
+            let arrived_by = *sent_at + max_order_delay;
             assert!(
                 arrived_by <= self.now,
-                "an order of {fencing:?} may still be on its way"
+                "an order of {fencing:?} may still be in transit"
             );
         }
         self.unfenced_orders.insert(held.fencing, self.now);
         true
     }
 
-    /// Checks what must hold at every moment.
+    /// Checks the invariants.
     pub fn check(&self) {
         let holders = self.holders();
         assert!(holders.len() <= 1, "hosts {holders:?} all hold the lease");
--- a/crates/coordination/tests/common/order_harness.rs
+++ b/crates/coordination/tests/common/order_harness.rs
@@ -1,4 +1,4 @@
-//! One coordinator after another that gives orders to three engines of one pool.
+//! Successive coordinators that give orders to three engines of one pool.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
@@ -26,10 +26,10 @@
 
 const POOL: &str = "desk";
 const FLOOR: u32 = 2;
-const TERM: Duration = Duration::from_secs(3_600);
-const UNFENCED_WAIT: Duration = Duration::from_secs(5);
+const LEASE_TERM: Duration = Duration::from_secs(3_600);
+const UNFENCED_ORDERS_DELAY: Duration = Duration::from_secs(5);
 
-/// A coordinator, the store, and what the engines were told.
+/// A coordinator, its store, and the actions that it asked for.
 #[derive(Debug)]
 pub struct OrderHarness {
     pub now: Duration,
@@ -41,9 +41,9 @@
     pub drained: Vec<EndpointId>,
     pub read_backs: Vec<u64>,
     pub ended: Vec<(EndpointId, OrderState)>,
-    pub refused: Vec<OrderRejection>,
-    /// Whether a router can be told of drains.
-    pub routers_reached: bool,
+    pub rejections: Vec<OrderRejection>,
+    /// Whether routers can be told of drains.
+    pub routers_reachable: bool,
     /// Requests in progress by endpoint, as reported with each step of time.
     in_progress: BTreeMap<String, u32>,
     checks_fencing: bool,
@@ -52,7 +52,7 @@
 impl OrderHarness {
     /// Starts a coordinator that holds the lease and has read all orders.
     pub fn new(checks_fencing: bool) -> Self {
-        let mut bench = Self {
+        let mut harness = Self {
             now: Duration::ZERO,
             store: Store::default(),
             orders: Orders::new(OrderSettings::default()),
@@ -62,25 +62,25 @@
             drained: Vec::new(),
             read_backs: Vec::new(),
             ended: Vec::new(),
-            refused: Vec::new(),
-            routers_reached: true,
+            rejections: Vec::new(),
+            routers_reachable: true,
             in_progress: BTreeMap::new(),
             checks_fencing,
         };
-        bench.take_over();
-        bench.deliver_all();
-        bench
+        harness.take_over();
+        harness.deliver_all();
+        harness
     }
 
-    /// Replaces the coordinator by another one, which knows nothing and holds the lease.
+    /// Replaces the coordinator by a new one that has no memory and holds the lease.
     pub fn take_over(&mut self) {
         let fencing = self.lease.map_or(1, |lease| lease.fencing.0 + 1);
         let epoch_version = self.store.put(EPOCH_KEY, &fencing.to_string());
         let lease = HeldLease {
             fencing: FencingNumber(fencing),
             epoch_version,
-            deadline: self.now + TERM,
-            unfenced_orders_from: self.now + UNFENCED_WAIT,
+            deadline: self.now + LEASE_TERM,
+            unfenced_orders_from: self.now + UNFENCED_ORDERS_DELAY,
         };
         self.orders = Orders::new(OrderSettings::default());
         self.lease = Some(lease);
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Hands an event to the coordinator and notes what it asks for.
+    /// Passes an event to the coordinator and records its actions.
     pub fn event(&mut self, event: OrderEvent) {
         let mut actions = Vec::new();
         self.orders.handle(self.now, event, &mut actions);
@@ -124,12 +124,12 @@
                 OrderAction::Ended {
                     endpoint, state, ..
                 } => self.ended.push((endpoint, state)),
-                OrderAction::Rejected { reason, .. } => self.refused.push(reason),
+                OrderAction::Rejected { reason, .. } => self.rejections.push(reason),
             }
         }
     }
 
-    pub fn want(&mut self, endpoint: &str, order: EngineOrder) {
+    pub fn request(&mut self, endpoint: &str, order: EngineOrder) {
         let endpoint = endpoint.into();
         self.event(OrderEvent::Requested { endpoint, order });
     }
@@ -144,7 +144,7 @@
         self.in_progress.insert(endpoint.to_owned(), in_progress);
     }
 
-    /// An engine answers the newest order that it was sent.
+    /// Answers the newest order that was sent.
     pub fn answer(&mut self, answer: EngineAnswer) {
         let order = self.sent.last().expect("an order");
         let (endpoint, number) = (order.endpoint.clone(), order.number);
@@ -155,9 +155,9 @@
         });
     }
 
-    pub fn deliver(&mut self, fate: CallOutcome) {
+    pub fn deliver(&mut self, outcome: CallOutcome) {
         if let Some(call) = self.calls.pop_front() {
-            let event = self.store.call(&call, fate);
+            let event = self.store.call(&call, outcome);
             self.event(OrderEvent::Store(event));
         }
     }
@@ -168,7 +168,7 @@
         }
     }
 
-    /// Lets time pass with a store that works.
+    /// Runs for the given time with a store that answers every call.
     pub fn run(&mut self, for_ms: u64) {
         for _ in 0..for_ms / 100 {
             self.now += Duration::from_millis(100);
@@ -182,14 +182,14 @@
     }
 
     fn announce_drains(&mut self) {
-        if self.routers_reached {
+        if self.routers_reachable {
             for endpoint in self.drained.clone() {
                 self.event(OrderEvent::DrainAnnounced { endpoint });
             }
         }
     }
 
-    /// Lists the endpoints that were sent orders.
+    /// Lists the endpoints to which orders were sent, in the order of sending.
     pub fn ordered(&self) -> Vec<&str> {
         self.sent.iter().map(|o| o.endpoint.as_str()).collect()
     }
--- a/crates/coordination/tests/common/store.rs
+++ b/crates/coordination/tests/common/store.rs
@@ -1,4 +1,4 @@
-//! A table service in memory that misbehaves on order.
+//! An in-memory table service whose calls fail as the tests choose.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,64 +12,64 @@
 use sedgeridge_coordination::store_call::StoreRow;
 use sedgeridge_coordination::store_call::StoreWrite;
 
-/// States kept for stale reads.
-const PAST_KEPT: usize = 8;
+/// Number of earlier states kept for stale reads.
+const MAX_HISTORY_LEN: usize = 8;
 
-/// What the store does with one call.
+/// How the store treats one call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// Runs it and answers.
+    /// Executes it and answers.
     Answered,
-    /// Runs it; the answer is lost.
+    /// Executes it; the answer is lost.
     AnswerLost,
-    /// Never runs it; the caller gets no answer.
+    /// Never executes it; the caller gets no answer.
     CallLost,
-    /// Gives no answer and runs it when [`Store::run_delayed_write`] is called.
+    /// Gives no answer and executes a write when [`Store::run_delayed_write`] is called.
     Delayed,
     /// Refuses it.
     Refused,
-    /// Answers a read from rows as they were this many commits ago; a write as usual.
+    /// Answers a read with the rows of this many commits ago, and a write as usual.
     Stale(usize),
 }
 
-/// Rows, their history and the writes that are still on their way.
+/// Rows, their history and the delayed writes.
 #[derive(Debug, Default)]
 pub struct Store {
     pub version: u64,
     pub transactions: u64,
     pub rows_written: u64,
     pub reads: u64,
-    /// Keeps no older states, so that long runs stay cheap; stale reads then see current rows.
+    /// Keeps no earlier states, to keep long runs fast; stale reads then return current rows.
     pub keeps_no_history: bool,
     rows: BTreeMap<Arc<str>, StoreRow>,
-    past: Vec<BTreeMap<Arc<str>, StoreRow>>,
-    late: Vec<(Vec<StoreCheck>, Vec<StoreWrite>)>,
+    history: Vec<BTreeMap<Arc<str>, StoreRow>>,
+    delayed_writes: Vec<(Vec<StoreCheck>, Vec<StoreWrite>)>,
 }
 
 impl Store {
-    /// Handles a call by its fate.
-    pub fn call(&mut self, action: &StoreAction, fate: CallOutcome) -> StoreEvent {
+    /// Executes a call with the given outcome.
+    pub fn call(&mut self, action: &StoreAction, outcome: CallOutcome) -> StoreEvent {
         match action {
             StoreAction::Transact {
                 call,
                 checks,
                 writes,
-            } => event(*call, self.write(checks, writes, fate)),
-            StoreAction::Read { call, query } => event(*call, self.read(query, fate)),
+            } => event(*call, self.write(checks, writes, outcome)),
+            StoreAction::Read { call, query } => event(*call, self.read(query, outcome)),
         }
     }
 
-    /// Keeps a write on its way, as when its sender dies.
+    /// Delays a write that was sent, as when its sender dies.
     pub fn delay_write(&mut self, action: &StoreAction) {
         if let StoreAction::Transact { checks, writes, .. } = action {
-            self.late.push((checks.clone(), writes.clone()));
+            self.delayed_writes.push((checks.clone(), writes.clone()));
         }
     }
 
-    /// Runs the oldest write that is still on its way.
+    /// Executes the oldest delayed write.
     pub fn run_delayed_write(&mut self) {
-        if !self.late.is_empty() {
-            let (checks, writes) = self.late.remove(0);
+        if !self.delayed_writes.is_empty() {
+            let (checks, writes) = self.delayed_writes.remove(0);
             self.transact(&checks, &writes);
         }
     }
@@ -84,7 +84,7 @@
         self.rows.get(key).map(|r| r.version)
     }
 
-    /// Counts the rows whose key begins so.
+    /// Counts the rows whose key has this prefix.
     pub fn count(&self, prefix: &str) -> usize {
         self.rows.keys().filter(|k| k.starts_with(prefix)).count()
     }
@@ -103,9 +103,9 @@
         &mut self,
         checks: &[StoreCheck],
         writes: &[StoreWrite],
-        fate: CallOutcome,
+        outcome: CallOutcome,
     ) -> StoreResult {
-        match fate {
+        match outcome {
             CallOutcome::Answered | CallOutcome::Stale(_) => self.transact(checks, writes),
             CallOutcome::AnswerLost => {
                 self.transact(checks, writes);
@@ -113,7 +113,7 @@
             }
             CallOutcome::CallLost => StoreResult::Unknown,
             CallOutcome::Delayed => {
-                self.late.push((checks.to_vec(), writes.to_vec()));
+                self.delayed_writes.push((checks.to_vec(), writes.to_vec()));
                 StoreResult::Unknown
             }
             CallOutcome::Refused => StoreResult::Unavailable,
@@ -131,10 +131,10 @@
             return StoreResult::Conflict { rows };
         }
         if !self.keeps_no_history {
-            self.past.push(self.rows.clone());
+            self.history.push(self.rows.clone());
         }
-        let excess = self.past.len().saturating_sub(PAST_KEPT);
-        self.past.drain(..excess);
+        let excess = self.history.len().saturating_sub(MAX_HISTORY_LEN);
+        self.history.drain(..excess);
         self.version += 1;
         for write in writes {
             self.rows_written += 1;
@@ -153,17 +153,17 @@
         }
     }
 
-    fn read(&mut self, query: &StoreQuery, fate: CallOutcome) -> StoreResult {
+    fn read(&mut self, query: &StoreQuery, outcome: CallOutcome) -> StoreResult {
         self.reads += 1;
-        match fate {
+        match outcome {
             CallOutcome::Refused => StoreResult::Unavailable,
             CallOutcome::AnswerLost | CallOutcome::CallLost | CallOutcome::Delayed => {
                 StoreResult::Unknown
             }
             CallOutcome::Answered => StoreResult::Rows(select(&self.rows, query)),
-            CallOutcome::Stale(back) => {
-                let index = self.past.len().checked_sub(back.max(1));
-                let rows = index.map_or(&self.rows, |i| &self.past[i]);
+            CallOutcome::Stale(commits_ago) => {
+                let index = self.history.len().checked_sub(commits_ago.max(1));
+                let rows = index.map_or(&self.rows, |i| &self.history[i]);
                 StoreResult::Rows(select(rows, query))
             }
         }
--- a/crates/coordination/tests/coordinator.rs
+++ b/crates/coordination/tests/coordinator.rs
@@ -1,4 +1,4 @@
-//! Failures that concern more than one part of a coordinator.
+//! Failures that involve more than one part of a coordinator.
 
 mod common;
 
@@ -36,7 +36,7 @@
 use sedgeridge_state::settings::PoolSettings;
 use sedgeridge_state::settings::Settings;
 
-const ACCEPTED: &str = "\
+const ACCEPTED_CONFIG: &str = "\
 [fleet]
 name = demo
 [site.north]
@@ -60,34 +60,34 @@
 slots = 4
 checks_fencing = yes
 ";
-const STEP: Duration = Duration::from_millis(100);
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// One coordinator, its store, and endpoints whose reports the test sets.
-struct Bench {
+/// A coordinator, its store, and endpoints whose reports the test sets.
+struct Harness {
     now: Duration,
     store: Store,
     coordinator: Coordinator,
     /// Endpoints that answer reads of their load.
-    reporting: Vec<&'static str>,
+    reporting_endpoints: Vec<&'static str>,
     sent: Vec<SendOrder>,
-    announced: Vec<(EndpointId, Duration)>,
-    reads: usize,
+    announced_drains: Vec<(EndpointId, Duration)>,
+    load_reads: usize,
     /// The accepted configuration, if there is one.
-    accepted: Option<ConfigDocument>,
+    accepted_config: Option<ConfigDocument>,
 }
 
-impl Bench {
+impl Harness {
     fn new() -> Self {
         let settings = CoordinatorSettings::default();
         Self {
             now: Duration::ZERO,
             store: Store::default(),
             coordinator: Coordinator::new(member(), settings, &two_engines(), 0, 7),
-            reporting: vec!["desk-1", "desk-2"],
+            reporting_endpoints: vec!["desk-1", "desk-2"],
             sent: Vec::new(),
-            announced: Vec::new(),
-            reads: 0,
-            accepted: None,
+            announced_drains: Vec::new(),
+            load_reads: 0,
+            accepted_config: None,
         }
     }
 
@@ -102,11 +102,11 @@
                 }
                 CoordinatorAction::Send(order) => self.sent.push(order),
                 CoordinatorAction::AnnounceDrain { endpoint } => {
-                    self.announced.push((endpoint.clone(), self.now));
+                    self.announced_drains.push((endpoint.clone(), self.now));
                     self.event(CoordinatorEvent::DrainAnnounced { endpoint });
                 }
                 CoordinatorAction::ReadLoad { endpoint } => {
-                    self.reads += 1;
+                    self.load_reads += 1;
                     let load = self.load(&endpoint);
                     self.event(CoordinatorEvent::LoadRead { endpoint, load });
                 }
@@ -117,7 +117,7 @@
     }
 
     fn read_config(&mut self, read: &ConfigRead) {
-        let event = match (read, &self.accepted) {
+        let event = match (read, &self.accepted_config) {
             (ConfigRead::Head { call, .. }, accepted) => ConfigEvent::Head {
                 call: *call,
                 generation: accepted.as_ref().map(|_| Generation(1)),
@@ -137,7 +137,7 @@
     }
 
     fn load(&self, endpoint: &EndpointId) -> Option<Load> {
-        let reports = self.reporting.contains(&endpoint.as_str());
+        let reports = self.reporting_endpoints.contains(&endpoint.as_str());
         reports.then_some(Load {
             running: 0,
             waiting: 0,
@@ -150,12 +150,12 @@
     fn run(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
-            self.now += STEP;
+            self.now += TICK_INTERVAL;
             self.event(CoordinatorEvent::Tick);
         }
     }
 
-    fn order(&mut self, endpoint: &str, number: u64) {
+    fn write_order(&mut self, endpoint: &str, number: u64) {
         let record = OrderRecord {
             endpoint: endpoint.into(),
             number,
@@ -167,7 +167,7 @@
         self.store.put(&key, &record.encode());
     }
 
-    fn obey(&mut self) {
+    fn answer_done(&mut self) {
         let order = self.sent.pop().expect("an order");
         self.event(CoordinatorEvent::Answered {
             endpoint: order.endpoint,
@@ -204,98 +204,104 @@
     }
 }
 
-// An order ends and its pool's reports are read no more. Hours later the other engine is gone and
-// an order comes for the first. By the old report the other engine serves, and the order would
-// leave the pool with none; forgotten, it counts only when it reports again.
+// An order ends and its pool's reports are no longer read. Hours later the other engine is gone and
+// an order for the first arrives. By the old report the other engine serves, and the order would
+// leave the pool without a serving engine. So the report is dropped, and the other engine counts
+// only when it reports again.
 #[test]
 fn a_report_of_hours_ago_does_not_count_for_the_floor() {
-    let mut bench = Bench::new();
-    bench.order("desk-1", 1);
-    bench.run(Duration::from_secs(10));
-    bench.obey();
-    bench.run(Duration::from_secs(1));
-    let reads = bench.reads;
-    bench.run(Duration::from_secs(7_200));
-    assert_eq!(bench.reads, reads, "no order under way needs reports");
-    bench.reporting = vec!["desk-1"];
-    bench.order("desk-1", 2);
-    bench.run(Duration::from_secs(60));
-    assert!(bench.sent.is_empty());
-    bench.reporting = vec!["desk-1", "desk-2"];
-    bench.run(Duration::from_secs(10));
-    assert_eq!(bench.sent.len(), 1);
+    let mut harness = Harness::new();
+    harness.write_order("desk-1", 1);
+    harness.run(Duration::from_secs(10));
+    harness.answer_done();
+    harness.run(Duration::from_secs(1));
+    let reads = harness.load_reads;
+    harness.run(Duration::from_secs(7_200));
+    assert_eq!(
+        harness.load_reads, reads,
+        "no order in progress needs reports"
+    );
+    harness.reporting_endpoints = vec!["desk-1"];
+    harness.write_order("desk-1", 2);
+    harness.run(Duration::from_secs(60));
+    assert!(harness.sent.is_empty());
+    harness.reporting_endpoints = vec!["desk-1", "desk-2"];
+    harness.run(Duration::from_secs(10));
+    assert_eq!(harness.sent.len(), 1);
 }
 
-// A drain lasts as long as the engine takes to obey. Routers heed an announcement for ten seconds,
-// so it is repeated; one that was said once would bring new requests to an engine under an order.
+// A drain lasts until the engine has obeyed. Routers honour an announcement for ten seconds, so it
+// is repeated; otherwise an engine would get new requests while it carries out an order.
 #[test]
 fn a_drain_is_announced_again_until_the_order_ends() {
-    let mut bench = Bench::new();
-    bench.order("desk-1", 1);
-    bench.run(Duration::from_secs(25));
-    let times: Vec<Duration> = bench.announced.iter().map(|(_, at)| *at).collect();
+    let mut harness = Harness::new();
+    harness.write_order("desk-1", 1);
+    harness.run(Duration::from_secs(25));
+    let times: Vec<Duration> = harness.announced_drains.iter().map(|(_, at)| *at).collect();
     assert!(times.len() > 7);
     assert!(
         times
             .windows(2)
             .all(|pair| pair[1] - pair[0] < Duration::from_secs(9))
     );
-    bench.obey();
-    let announced = bench.announced.len();
-    bench.run(Duration::from_secs(60));
-    assert_eq!(bench.announced.len(), announced);
+    harness.answer_done();
+    let announced = harness.announced_drains.len();
+    harness.run(Duration::from_secs(60));
+    assert_eq!(harness.announced_drains.len(), announced);
 }
 
-// The holder is frozen in the middle of a drain and goes on an hour later. It must not keep the
-// endpoint out of service for an order that another holder has completed by now.
+// The holder is paused during a drain and resumes an hour later. It must not keep the endpoint out
+// of service for an order that another holder has completed by then.
 #[test]
 fn a_holder_frozen_past_its_lease_announces_no_drain() {
-    let mut bench = Bench::new();
-    bench.order("desk-1", 1);
-    bench.reporting = vec!["desk-2"];
-    bench.run(Duration::from_secs(10));
-    let announced = bench.announced.len();
+    let mut harness = Harness::new();
+    harness.write_order("desk-1", 1);
+    harness.reporting_endpoints = vec!["desk-2"];
+    harness.run(Duration::from_secs(10));
+    let announced = harness.announced_drains.len();
     assert!(announced > 0);
-    bench.now += Duration::from_secs(3_600);
+    harness.now += Duration::from_secs(3_600);
     let mut actions = Vec::new();
     let event = CoordinatorEvent::Tick;
-    bench.coordinator.handle(bench.now, event, &mut actions);
+    harness.coordinator.handle(harness.now, event, &mut actions);
     let drains =
         |action: &CoordinatorAction| matches!(action, CoordinatorAction::AnnounceDrain { .. });
     assert!(!actions.iter().any(drains));
     assert!(actions.contains(&CoordinatorAction::Lost));
 }
 
-// The engine ignores fencing numbers, so its order waits until none of an earlier holder can be on
-// its way; the engine is drained, nothing else is missing. The holder is frozen until long after
-// its lease. The first thing it does then would be to send. It must learn of the lapse first.
+// The engine ignores fencing numbers, so its order waits until no order of an earlier holder can be
+// in transit; the engine is drained and nothing else is missing. The holder is paused until long
+// after the end of its lease. On resuming it must notice that end before it sends the order.
 #[test]
 fn a_holder_frozen_with_an_order_due_does_not_send_it() {
-    let mut bench = Bench::new();
+    let mut harness = Harness::new();
     let mut settings = two_engines();
     settings.endpoints[0].checks_fencing = false;
-    bench.coordinator = Coordinator::new(member(), CoordinatorSettings::default(), &settings, 0, 7);
-    bench.order("desk-1", 1);
-    bench.run(Duration::from_millis(4_500));
-    let waiting = bench
+    harness.coordinator =
+        Coordinator::new(member(), CoordinatorSettings::default(), &settings, 0, 7);
+    harness.write_order("desk-1", 1);
+    harness.run(Duration::from_millis(4_500));
+    let stage = harness
         .coordinator
         .open_orders()
         .next()
         .map(|open| open.stage);
-    assert_eq!(waiting, Some("awaiting_send"));
-    bench.now += Duration::from_secs(3_600);
+    assert_eq!(stage, Some("awaiting_send"));
+    harness.now += Duration::from_secs(3_600);
     let mut actions = Vec::new();
     let event = CoordinatorEvent::Tick;
-    bench.coordinator.handle(bench.now, event, &mut actions);
+    harness.coordinator.handle(harness.now, event, &mut actions);
     let sends = |action: &CoordinatorAction| matches!(action, CoordinatorAction::Send(_));
     assert!(!actions.iter().any(sends));
 }
 
-// The files of the holder's start know no desk-9; the accepted configuration does. The order goes
-// by what is accepted. By the files it would stay open until somebody starts the holder again.
+// The settings files that the holder started with don't contain desk-9; the accepted configuration
+// does. Orders use the accepted configuration. By the files the order would stay open until the
+// holder is restarted.
 #[test]
 fn an_order_goes_by_the_accepted_configuration() {
-    let mut bench = Bench::new();
+    let mut harness = Harness::new();
     let mut files = two_engines();
     files.platform.configuration = ConfigurationSource::Table;
     files.hosts.push(HostSettings {
@@ -307,18 +313,18 @@
         coordinator_address: None,
     });
     let settings = CoordinatorSettings::default();
-    bench.coordinator = Coordinator::new(member(), settings, &files, 0, 7);
-    bench.reporting = vec!["desk-8", "desk-9"];
-    bench.accepted = Some(ConfigDocument::from_texts(ACCEPTED, &[]));
-    bench.order("desk-9", 1);
-    bench.order("desk-1", 1);
-    bench.run(Duration::from_secs(20));
-    let ordered: Vec<&str> = bench.sent.iter().map(|o| o.endpoint.as_str()).collect();
+    harness.coordinator = Coordinator::new(member(), settings, &files, 0, 7);
+    harness.reporting_endpoints = vec!["desk-8", "desk-9"];
+    harness.accepted_config = Some(ConfigDocument::from_texts(ACCEPTED_CONFIG, &[]));
+    harness.write_order("desk-9", 1);
+    harness.write_order("desk-1", 1);
+    harness.run(Duration::from_secs(20));
+    let ordered: Vec<&str> = harness.sent.iter().map(|o| o.endpoint.as_str()).collect();
     assert_eq!(ordered, ["desk-9"]);
 }
 
-// A candidate does not hold the lease. It reads no configuration: on every host of a large fleet
-// these reads would take the table from the routers.
+// A candidate, which doesn't hold the lease, reads no configuration: on every host of a large fleet
+// these reads would use up the table's capacity that the routers need.
 #[test]
 fn a_candidate_reads_no_configuration() {
     let mut files = two_engines();
@@ -327,7 +333,7 @@
     let mut coordinator = Coordinator::new(member(), settings, &files, 0, 7);
     let mut actions = Vec::new();
     for step in 0..100 {
-        coordinator.handle(STEP * step, CoordinatorEvent::Tick, &mut actions);
+        coordinator.handle(TICK_INTERVAL * step, CoordinatorEvent::Tick, &mut actions);
     }
     let reads = |action: &CoordinatorAction| matches!(action, CoordinatorAction::ReadConfig(_));
     assert!(!actions.iter().any(reads));
--- a/crates/coordination/tests/coordinator_fuzz.rs
+++ b/crates/coordination/tests/coordinator_fuzz.rs
@@ -1,8 +1,10 @@
-//! Three coordinators order four engines, two of which ignore fencing numbers. Any process may be
-//! paused, stopped or killed at any step, calls and answers are lost or late, and operators go on ordering.
+//! Three coordinators give orders to four engines, two of which ignore fencing numbers. Any process
+//! may be paused, stopped or killed at any step, calls and answers are lost or delayed, and
+//! operators continue to write orders.
 //!
-//! Against the oracle that each engine ends as its newest order says; and in between no order is
-//! sent after a lapse, after a later holder's, or before the weight store's turn.
+//! The test checks that each engine ends in the state of its newest order. Throughout, no order may
+//! be sent after its time limit, after a later holder's order, or before the weight store's rate
+//! limit allows it.
 
 mod common;
 
@@ -25,7 +27,7 @@
 #[derive(Debug, Clone)]
 enum Step {
     Advance { by_ms: u64 },
-    Deliver { host: usize, fate: CallOutcome },
+    Deliver { host: usize, outcome: CallOutcome },
     RunDelayedWrite,
     Pause { host: usize },
     Resume { host: usize },
@@ -39,7 +41,7 @@
 #[derive(Debug, Clone)]
 struct Oracle;
 
-fn fate() -> impl Strategy<Value = CallOutcome> {
+fn outcome() -> impl Strategy<Value = CallOutcome> {
     prop_oneof![
         6 => Just(CallOutcome::Answered),
         2 => Just(CallOutcome::AnswerLost),
@@ -64,10 +66,10 @@
         1 => (0..40_000_u64).prop_map(Some),
     ];
     let network = (0..4_900_u64, answer_ms, prop::bool::weighted(0.8));
-    network.prop_map(|(order_ms, answer_ms, is_reached)| Network {
+    network.prop_map(|(order_ms, answer_ms, is_reachable)| Network {
         order_ms,
         answer_ms,
-        is_reached,
+        is_reachable,
     })
 }
 
@@ -84,7 +86,8 @@
         prop_oneof![
             4 => prop_oneof![Just(100_u64), Just(1_000), Just(3_000), Just(9_000), Just(12_000)]
                 .prop_map(|by_ms| Step::Advance { by_ms }),
-            8 => (host.clone(), fate()).prop_map(|(host, fate)| Step::Deliver { host, fate }),
+            8 => (host.clone(), outcome())
+                .prop_map(|(host, outcome)| Step::Deliver { host, outcome }),
             1 => Just(Step::RunDelayedWrite),
             1 => host.clone().prop_map(|host| Step::Pause { host }),
             2 => host.clone().prop_map(|host| Step::Resume { host }),
@@ -115,7 +118,7 @@
     fn apply(mut fleet: CoordinatorFleet, (): &(), step: Step) -> CoordinatorFleet {
         match step {
             Step::Advance { by_ms } => fleet.advance(by_ms),
-            Step::Deliver { host, fate } => fleet.deliver(host, fate),
+            Step::Deliver { host, outcome } => fleet.deliver(host, outcome),
             Step::RunDelayedWrite => fleet.store.run_delayed_write(),
             Step::Pause { host } => fleet.hosts[host].paused = true,
             Step::Resume { host } => fleet.resume(host),
@@ -128,7 +131,7 @@
         fleet
     }
 
-    // Once all works again, every order ends and is in effect.
+    // When everything works again, every order ends and is in effect.
     fn teardown(mut fleet: CoordinatorFleet, (): ()) {
         fleet.network = WORKING_NETWORK;
         for host in 0..HOSTS {
--- a/crates/coordination/tests/lease.rs
+++ b/crates/coordination/tests/lease.rs
@@ -1,4 +1,4 @@
-//! Failures that the lease is there for.
+//! Failures that the lease must withstand.
 
 mod common;
 
@@ -9,7 +9,7 @@
 use sedgeridge_coordination::lease_events::LeaseEvent;
 use sedgeridge_state::lease_record::FencingNumber;
 
-fn held_by_first() -> LeaseFleet {
+fn fleet_held_by_first_host() -> LeaseFleet {
     let mut fleet = LeaseFleet::new(2);
     fleet.event(0, LeaseEvent::Tick);
     fleet.deliver(0, CallOutcome::Answered);
@@ -19,11 +19,11 @@
 }
 
 // The holder is paused past its term and another host takes the lease over.
-// When the paused process goes on, its next step is an order, before any timer has run.
-// Its own clock tells that the term is over, so the order is not sent.
+// The paused process resumes and sends an order before any of its timers has run.
+// Its clock shows that the term is over, so the order is not sent.
 #[test]
 fn a_holder_paused_past_its_term_gives_no_order() {
-    let mut fleet = held_by_first();
+    let mut fleet = fleet_held_by_first_host();
     fleet.run(1_000);
     fleet.hosts[0].paused = true;
     fleet.run(15_000);
@@ -36,11 +36,11 @@
 }
 
 // A renewal takes effect and its answer is lost. The holder reads back, finds its own record and
-// stays the holder, but only for a term from when it sent the renewal.
-// Counted from the answer, its term would outlast what a candidate waits.
+// remains the holder, but only for a term counted from the sending of the renewal.
+// A term counted from the answer would end after a candidate may take over.
 #[test]
 fn a_lost_renewal_answer_extends_the_term_from_its_sending() {
-    let mut fleet = held_by_first();
+    let mut fleet = fleet_held_by_first_host();
     let first = fleet.held(0).map(|h| h.deadline);
     fleet.advance(3_000);
     let sent_at = fleet.now;
@@ -53,11 +53,11 @@
     fleet.check();
 }
 
-// The store is down for longer than a term. The holder stops at its deadline although no timer of
-// the store's client told it so; when the store is back a holder is found, with a higher number.
+// The store is down for longer than a term. The holder stops at its deadline, by its own
+// clock; when the store is back, a host acquires the lease with a higher fencing number.
 #[test]
 fn an_outage_longer_than_the_term_ends_the_lease() {
-    let mut fleet = held_by_first();
+    let mut fleet = fleet_held_by_first_host();
     for _ in 0..150 {
         fleet.advance(100);
         for host in 0..2 {
@@ -71,11 +71,11 @@
     assert_eq!(fleet.epochs.len(), 2);
 }
 
-// A planned stop gives the lease back, so the next host need not wait a term.
-// It still waits the longest order delay before it orders engines that ignore fencing numbers.
+// A planned stop releases the lease, so the next host doesn't wait for a term.
+// It still waits for the longest order delay before it orders engines that ignore fencing numbers.
 #[test]
 fn a_planned_stop_hands_over_without_waiting_a_term() {
-    let mut fleet = held_by_first();
+    let mut fleet = fleet_held_by_first_host();
     fleet.run(2_000);
     assert!(!fleet.order_unfenced(0));
     fleet.run(4_000);
@@ -89,9 +89,10 @@
     assert!(fleet.order_unfenced(1));
 }
 
-// The acquisition gets no answer and the read-back finds no row; the host writes it again.
-// Meanwhile the first write takes effect, so the second conflicts with a row of the same record.
-// That settles the acquisition; taken for another holder's row, the lease would idle for a term.
+// The acquisition gets no answer and the read-back finds no row, so the host writes it again.
+// Meanwhile the first write takes effect, and the second conflicts with a row of the same record.
+// That confirms the acquisition; if it counted as another holder's row, nobody would hold the lease
+// for a term.
 #[test]
 fn an_acquisition_that_lands_late_is_settled() {
     let mut fleet = LeaseFleet::new(2);
@@ -106,12 +107,12 @@
     assert_eq!(fleet.holders(), [0]);
 }
 
-// A renewal is sent twice; neither is answered, and only the first took effect.
-// The read-back finds the record of both. The term counts from the first sending: a candidate that
-// saw the row since then would take over before a term counted from the second has ended.
+// A renewal is sent twice; neither is answered, and only the first took effect. The read-back finds
+// the record that both wrote. The term counts from the first sending: a candidate that has seen the
+// row since then would take over before a term counted from the second sending has ended.
 #[test]
 fn a_renewal_sent_twice_counts_from_the_first_sending() {
-    let mut fleet = held_by_first();
+    let mut fleet = fleet_held_by_first_host();
     fleet.advance(3_000);
     let first_sent_at = fleet.now;
     fleet.deliver(0, CallOutcome::Delayed);
@@ -126,8 +127,8 @@
     fleet.check();
 }
 
-// An acquisition is answered after its whole term has passed. Announced as held, it would start
-// work that has to be broken off in the same step; the host waits like any candidate.
+// An acquisition is answered after its whole term has passed. If it were reported as held, work
+// would start that must be cancelled in the same step; so the host waits like any candidate.
 #[test]
 fn an_acquisition_answered_after_its_term_is_not_announced() {
     let mut fleet = LeaseFleet::new(1);
--- a/crates/coordination/tests/lease_fuzz.rs
+++ b/crates/coordination/tests/lease_fuzz.rs
@@ -1,4 +1,5 @@
-//! Three hosts with unequal clocks compete for the lease; any may be paused or killed at any step.
+//! Three hosts with clocks of different rates compete for the lease. Any of them may be paused or
+//! killed at any step.
 
 mod common;
 
@@ -17,7 +18,7 @@
 #[derive(Debug, Clone)]
 enum Step {
     Advance { by_ms: u64 },
-    Deliver { host: usize, fate: CallOutcome },
+    Deliver { host: usize, outcome: CallOutcome },
     RunDelayedWrite,
     Pause { host: usize },
     Resume { host: usize },
@@ -30,7 +31,7 @@
 #[derive(Debug, Clone)]
 struct Oracle;
 
-fn fate() -> impl Strategy<Value = CallOutcome> {
+fn outcome() -> impl Strategy<Value = CallOutcome> {
     prop_oneof![
         5 => Just(CallOutcome::Answered),
         2 => Just(CallOutcome::AnswerLost),
@@ -54,7 +55,8 @@
         prop_oneof![
             6 => prop_oneof![Just(100_u64), Just(1_000), Just(3_000), Just(9_000), Just(12_000)]
                 .prop_map(|by_ms| Step::Advance { by_ms }),
-            8 => (host.clone(), fate()).prop_map(|(host, fate)| Step::Deliver { host, fate }),
+            8 => (host.clone(), outcome())
+                .prop_map(|(host, outcome)| Step::Deliver { host, outcome }),
             2 => Just(Step::RunDelayedWrite),
             1 => host.clone().prop_map(|host| Step::Pause { host }),
             2 => host.clone().prop_map(|host| Step::Resume { host }),
@@ -83,7 +85,7 @@
     fn apply(mut fleet: LeaseFleet, (): &(), step: Step) -> LeaseFleet {
         match step {
             Step::Advance { by_ms } => fleet.advance(by_ms),
-            Step::Deliver { host, fate } => fleet.deliver(host, fate),
+            Step::Deliver { host, outcome } => fleet.deliver(host, outcome),
             Step::RunDelayedWrite => fleet.store.run_delayed_write(),
             Step::Pause { host } => fleet.hosts[host].paused = true,
             Step::Resume { host } => fleet.hosts[host].paused = false,
@@ -103,7 +105,7 @@
         fleet.check();
     }
 
-    // Once the store works and all hosts run, one of them holds the lease.
+    // When the store works and all hosts run, exactly one of them holds the lease.
     fn teardown(mut fleet: LeaseFleet, (): ()) {
         for host in 0..HOSTS {
             fleet.restart(host);
