--- a/crates/coordination/src/claim_events.rs
+++ b/crates/coordination/src/claim_events.rs
@@ -39,8 +39,8 @@
     pub max_entries: usize,
     /// Time for which a row is kept.
     pub retention_ms: u64,
-    /// Least time that a caller is asked to wait before it repeats a refused request.
-    pub in_progress_retry_ms: u64,
+    /// Minimum time that a caller is asked to wait before it repeats a refused request.
+    pub min_retry_after_ms: u64,
 }
 
 impl Default for ClaimSettings {
@@ -57,7 +57,7 @@
             max_answer_bytes: 16 << 10,
             max_entries: 1_024,
             retention_ms: 24 * 60 * 60 * 1_000,
-            in_progress_retry_ms: 1_000,
+            min_retry_after_ms: 1_000,
         }
     }
 }
@@ -148,7 +148,7 @@
     GivenUp,
     /// The key was used with another body: this body was not run.
     KeyReused,
-    /// Another attempt with the key is under way: unknown until it ends.
+    /// Another attempt with the key is in progress: unknown until it ends.
     InProgress,
     /// An earlier attempt with the key may have run: unknown.
     EarlierOutcomeUnknown,
--- a/crates/coordination/src/claims.rs
+++ b/crates/coordination/src/claims.rs
@@ -280,7 +280,7 @@
     }
 
     fn retry_after(&mut self, now: Duration, reason: ClaimRefusal) -> Option<Duration> {
-        let min_wait = millis(self.settings.in_progress_retry_ms);
+        let min_wait = millis(self.settings.min_retry_after_ms);
         match reason {
             ClaimRefusal::StoreUnavailable => {
                 let pause = self.breaker.remaining_pause(now).max(min_wait);
--- a/crates/coordination/src/coordinator_events.rs
+++ b/crates/coordination/src/coordinator_events.rs
@@ -83,7 +83,7 @@
         endpoint: EndpointId,
         /// Number of the order that was asked about.
         number: u64,
-        /// Whether the order is in effect; none if the engine did not answer.
+        /// Whether the order is in effect; none if the engine did not report it.
         in_effect: Option<bool>,
     },
     /// An endpoint's load report was read, or could not be.
--- a/crates/coordination/src/lease_events.rs
+++ b/crates/coordination/src/lease_events.rs
@@ -14,7 +14,7 @@
     pub term_ms: u64,
     /// Time between two renewals.
     pub renew_interval_ms: u64,
-    /// Longest time between two reads of the lease by a candidate.
+    /// Time between two reads of the lease by a candidate.
     pub poll_interval_ms: u64,
     /// Time that a candidate waits in addition to the term, as clocks run at different rates.
     pub clock_drift_margin_ms: u64,
--- a/crates/coordination/src/order_events.rs
+++ b/crates/coordination/src/order_events.rs
@@ -15,7 +15,7 @@
 /// Timing of the orders.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OrderSettings {
-    /// Least time between two loads, set by the weight store's rate limit.
+    /// Minimum time between two loads, set by the weight store's rate limit.
     pub load_interval_ms: u64,
     /// Time after which an unanswered order is sent again.
     pub answer_timeout_ms: u64,
@@ -104,7 +104,7 @@
         endpoint: EndpointId,
         /// Number of the order that was asked about.
         number: u64,
-        /// Whether the order is in effect; none if the engine did not answer.
+        /// Whether the order is in effect; none if the engine did not report it.
         in_effect: Option<bool>,
     },
     /// A call to the table service ended.
--- a/crates/coordination/src/orders.rs
+++ b/crates/coordination/src/orders.rs
@@ -121,7 +121,7 @@
                 serving,
                 in_progress,
                 as_of,
-            } => self.pools.report(endpoint, serving, in_progress, as_of),
+            } => self.pools.set_report(endpoint, serving, in_progress, as_of),
             OrderEvent::DrainAnnounced { endpoint } => self.note_announcement(now, &endpoint),
             OrderEvent::EndpointUnknown { endpoint } => self.pools.forget_report(&endpoint),
             OrderEvent::Answered {
@@ -203,7 +203,7 @@
             version: last.map_or(0, |(_, version)| *version),
             stage: Stage::WritingIntent,
             write_at: Some(now),
-            sends: 0,
+            send_count: 0,
         };
         self.jobs.insert(endpoint, job);
     }
@@ -221,16 +221,16 @@
         if !matches!(job.stage, Stage::Sent { .. }) {
             return;
         }
-        let is_only_copy = job.sends == 1;
+        let is_only_copy = job.send_count == 1;
         let checks_fencing = self.pools.get(endpoint).is_some_and(|e| e.checks_fencing);
-        let at = now + millis(self.settings.max_order_delay_ms);
+        let read_at = now + millis(self.settings.max_order_delay_ms);
         match answer {
             EngineAnswer::Done if checks_fencing && is_only_copy => {
                 self.finish(now, endpoint, OrderState::Done);
             }
             // An older holder's order, or another copy of this one, may still be in transit. The
             // engine would obey it, which would undo the next order.
-            EngineAnswer::Done => self.set_stage(endpoint, Stage::AwaitingReadBack { at }),
+            EngineAnswer::Done => self.set_stage(endpoint, Stage::AwaitingReadBack { read_at }),
             EngineAnswer::Refused => self.finish(now, endpoint, OrderState::Refused),
             EngineAnswer::OldFencing => self.set_lease(now, None),
             EngineAnswer::Unknown => {}
@@ -317,7 +317,7 @@
             }
             Stage::AwaitingSend => self.send(now, endpoint, actions),
             Stage::Sent { repeat_at } if repeat_at <= now => self.send(now, endpoint, actions),
-            Stage::AwaitingReadBack { at } if at <= now => {
+            Stage::AwaitingReadBack { read_at } if read_at <= now => {
                 self.request_read_back(now, endpoint, actions);
             }
             Stage::Sent { .. } | Stage::AwaitingReadBack { .. } => {}
@@ -344,7 +344,7 @@
         // Half of the longest delay is for this process, half for the network.
         let latest_send_at = now + millis(self.settings.max_order_delay_ms / 2);
         job.stage = Stage::Sent { repeat_at };
-        job.sends += 1;
+        job.send_count += 1;
         actions.push(OrderAction::Send(SendOrder {
             endpoint: endpoint.clone(),
             number: job.record.number,
@@ -360,9 +360,9 @@
         endpoint: &EndpointId,
         actions: &mut Vec<OrderAction>,
     ) {
-        let at = now + millis(self.settings.answer_timeout_ms);
+        let read_at = now + millis(self.settings.answer_timeout_ms);
         if let Some(job) = self.jobs.get_mut(endpoint) {
-            job.stage = Stage::AwaitingReadBack { at };
+            job.stage = Stage::AwaitingReadBack { read_at };
             actions.push(OrderAction::ReadBack {
                 endpoint: endpoint.clone(),
                 number: job.record.number,
--- a/crates/coordination/src/orders/job.rs
+++ b/crates/coordination/src/orders/job.rs
@@ -28,7 +28,7 @@
     /// The arrival of any earlier order still in transit, after which the engine's state is read.
     AwaitingReadBack {
         /// When the state is read next.
-        at: Duration,
+        read_at: Duration,
     },
     /// The table to commit the final state.
     WritingEnd,
@@ -41,8 +41,8 @@
     /// Version the order's row must have for the next write.
     pub(super) version: u64,
     pub(super) stage: Stage,
-    /// When the next write may be tried, unless one is under way.
+    /// When the next write may be tried, unless one is in progress.
     pub(super) write_at: Option<Duration>,
     /// Number of times this process sent the order.
-    pub(super) sends: u32,
+    pub(super) send_count: u32,
 }
--- a/crates/coordination/src/orders/pools.rs
+++ b/crates/coordination/src/orders/pools.rs
@@ -37,7 +37,7 @@
         self.floors = floors.into_iter().map(|f| (f.pool, f.floor)).collect();
     }
 
-    pub(super) fn report(
+    pub(super) fn set_report(
         &mut self,
         endpoint: EndpointId,
         serving: bool,
@@ -71,7 +71,8 @@
         self.endpoints.get(endpoint)
     }
 
-    /// Marks the endpoint as drained if its pool can spare it, and returns whether it did.
+    /// Marks the endpoint as drained if its pool can spare it or it does not serve, and returns
+    /// whether it did.
     ///
     /// Only endpoints that reported to be serving and are not drained for another order count.
     /// Otherwise several orders, each of which sees the pool above its floor, would together take
--- a/crates/coordination/src/orders/settle.rs
+++ b/crates/coordination/src/orders/settle.rs
@@ -81,7 +81,7 @@
                     version: row.version,
                     stage: Stage::AwaitingFloor,
                     write_at: Some(now),
-                    sends: 0,
+                    send_count: 0,
                 };
                 self.jobs.insert(endpoint.clone(), job);
             }
--- a/crates/coordination/tests/claims.rs
+++ b/crates/coordination/tests/claims.rs
@@ -167,9 +167,8 @@
     assert_eq!(again.outcomes_of(&request), [unknown]);
 }
 
-// The claims of two callers share a transaction; one key is already taken, so the store rejects
-// both. The taken one is answered from the row that the store returns; the other is sent again at
-// once.
+// The claims of two callers share a transaction; one key is taken, so the store rejects both. The
+// taken one is answered from the row that the store returns; the other is sent again at once.
 #[test]
 fn a_taken_key_does_not_fail_the_claims_it_shares_a_transaction_with() {
     let mut fleet = fleet();
--- a/crates/coordination/tests/claims_fuzz.rs
+++ b/crates/coordination/tests/claims_fuzz.rs
@@ -30,7 +30,7 @@
 }
 
 #[derive(Debug, Clone)]
-struct Oracle;
+struct NoReferenceModel;
 
 fn outcome() -> impl Strategy<Value = CallOutcome> {
     prop_oneof![
@@ -43,7 +43,7 @@
     ]
 }
 
-impl ReferenceStateMachine for Oracle {
+impl ReferenceStateMachine for NoReferenceModel {
     type State = ();
     type Transition = Step;
 
@@ -73,11 +73,11 @@
     fn apply((): (), _: &Step) {}
 }
 
-struct Fleet;
+struct FleetTest;
 
-impl StateMachineTest for Fleet {
+impl StateMachineTest for FleetTest {
     type SystemUnderTest = ClaimFleet;
-    type Reference = Oracle;
+    type Reference = NoReferenceModel;
 
     fn init_test((): &()) -> ClaimFleet {
         ClaimFleet::new(ROUTERS, ClaimSettings::default())
@@ -159,5 +159,5 @@
     })]
 
     #[test]
-    fn claims_run_at_most_once(sequential 1..120 => Fleet);
+    fn claims_run_at_most_once(sequential 1..120 => FleetTest);
 }
--- a/crates/coordination/tests/coordinator.rs
+++ b/crates/coordination/tests/coordinator.rs
@@ -205,9 +205,8 @@
 }
 
 // An order ends and its pool's reports are no longer read. Hours later the other engine is gone and
-// an order for the first arrives. By the old report the other engine serves, and the order would
-// leave the pool without a serving engine. So the report is dropped, and the other engine counts
-// only when it reports again.
+// an order for the first arrives. If the old report counted the other engine as serving, the order
+// would leave the pool without a serving engine. It counts only when it reports again.
 #[test]
 fn a_report_of_hours_ago_does_not_count_for_the_floor() {
     let mut harness = Harness::new();
--- a/crates/coordination/tests/coordinator_fuzz.rs
+++ b/crates/coordination/tests/coordinator_fuzz.rs
@@ -39,7 +39,7 @@
 }
 
 #[derive(Debug, Clone)]
-struct Oracle;
+struct NoReferenceModel;
 
 fn outcome() -> impl Strategy<Value = CallOutcome> {
     prop_oneof![
@@ -73,7 +73,7 @@
     })
 }
 
-impl ReferenceStateMachine for Oracle {
+impl ReferenceStateMachine for NoReferenceModel {
     type State = ();
     type Transition = Step;
 
@@ -105,11 +105,11 @@
     fn apply((): (), _: &Step) {}
 }
 
-struct Fleet;
+struct FleetTest;
 
-impl StateMachineTest for Fleet {
+impl StateMachineTest for FleetTest {
     type SystemUnderTest = CoordinatorFleet;
-    type Reference = Oracle;
+    type Reference = NoReferenceModel;
 
     fn init_test((): &()) -> CoordinatorFleet {
         CoordinatorFleet::new(HOSTS)
@@ -151,5 +151,5 @@
     })]
 
     #[test]
-    fn engines_end_as_their_newest_orders_say(sequential 1..80 => Fleet);
+    fn engines_end_as_their_newest_orders_say(sequential 1..80 => FleetTest);
 }
--- a/crates/coordination/tests/lease.rs
+++ b/crates/coordination/tests/lease.rs
@@ -53,8 +53,8 @@
     fleet.check();
 }
 
-// The store is down for longer than a term. The holder stops at its deadline, by its own
-// clock; when the store is back, a host acquires the lease with a higher fencing number.
+// The store is down for longer than a term. The holder stops at its deadline, by its own clock;
+// when the store is back, a host acquires the lease with a higher fencing number.
 #[test]
 fn an_outage_longer_than_the_term_ends_the_lease() {
     let mut fleet = fleet_held_by_first_host();
--- a/crates/coordination/tests/lease_fuzz.rs
+++ b/crates/coordination/tests/lease_fuzz.rs
@@ -29,7 +29,7 @@
 }
 
 #[derive(Debug, Clone)]
-struct Oracle;
+struct NoReferenceModel;
 
 fn outcome() -> impl Strategy<Value = CallOutcome> {
     prop_oneof![
@@ -42,7 +42,7 @@
     ]
 }
 
-impl ReferenceStateMachine for Oracle {
+impl ReferenceStateMachine for NoReferenceModel {
     type State = ();
     type Transition = Step;
 
@@ -72,11 +72,11 @@
     fn apply((): (), _: &Step) {}
 }
 
-struct Fleet;
+struct FleetTest;
 
-impl StateMachineTest for Fleet {
+impl StateMachineTest for FleetTest {
     type SystemUnderTest = LeaseFleet;
-    type Reference = Oracle;
+    type Reference = NoReferenceModel;
 
     fn init_test((): &()) -> LeaseFleet {
         LeaseFleet::new(HOSTS)
@@ -125,5 +125,5 @@
     })]
 
     #[test]
-    fn one_host_holds_the_lease(sequential 1..120 => Fleet);
+    fn one_host_holds_the_lease(sequential 1..120 => FleetTest);
 }
--- a/crates/coordination/tests/orders.rs
+++ b/crates/coordination/tests/orders.rs
@@ -252,8 +252,8 @@
 }
 
 // An operator writes an order's row while a process holds the lease. The holder reads changed rows
-// each second and gives the order. If it only read all rows twice a minute, the operator would
-// wait.
+// each second and gives the order. If it only read all rows twice a minute, the order would be
+// late.
 #[test]
 fn an_order_that_an_operator_wrote_is_taken_up_within_seconds() {
     let mut harness = OrderHarness::new(true);
@@ -357,10 +357,9 @@
     assert_eq!(harness.ordered(), ["desk-1", "desk-2"]);
 }
 
-// An engine answers after the order has been sent again; the second copy is still in transit. If
-// the order ended at once, the copy could arrive after the operator's next order and undo it, as
-// its fencing number is the same. So the order stays open until the copy must have arrived and the
-// engine's state is read.
+// An engine answers after the order was sent again; the second copy is still in transit. With the
+// same fencing number it could arrive after the operator's next order and undo that. So the order
+// stays open until the copy must have arrived and the engine's state is read.
 #[test]
 fn an_order_that_was_sent_twice_is_read_back_before_it_ends() {
     let mut harness = OrderHarness::new(true);
@@ -377,9 +376,9 @@
     assert_eq!(harness.ended, [("desk-1".into(), OrderState::Done)]);
 }
 
-// Engines hang on orders and block every thread that sends, so an order waits in the call
-// queue. If it were sent half a minute later, it would arrive after the holder assumed its arrival,
-// and undo a later order. So it carries a time, well before that, after which it is not sent.
+// Engines hang on orders and block every thread that sends, so an order waits in the call queue. If
+// it were sent half a minute later, it would arrive after the holder assumed its arrival, and undo
+// a later order. So it carries a time, well before that, after which it is not sent.
 #[test]
 fn an_order_that_waits_in_the_ring_is_not_sent_late() {
     let mut harness = OrderHarness::new(true);
