--- a/crates/coordination/src/lease.rs
+++ b/crates/coordination/src/lease.rs
@@ -204,15 +204,15 @@
     }
 
     fn read_or_acquire(&mut self, now: Duration) -> StoreAction {
-        let wait = millis(self.settings.term_ms + self.settings.clock_drift_margin_ms);
+        let takeover_wait = millis(self.settings.term_ms + self.settings.clock_drift_margin_ms);
         let Some(observed) = self.observed.clone() else {
             return self.read_lease(now);
         };
-        let free = match &observed.record {
+        let is_free = match &observed.record {
             None => observed.version == ABSENT_VERSION,
-            Some(record) => record.released || observed.first_read_at + wait <= now,
+            Some(record) => record.released || observed.first_read_at + takeover_wait <= now,
         };
-        if !free {
+        if !is_free {
             return self.read_lease(now);
         }
         let record = LeaseRecord {
@@ -377,16 +377,16 @@
     }
 
     fn wait_as_candidate(&mut self, now: Duration) {
-        let wait = millis(self.settings.term_ms + self.settings.clock_drift_margin_ms);
-        let due = self
+        let takeover_wait = millis(self.settings.term_ms + self.settings.clock_drift_margin_ms);
+        let due_at = self
             .observed
             .as_ref()
             .map(|observed| match &observed.record {
                 None if observed.version == ABSENT_VERSION => now,
                 Some(record) if record.released => now,
-                _ => observed.first_read_at + wait,
+                _ => observed.first_read_at + takeover_wait,
             });
-        let poll = now + millis(self.settings.poll_interval_ms);
-        self.next_call_at = due.map_or(now, |due| due.clamp(now, poll));
+        let next_poll_at = now + millis(self.settings.poll_interval_ms);
+        self.next_call_at = due_at.map_or(now, |due_at| due_at.clamp(now, next_poll_at));
     }
 }
--- a/crates/coordination/tests/claims_fuzz.rs
+++ b/crates/coordination/tests/claims_fuzz.rs
@@ -120,7 +120,7 @@
             );
         }
         for key in 0..KEYS {
-            let free = fleet.ran.get(&key).is_none_or(Vec::is_empty);
+            let free = fleet.ran_by_key.get(&key).is_none_or(Vec::is_empty);
             if !free || restarted || fleet.unknown_outcome_keys.contains(&key) {
                 continue;
             }
--- a/crates/coordination/tests/claims_linearizable.rs
+++ b/crates/coordination/tests/claims_linearizable.rs
@@ -85,7 +85,7 @@
     actions: Vec<(u32, usize, Action<Operation>)>,
     processes: usize,
     /// Requests that were sent and not answered, with their processes.
-    open: Vec<(RequestId, usize)>,
+    open_requests: Vec<(RequestId, usize)>,
     /// Operations that may take effect at any later time.
     unfinished: Vec<(u32, usize, Operation)>,
 }
@@ -100,17 +100,17 @@
 
     fn sent(&mut self, key: u32, request: RequestId) {
         let process = self.call(key, Operation::Nothing);
-        self.open.push((request, process));
+        self.open_requests.push((request, process));
     }
 
     /// Records the answers that arrived since the last step.
     fn record_answers(&mut self, fleet: &ClaimFleet) {
-        let open = std::mem::take(&mut self.open);
+        let open = std::mem::take(&mut self.open_requests);
         for (request, process) in open {
             let sent = &fleet.sent[&request];
             let operation = match sent.outcomes.first() {
                 None => {
-                    self.open.push((request, process));
+                    self.open_requests.push((request, process));
                     continue;
                 }
                 Some(RequestOutcome::Dispatched) => Operation::Claimed(request),
@@ -132,7 +132,7 @@
             self.actions
                 .push((key, process, Action::Response(operation)));
         }
-        for (request, process) in std::mem::take(&mut self.open) {
+        for (request, process) in std::mem::take(&mut self.open_requests) {
             let key = fleet.sent[&request].key;
             self.actions
                 .push((key, process, Action::Response(Operation::Nothing)));
--- a/crates/coordination/tests/common/claim_fleet.rs
+++ b/crates/coordination/tests/common/claim_fleet.rs
@@ -49,7 +49,7 @@
 
 /// A request as its caller sent it.
 #[derive(Debug, Clone)]
-pub struct Sent {
+pub struct SentRequest {
     pub key: u32,
     pub body: u64,
     pub outcomes: Vec<RequestOutcome>,
@@ -61,9 +61,9 @@
     pub now: Duration,
     pub store: Store,
     pub routers: Vec<Router>,
-    pub sent: BTreeMap<RequestId, Sent>,
+    pub sent: BTreeMap<RequestId, SentRequest>,
     /// Requests that ran or may have run, by key.
-    pub ran: BTreeMap<u32, Vec<RequestId>>,
+    pub ran_by_key: BTreeMap<u32, Vec<RequestId>>,
     /// Keys with a request whose outcome is unknown.
     pub unknown_outcome_keys: BTreeSet<u32>,
     /// Whether a router was killed and restarted without memory.
@@ -79,7 +79,7 @@
             store: Store::default(),
             routers: Vec::new(),
             sent: BTreeMap::new(),
-            ran: BTreeMap::new(),
+            ran_by_key: BTreeMap::new(),
             unknown_outcome_keys: BTreeSet::new(),
             has_restarted: false,
             settings,
@@ -123,7 +123,7 @@
     pub fn claim(&mut self, router: usize, key: u32, body: u64) -> RequestId {
         self.next_id += 1;
         let request = RequestId::from(format!("request-{}", self.next_id).as_str());
-        let sent = Sent {
+        let sent = SentRequest {
             key,
             body,
             outcomes: Vec::new(),
@@ -166,7 +166,10 @@
     fn dispatch(&mut self, router: usize, request: RequestId) {
         self.record_outcome(&request, RequestOutcome::Dispatched);
         let key = self.sent[&request].key;
-        self.ran.entry(key).or_default().push(request.clone());
+        self.ran_by_key
+            .entry(key)
+            .or_default()
+            .push(request.clone());
         self.routers[router].running.push_back(request);
     }
 
@@ -192,7 +195,7 @@
         let outcome = match kind {
             0 => ClaimOutcome::Ran(answer_of(&request)),
             1 => {
-                let ran = self.ran.entry(key).or_default();
+                let ran = self.ran_by_key.entry(key).or_default();
                 ran.retain(|r| *r != request);
                 ClaimOutcome::NotRun
             }
@@ -244,7 +247,7 @@
 
     /// Checks the invariants.
     pub fn check(&self) {
-        for (key, ran) in &self.ran {
+        for (key, ran) in &self.ran_by_key {
             assert!(ran.len() <= 1, "key {key} ran more than once: {ran:?}");
         }
         for (request, sent) in &self.sent {
@@ -259,8 +262,8 @@
         }
     }
 
-    fn check_replay(&self, sent: &Sent, answer: &RecordedAnswer) {
-        let ran = &self.ran[&sent.key][0];
+    fn check_replay(&self, sent: &SentRequest, answer: &RecordedAnswer) {
+        let ran = &self.ran_by_key[&sent.key][0];
         assert_eq!(
             *answer,
             answer_of(ran),
