--- a/crates/coordination/src/orders.rs
+++ b/crates/coordination/src/orders.rs
@@ -302,7 +302,7 @@
         };
         match job.stage {
             Stage::WritingIntent | Stage::WritingEnd => self.write_row(now, endpoint, actions),
-            Stage::AwaitingFloor if !job.record.order.interrupts() => {
+            Stage::AwaitingFloor if !job.record.order.requires_idle_engine() => {
                 self.set_stage(endpoint, Stage::AwaitingSend);
                 self.send(now, endpoint, actions);
             }
--- a/crates/coordination/src/orders/settle.rs
+++ b/crates/coordination/src/orders/settle.rs
@@ -66,7 +66,7 @@
             };
             let endpoint = record.endpoint.clone();
             // The previous holder may have announced this drain a moment ago.
-            if is_first_read && record.order.interrupts() {
+            if is_first_read && record.order.requires_idle_engine() {
                 self.pools.assume_honoured(&endpoint);
             }
             let is_old = latest
@@ -109,7 +109,7 @@
         }
         self.jobs.remove(endpoint);
         self.pools.end_drain(endpoint);
-        if record.order.interrupts() {
+        if record.order.requires_idle_engine() {
             actions.push(OrderAction::Undrain(endpoint.clone()));
         }
         actions.push(OrderAction::Ended {
--- a/crates/coordination/src/orders/view.rs
+++ b/crates/coordination/src/orders/view.rs
@@ -56,11 +56,11 @@
     /// assert!(Orders::new(OrderSettings::default()).watched_endpoints().is_empty());
     /// ```
     pub fn watched_endpoints(&self) -> BTreeSet<EndpointId> {
-        let interrupting = self
+        let draining_jobs = self
             .jobs
             .iter()
-            .filter(|(_, j)| j.record.order.interrupts());
-        interrupting
+            .filter(|(_, j)| j.record.order.requires_idle_engine());
+        draining_jobs
             .flat_map(|(endpoint, _)| self.pools.pool_of(endpoint))
             .cloned()
             .collect()
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,13 +1,12 @@
-//! Decisions of a fleet of routers whose configuration and endpoints come from a platform.
+//! Routing decisions of a fleet of hosts whose configuration and endpoints come from a platform.
 //!
-//! Nothing here has a socket, a thread or a clock: a part takes an event and the time, and returns
-//! actions. The time is a [`Duration`](std::time::Duration) since some fixed moment of the process.
+//! This crate does no I/O and starts no threads. Each component takes an event and the current time, and returns
+//! actions. The time is a [`Duration`](std::time::Duration) since a fixed moment in the life of the process.
 
 pub mod account_shares;
 pub mod arrival;
 pub mod cold_start;
 pub mod config;
-pub mod copy_load;
 pub mod departures;
 pub mod dispatcher;
 pub mod endpoint_load;
@@ -23,16 +22,17 @@
 pub mod peer_hosts;
 pub mod peer_report;
 pub mod peer_schedule;
+pub mod peer_versions;
 pub mod placement;
 pub mod prompt;
 pub mod relay;
 pub mod resend_window;
-pub mod return_time;
+pub mod retry_delay;
 pub mod route_table;
 pub mod row_watch;
 pub mod store_followers;
 pub mod store_outage;
-pub mod table_news;
-pub mod unseen_begins;
+pub mod table_copy_budget;
+pub mod unreported_starts;
 pub mod verdict;
 pub mod work_sums;
--- /dev/null
+++ b/crates/fleet/tests/peer_versions.rs
@@ -0,0 +1,41 @@
+//! Tests for when reports of other hosts lead to the fetch of a copy.
+
+use std::time::Duration;
+
+use sedgeridge_fleet::peer_versions::PeerVersions;
+
+fn at(millis: u64) -> Duration {
+    Duration::from_millis(millis)
+}
+
+/// A follower hears of a change from another host a moment before the store delivers it, and again
+/// much later. It must give the store the same time again. Otherwise it fetches a copy of each
+/// change and adopts the sender's doubts about lapsed rows.
+#[test]
+fn a_follower_gives_the_store_its_time_for_each_change() {
+    let mut versions = PeerVersions::default();
+    assert!(!versions.try_start_fetch(at(0), 7, 8, true));
+    assert!(!versions.try_start_fetch(at(10), 8, 8, true));
+    assert!(!versions.try_start_fetch(at(5_000), 8, 9, true));
+    assert!(versions.try_start_fetch(at(5_250), 8, 9, true));
+}
+
+/// Two hosts report the version of a table, and one of them is outdated itself. Its reports come
+/// between those of the other one and must not restart the wait.
+#[test]
+fn reports_of_a_host_that_is_behind_too_change_nothing() {
+    let mut versions = PeerVersions::default();
+    for now in (0..250).step_by(50) {
+        assert!(!versions.try_start_fetch(at(now), 7, 9, true));
+        assert!(!versions.try_start_fetch(at(now + 10), 7, 7, true));
+    }
+    assert!(versions.try_start_fetch(at(250), 7, 9, true));
+}
+
+/// The store refuses a host that follows it. Changes reach it only by copies, so it must not wait
+/// for the store.
+#[test]
+fn a_host_that_the_store_refuses_copies_at_once() {
+    let mut versions = PeerVersions::default();
+    assert!(versions.try_start_fetch(at(0), 7, 8, false));
+}
--- a/crates/gateway/src/request_body.rs
+++ b/crates/gateway/src/request_body.rs
@@ -1,4 +1,4 @@
-//! Reads the bodies of callers' requests, within the memory that the host has.
+//! Reads the bodies of callers' requests within the host's memory budget.
 
 use std::time::Duration;
 
@@ -11,24 +11,25 @@
 
 use crate::held_memory::HeldMemory;
 
-/// Longest time in which a body without room is read and forgotten. A connection that is closed with
-/// bytes unread is reset, and the caller loses the answer that says that nothing has run. Enough for 4 MB,
-/// the longest body where the configuration names none, at 11 Mbit/s.
-const FORGET_TIME: Duration = Duration::from_secs(3);
+/// Longest time for which a body is read and discarded that there is no memory for. A connection
+/// that is closed with unread bytes is reset, and the caller loses the response that says that
+/// nothing has run. Enough for 4 MB, the longest body where the configuration sets no limit, at 11
+/// Mbit/s.
+const DISCARD_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Room that a body gets at first, if it is not shorter: a usual prompt.
-const FIRST_BYTES: usize = 16 * 1024;
+/// Memory that a body gets at first, unless it is shorter: enough for a typical prompt.
+const INITIAL_CAPACITY_BYTES: usize = 16 * 1024;
 
 /// Why a body was not read.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum BodyError {
-    /// It did not come in time.
+    /// It did not arrive in time.
     #[error("body too slow")]
     TooSlow,
     /// It is longer than callers may send.
     #[error("body too long")]
     TooLong,
-    /// The caller broke off.
+    /// The connection ended before the body did.
     #[error("body cut off")]
     CutOff,
     /// The host has no memory for it.
@@ -36,9 +37,9 @@
     NoMemory,
 }
 
-/// Reads a body of at most `most_bytes` and counts it to `memory`.
+/// Reads a body of at most `max_bytes` and counts it in `memory`.
 ///
-/// Pieces are copied as they come, so that a connection's buffer is used again. To keep the pieces
+/// Chunks are copied as they arrive, so that a connection's buffer is reused. Keeping the chunks
 /// themselves would keep a buffer for each packet.
 ///
 /// # Errors
@@ -46,35 +47,35 @@
 /// It is too long, too slow or cut off, or there is no memory for it.
 pub async fn read(
     body: Incoming,
-    most_bytes: usize,
-    left: Duration,
+    max_bytes: usize,
+    time_left: Duration,
     memory: &mut HeldMemory,
 ) -> Result<Bytes, BodyError> {
-    let read = timeout(left, collect(body, most_bytes, memory)).await;
+    let read = timeout(time_left, collect(body, max_bytes, memory)).await;
     read.unwrap_or(Err(BodyError::TooSlow))
 }
 
 async fn collect(
     mut body: Incoming,
-    most_bytes: usize,
+    max_bytes: usize,
     memory: &mut HeldMemory,
 ) -> Result<Bytes, BodyError> {
     let stated = body.size_hint().exact();
     let stated = stated.map(|bytes| usize::try_from(bytes).unwrap_or(usize::MAX));
-    if stated.is_some_and(|stated| stated > most_bytes) {
+    if stated.is_some_and(|stated| stated > max_bytes) {
         return Err(BodyError::TooLong);
     }
     let mut bytes = Vec::new();
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|_| BodyError::CutOff)?;
         let data = frame.into_data().unwrap_or_default();
-        if bytes.len() + data.len() > most_bytes {
+        if bytes.len() + data.len() > max_bytes {
             return Err(BodyError::TooLong);
         }
-        if !make_room(&mut bytes, data.len(), stated, memory) {
+        if !reserve_room(&mut bytes, data.len(), stated, memory) {
             memory.give_back(bytes.capacity() as u64);
             drop(bytes);
-            forget(body).await;
+            discard(body).await;
             return Err(BodyError::NoMemory);
         }
         bytes.extend_from_slice(&data);
@@ -82,11 +83,12 @@
     Ok(Bytes::from(bytes))
 }
 
-/// Makes room for `more` bytes if there is memory; tells whether there is.
+/// Reserves room for `more` bytes. Returns whether there was enough memory.
 ///
-/// Memory is taken for what has come, twice as much each time, and not for the stated length: a few callers
-/// that state long bodies and send nothing would take all of it from everybody else.
-fn make_room(
+/// Memory is reserved for the bytes that have arrived, twice as much each time, and not for the
+/// stated length. Otherwise a few callers that state long bodies and send nothing would take all
+/// memory from everybody else.
+fn reserve_room(
     bytes: &mut Vec<u8>,
     more: usize,
     stated: Option<usize>,
@@ -96,8 +98,8 @@
     if needed <= bytes.capacity() {
         return true;
     }
-    let roomy = needed.max(bytes.capacity() * 2).max(FIRST_BYTES);
-    let room = roomy.min(stated.unwrap_or(usize::MAX)).max(needed);
+    let wanted = needed.max(bytes.capacity() * 2).max(INITIAL_CAPACITY_BYTES);
+    let room = wanted.min(stated.unwrap_or(usize::MAX)).max(needed);
     let has_memory = memory.grow((room - bytes.capacity()) as u64);
     if has_memory {
         bytes.reserve_exact(room - bytes.len());
@@ -105,9 +107,9 @@
     has_memory
 }
 
-/// Reads the rest of a body and keeps nothing of it.
-pub async fn forget(mut body: Incoming) {
+/// Reads and discards the rest of a body.
+pub async fn discard(mut body: Incoming) {
     let reading = async { while let Some(Ok(_)) = body.frame().await {} };
-    // The caller is answered all the same, and may not see it.
-    let _ = timeout(FORGET_TIME, reading).await;
+    // The caller is answered even after the timeout, but may not receive the response.
+    let _ = timeout(DISCARD_TIMEOUT, reading).await;
 }
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -10,13 +10,13 @@
 use tokio::task::spawn_local;
 
 use crate::caller_listener::accept_forever;
-use crate::caller_request::rotation_time;
+use crate::caller_request::out_of_rotation_time;
 use crate::clock::Clock;
 use crate::connection;
-use crate::core::Core;
 use crate::event_log::EventLog;
 use crate::event_log::LogEvent;
 use crate::event_log::millis;
+use crate::gateway::Gateway;
 use crate::pages::fold_samples_forever;
 use crate::pages::serve_metrics;
 use crate::pages::serve_ready;
@@ -24,40 +24,40 @@
 use crate::settings::GatewaySettings;
 use crate::store::Store;
 use crate::store::Table;
-use crate::table_follower::Tables;
-use crate::wire::Wire;
+use crate::table_follower::TableFollower;
+use crate::wire::WireFormat;
 
-/// Time between looks at the settings, which may change without a word.
+/// Time between reads of the settings, which may change without a signal.
 const SETTINGS_INTERVAL: Duration = Duration::from_secs(5);
-/// Part of the grace time after which the process ends whatever is in progress.
-const GRACE_PART: f64 = 0.94;
-/// Time between looks whether all requests have ended.
-const STOP_INTERVAL: Duration = Duration::from_millis(50);
+/// Fraction of the grace period after which the process ends, whatever is in progress.
+const USABLE_GRACE_FRACTION: f64 = 0.94;
+/// Time between checks whether all requests have ended.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What a router gets from its surroundings.
+/// Everything that a router needs from its environment.
 #[derive(Debug)]
 pub struct Context<W, C, S, R> {
-    /// Translates the platform's forms.
+    /// Translates the platform's headers and documents.
     pub wire: W,
     /// The process's clock.
     pub clock: C,
     /// The platform's store.
     pub store: S,
-    /// Reads the settings again.
+    /// Source from which changed settings are read.
     pub settings_source: R,
     /// The process's log.
     pub log: EventLog,
-    /// What renders the metrics page, if it is served.
+    /// Renders the metrics page; `None` if the page is not served.
     pub metrics: Option<PrometheusHandle>,
     /// Notified when the process is told to stop.
-    pub stop: Rc<Notify>,
+    pub stop_signal: Rc<Notify>,
     /// Notified when the process is told that its settings changed.
-    pub reload: Rc<Notify>,
+    pub reload_signal: Rc<Notify>,
     /// Number of this run of the host; a later run has a higher one.
-    pub run: u64,
+    pub run_number: u64,
 }
 
-/// Reads the settings from where they are kept.
+/// Source of the router's settings.
 pub trait SettingsSource: 'static {
     /// Reads the settings.
     ///
@@ -67,31 +67,31 @@
     fn read(&self) -> Result<GatewaySettings, String>;
 }
 
-/// Serves callers until the process is told to stop, then finishes what is in progress.
+/// Serves callers until the process is told to stop, then finishes the requests in progress.
 ///
 /// # Errors
 ///
 /// An address cannot be bound.
-pub async fn serve<W: Wire, C: Clock, S: Store, R: SettingsSource>(
+pub async fn serve<W: WireFormat, C: Clock, S: Store, R: SettingsSource>(
     context: Context<W, C, S, R>,
     settings: GatewaySettings,
 ) -> io::Result<()> {
-    let callers = connection::listen(settings.callers_address).await?;
-    let ready = connection::listen(settings.ready_address).await?;
-    let copies = connection::listen(settings.peers_address).await?;
-    let reports = Rc::new(UdpSocket::bind(settings.peers_address).await?);
+    let callers_listener = connection::listen(settings.callers_address).await?;
+    let ready_listener = connection::listen(settings.ready_address).await?;
+    let copies_listener = connection::listen(settings.peers_address).await?;
+    let reports_socket = Rc::new(UdpSocket::bind(settings.peers_address).await?);
     let metrics_address = settings.metrics_address;
     let store = Rc::new(context.store);
-    let core = Core::new(
+    let gateway = Gateway::new(
         context.wire,
         context.clock,
         context.log,
         settings,
-        context.run,
+        context.run_number,
     );
-    let core = Rc::new(core);
-    let tables = Rc::new(Tables::new(core.clone()));
-    let peers = Rc::new(Peers::new(core.clone(), tables.clone()));
+    let gateway = Rc::new(gateway);
+    let tables = Rc::new(TableFollower::new(gateway.clone()));
+    let peers = Rc::new(Peers::new(gateway.clone(), tables.clone()));
 
     for table in [Table::Config, Table::Endpoints] {
         let (tables, store) = (tables.clone(), store.clone());
@@ -99,85 +99,98 @@
     }
     let expiring = tables.clone();
     spawn_local(async move { expiring.expire_forever().await });
-    let ticking = core.clone();
+    let ticking = gateway.clone();
     spawn_local(async move { ticking.tick_forever().await });
     let (listing, listing_store) = (peers.clone(), store.clone());
-    spawn_local(async move { listing.list_forever(listing_store).await });
-    let (reporting, socket) = (peers.clone(), reports.clone());
-    spawn_local(async move { reporting.report_forever(socket).await });
-    spawn_local(peers.clone().hear_forever(reports));
-    spawn_local(peers.clone().serve_copies(copies));
-    spawn_local(serve_ready(core.clone(), ready));
-    spawn_local(accept_forever(core.clone(), callers));
+    spawn_local(async move { listing.list_hosts_forever(listing_store).await });
+    let (reporting, socket) = (peers.clone(), reports_socket.clone());
+    spawn_local(async move { reporting.send_reports_forever(socket).await });
+    spawn_local(peers.clone().receive_reports_forever(reports_socket));
+    spawn_local(peers.clone().serve_copies(copies_listener));
+    spawn_local(serve_ready(gateway.clone(), ready_listener));
+    spawn_local(accept_forever(gateway.clone(), callers_listener));
     if let Some(recorder) = context.metrics {
-        let metrics = connection::listen(metrics_address).await?;
+        let metrics_listener = connection::listen(metrics_address).await?;
         spawn_local(fold_samples_forever(recorder.clone()));
-        spawn_local(serve_metrics(core.clone(), recorder, metrics));
+        spawn_local(serve_metrics(gateway.clone(), recorder, metrics_listener));
     }
     let fields = [
-        ("callers", core.settings.callers_address.to_string().into()),
-        ("peers", core.settings.peers_address.to_string().into()),
-        ("data_centre", (*core.settings.data_centre).into()),
-        ("run", context.run.into()),
+        (
+            "callers",
+            gateway.settings.callers_address.to_string().into(),
+        ),
+        ("peers", gateway.settings.peers_address.to_string().into()),
+        ("data_centre", (*gateway.settings.data_centre).into()),
+        ("run", context.run_number.into()),
     ];
-    core.log(LogEvent::Started, &fields);
+    gateway.log(LogEvent::Started, &fields);
 
     loop {
         tokio::select! {
-            () = context.stop.notified() => break,
-            () = context.reload.notified() => {}
+            () = context.stop_signal.notified() => break,
+            () = context.reload_signal.notified() => {}
             () = tokio::time::sleep(SETTINGS_INTERVAL) => {}
         }
-        reload(&core, &context.settings_source);
+        reload_settings(&gateway, &context.settings_source);
     }
-    let fields = [("in_progress", core.in_progress.get().into())];
-    core.log(LogEvent::StopRequested, &fields);
-    stop(&core, &peers, store).await;
-    let fields = [("in_progress", core.in_progress.get().into())];
-    core.log(LogEvent::Stopped, &fields);
-    core.log.close();
+    let fields = [("in_progress", gateway.requests_in_progress.get().into())];
+    gateway.log(LogEvent::StopRequested, &fields);
+    drain(&gateway, &peers, store).await;
+    let fields = [("in_progress", gateway.requests_in_progress.get().into())];
+    gateway.log(LogEvent::Stopped, &fields);
+    gateway.log.close();
     Ok(())
 }
 
-/// Takes in changed bounds. Addresses and names hold to the end of the process.
-fn reload<W: Wire, C: Clock, R: SettingsSource>(core: &Core<W, C>, source: &R) {
+/// Applies the reloadable settings. Addresses and names stay as they are until the process ends.
+fn reload_settings<W: WireFormat, C: Clock, R: SettingsSource>(
+    gateway: &Gateway<W, C>,
+    source: &R,
+) {
     let settings = match source.read() {
         Ok(settings) => settings,
         Err(reason) => {
-            core.log(LogEvent::SettingsUnusable, &[("reason", reason.into())]);
+            gateway.log(LogEvent::SettingsUnusable, &[("reason", reason.into())]);
             return;
         }
     };
-    if !core.adopt_bounds(&settings) {
+    if !gateway.apply_reloaded_settings(&settings) {
         return;
     }
     let fields = [
-        ("grace_ms", millis(settings.grace)),
+        ("grace_ms", millis(settings.grace_period)),
         ("share_window_ms", millis(settings.share_window)),
-        ("recovery_ms", millis(settings.recovery)),
-        ("resend_ratio", settings.resends.ratio.into()),
-        ("resend_min_extra", settings.resends.min_extra.into()),
+        ("recovery_ms", millis(settings.recovery_time)),
+        ("resend_ratio", settings.resend_limits.ratio.into()),
+        ("resend_min_extra", settings.resend_limits.min_extra.into()),
     ];
-    core.log(LogEvent::SettingsAdopted, &fields);
+    gateway.log(LogEvent::SettingsAdopted, &fields);
 }
 
-async fn stop<W: Wire, C: Clock, S: Store>(
-    core: &Rc<Core<W, C>>,
+async fn drain<W: WireFormat, C: Clock, S: Store>(
+    gateway: &Rc<Gateway<W, C>>,
     peers: &Peers<W, C>,
     store: Rc<S>,
 ) {
-    let started_at = core.now();
-    core.stopping.send_replace(Some(started_at));
+    let started_at = gateway.now();
+    gateway.stop_requested_at.send_replace(Some(started_at));
     let entry = peers.entry();
     spawn_local(async move { store.unregister(&entry).await });
-    let ends_at = started_at + core.bounds.borrow().grace.mul_f64(GRACE_PART);
-    let rotated_at = started_at + rotation_time(core.bounds.borrow().grace);
+    let ends_at = started_at
+        + gateway
+            .reloadable
+            .borrow()
+            .grace_period
+            .mul_f64(USABLE_GRACE_FRACTION);
+    let out_of_rotation_at =
+        started_at + out_of_rotation_time(gateway.reloadable.borrow().grace_period);
     loop {
-        tokio::time::sleep(STOP_INTERVAL).await;
-        let now = core.now();
-        // Memory is held until an answer's last byte is written.
-        let is_delivered = core.in_progress.get() == 0 && core.memory.held_bytes() == 0;
-        let is_done = is_delivered && now >= rotated_at;
+        tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
+        let now = gateway.now();
+        // Memory is held until the last byte of a response is written.
+        let is_delivered =
+            gateway.requests_in_progress.get() == 0 && gateway.memory.held_bytes() == 0;
+        let is_done = is_delivered && now >= out_of_rotation_at;
         if is_done || now >= ends_at {
             return;
         }
--- a/crates/gateway/src/table_follower.rs
+++ b/crates/gateway/src/table_follower.rs
@@ -1,4 +1,4 @@
-//! Keeps the host's copies of the platform's tables up to date, and puts them in force.
+//! Keeps the host's copies of the platform's tables up to date, and applies their changes.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -10,75 +10,76 @@
 use sedgeridge_fleet::dispatcher::StoreRole;
 use sedgeridge_fleet::endpoint_table::Endpoint;
 use sedgeridge_fleet::hashing::stable_hash;
+use sedgeridge_fleet::peer_versions::PeerVersions;
 use sedgeridge_fleet::route_table::RouteTable;
 use sedgeridge_fleet::row_watch::Row;
 use sedgeridge_fleet::row_watch::RowWatch;
 use sedgeridge_fleet::row_watch::StoreAnswer;
 use sedgeridge_fleet::row_watch::TableCopy;
 use sedgeridge_fleet::row_watch::WatchStep;
-use sedgeridge_fleet::table_news::TableNews;
 use tokio::sync::Notify;
 
 use crate::clock::Clock;
-use crate::core::Core;
 use crate::event_log::LogEvent;
 use crate::event_log::millis;
+use crate::gateway::Gateway;
 use crate::meters;
 use crate::store::Store;
 use crate::store::Table;
-use crate::wire::Wire;
+use crate::wire::WireFormat;
 
-/// Time between looks for entries whose time is over.
-const EXPIRY_INTERVAL: Duration = Duration::from_millis(200);
-/// The same while the time of an entry is over that may not go yet.
+/// Longest time between checks for expired entries.
+const MAX_EXPIRY_INTERVAL: Duration = Duration::from_millis(200);
+/// Shortest time between these checks, used while an expired entry may not be dropped yet.
 const MIN_EXPIRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Time between looks whether a store that answered about no table answers about the configuration.
-/// The calls about that table find the store's return; a second series would cost as much again.
-const LOST_INTERVAL: Duration = Duration::from_millis(50);
+/// Time between checks whether the store answers about the configuration again, while it answers
+/// about neither table. The calls about the configuration find the store's return. A second series
+/// of calls, about the endpoints, would cost as much again.
+const STORE_LOST_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The host's copies of the tables.
+/// Follows the platform's tables in the store and holds the host's copies of them.
 #[derive(Debug)]
-pub struct Tables<W, C> {
-    core: Rc<Core<W, C>>,
+pub struct TableFollower<W, C> {
+    gateway: Rc<Gateway<W, C>>,
     config: RefCell<RowWatch>,
     endpoints: RefCell<RowWatch>,
-    config_news: RefCell<TableNews>,
-    endpoints_news: RefCell<TableNews>,
-    news: Notify,
+    config_news: RefCell<PeerVersions>,
+    endpoints_news: RefCell<PeerVersions>,
+    change_to_announce: Notify,
 }
 
-impl<W: Wire, C: Clock> Tables<W, C> {
-    /// Creates empty copies.
-    pub fn new(core: Rc<Core<W, C>>) -> Self {
-        let seed = stable_hash(&core.settings.host);
+impl<W: WireFormat, C: Clock> TableFollower<W, C> {
+    /// Creates a follower with empty copies.
+    pub fn new(gateway: Rc<Gateway<W, C>>) -> Self {
+        let seed = stable_hash(&gateway.settings.host);
         Self {
-            core,
+            gateway,
             config: RefCell::new(RowWatch::new(seed)),
             endpoints: RefCell::new(RowWatch::new(seed.rotate_left(1))),
             config_news: RefCell::default(),
             endpoints_news: RefCell::default(),
-            news: Notify::new(),
+            change_to_announce: Notify::new(),
         }
     }
 
     /// Follows a table in the store for as long as the process runs.
     pub async fn follow<S: Store>(&self, store: Rc<S>, table: Table) {
         loop {
-            let now = self.core.now();
+            let now = self.gateway.now();
             let role = self.role(now);
             match self.next_step(table, now, role) {
                 WatchStep::WaitUntil(at) => {
-                    let pause = at.saturating_sub(self.core.now());
+                    let pause = at.saturating_sub(self.gateway.now());
                     tokio::time::sleep(pause).await;
                 }
                 WatchStep::Call(call) => {
                     let answer = store.read(table, call).await;
-                    self.note_call(table, &answer);
+                    self.record_call(table, &answer);
                     let changed =
                         self.update(table, None, |watch, now| watch.on_answer(now, answer));
                     if !changed.is_empty() && role == StoreRole::FirstFollower {
-                        self.news.notify_one();
+                        self.change_to_announce.notify_one();
                     }
                     self.apply(table, changed);
                 }
@@ -89,62 +90,67 @@
     fn next_step(&self, table: Table, now: Duration, role: StoreRole) -> WatchStep {
         let mut watch = self.watch(table).borrow_mut();
         let lost_since = self
-            .core
+            .gateway
             .with_dispatcher(|dispatcher| dispatcher.store_lost_since());
         watch.set_following(role.is_following(), lost_since);
         watch.set_feed_pause(role.feed_pause());
-        if table == Table::Endpoints && watch.is_lost() && self.config.borrow().is_lost() {
-            return WatchStep::WaitUntil(now + LOST_INTERVAL);
+        if table == Table::Endpoints
+            && watch.is_store_lost()
+            && self.config.borrow().is_store_lost()
+        {
+            return WatchStep::WaitUntil(now + STORE_LOST_INTERVAL);
         }
         watch.step(now)
     }
 
-    /// Takes in that another host knows a version of a table, and tells whether to fetch its copy.
-    pub fn takes_copy(&self, table: Table, heard: u64) -> bool {
-        let now = self.core.now();
-        let known = self.changed_version(table);
-        let is_answered = self.role(now).is_following() && !self.watch(table).borrow().is_lost();
+    /// Records that another host knows version `reported_version` of a table. Returns whether to
+    /// fetch its copy.
+    pub fn should_fetch_copy(&self, table: Table, reported_version: u64) -> bool {
+        let now = self.gateway.now();
+        let known_version = self.changed_version(table);
+        let store_answers =
+            self.role(now).is_following() && !self.watch(table).borrow().is_store_lost();
         let mut news = self.news_of(table).borrow_mut();
-        news.takes_copy(now, known, heard, is_answered)
+        news.try_start_fetch(now, known_version, reported_version, store_answers)
     }
 
-    /// Notes that a fetch of another host's copy has ended.
+    /// Records that the fetch of another host's copy has ended.
     pub fn on_fetched(&self, table: Table) {
-        self.news_of(table).borrow_mut().on_fetched();
+        self.news_of(table).borrow_mut().on_fetch_ended();
     }
 
-    /// Returns the part that this host takes in following the store.
+    /// Returns this host's role in following the store.
     pub fn role(&self, now: Duration) -> StoreRole {
-        self.core
+        self.gateway
             .with_dispatcher(|dispatcher| dispatcher.store_role(now))
     }
 
-    /// Waits until a change is known that other hosts should hear of at once.
-    pub async fn news(&self) {
-        self.news.notified().await;
+    /// Waits for a change that is to be announced to other hosts at once.
+    pub async fn wait_for_change(&self) {
+        self.change_to_announce.notified().await;
     }
 
     /// Returns how long ago the store last answered a call.
     pub fn store_answered_ago(&self) -> Option<Duration> {
-        let answered_at = |table| self.watch(table).borrow().answered_at();
+        let answered_at = |table| self.watch(table).borrow().store_answered_at();
         let at = answered_at(Table::Config).into_iter();
         let at = at.chain(answered_at(Table::Endpoints)).max();
-        at.map(|at| self.core.now().saturating_sub(at))
+        at.map(|at| self.gateway.now().saturating_sub(at))
     }
 
     /// Returns for how long the store has not answered a call about one of the tables.
     pub fn store_lost_for(&self) -> Duration {
-        let lost_since = |table| self.watch(table).borrow().lost_since();
+        let lost_since = |table| self.watch(table).borrow().store_lost_since();
         let since = lost_since(Table::Config).into_iter();
         let since = since.chain(lost_since(Table::Endpoints)).min();
         since.map_or(Duration::ZERO, |since| {
-            self.core.now().saturating_sub(since)
+            self.gateway.now().saturating_sub(since)
         })
     }
 
-    /// Tells whether the store answered the last call about each table.
+    /// Returns whether the store answered the last call about each table.
     pub fn store_answers(&self) -> bool {
-        let is_lost = |table| self.watch(table).borrow().is_lost();
+        let is_lost = |table| self.watch(table).borrow().is_store_lost();
         !is_lost(Table::Config) && !is_lost(Table::Endpoints)
     }
 
@@ -153,7 +159,7 @@
         loop {
             tokio::time::sleep(self.time_to_expiry()).await;
             for table in [Table::Config, Table::Endpoints] {
-                let expired = self.update(table, None, RowWatch::expired);
+                let expired = self.update(table, None, RowWatch::take_expired);
                 self.apply(table, expired);
             }
         }
@@ -163,24 +169,24 @@
         let next_expiry = |table| self.watch(table).borrow().next_expiry();
         let next = [Table::Config, Table::Endpoints].into_iter();
         let next = next.filter_map(next_expiry).min();
-        let time = next.map(|at| at.saturating_sub(self.core.now()));
-        time.unwrap_or(EXPIRY_INTERVAL)
-            .clamp(MIN_EXPIRY_INTERVAL, EXPIRY_INTERVAL)
+        let time = next.map(|at| at.saturating_sub(self.gateway.now()));
+        time.unwrap_or(MAX_EXPIRY_INTERVAL)
+            .clamp(MIN_EXPIRY_INTERVAL, MAX_EXPIRY_INTERVAL)
     }
 
-    /// Returns the version of the newest change that is known.
+    /// Returns the version of the newest known change.
     pub fn changed_version(&self, table: Table) -> u64 {
         self.watch(table).borrow().changed_version()
     }
 
-    /// Makes a copy for a host that knows everything up to `after`.
+    /// Returns a copy for a host that knows everything up to `after`.
     pub fn copy(&self, table: Table, after: u64) -> TableCopy {
-        let now = self.core.now();
-        self.watch(table).borrow().copy(now, after)
+        let now = self.gateway.now();
+        self.watch(table).borrow().copy_after(now, after)
     }
 
-    /// Takes in the copy of the host at `from`.
-    pub fn take_copy(&self, table: Table, copy: TableCopy, from: SocketAddr) {
+    /// Applies the copy from the host at `from`.
+    pub fn apply_copy(&self, table: Table, copy: TableCopy, from: SocketAddr) {
         let fields = [
             ("table", table.as_str().into()),
             ("from", from.to_string().into()),
@@ -189,56 +195,57 @@
             ("rows", copy.rows.len().into()),
             ("missing", copy.lapsing.len().into()),
         ];
-        self.core.log(LogEvent::CopyTaken, &fields);
+        self.gateway.log(LogEvent::CopyTaken, &fields);
         let changed = self.update(table, Some(from), |watch, now| watch.on_copy(now, copy));
         self.apply(table, changed);
     }
 
-    /// Changes a copy, and logs if more missing entries stay in use after it. Returns what changed.
+    /// Applies `change` to this host's copy of a table, and logs if more missing entries stay in
+    /// use after it. Returns the changed rows.
     fn update(
         &self,
         table: Table,
         told_by: Option<SocketAddr>,
         change: impl FnOnce(&mut RowWatch, Duration) -> Vec<Row>,
     ) -> Vec<Row> {
-        let now = self.core.now();
+        let now = self.gateway.now();
         let mut watch = self.watch(table).borrow_mut();
         let outage = self
-            .core
+            .gateway
             .with_dispatcher(|dispatcher| dispatcher.store_outage());
         watch.set_outage(outage);
-        let before = watch.lapsing();
+        let before = watch.lapsing_count();
         let changed = change(&mut watch, now);
-        if watch.lapsing() > before {
+        if watch.lapsing_count() > before {
             let fields = [
                 ("table", table.as_str().into()),
-                ("missing", watch.lapsing().into()),
+                ("missing", watch.lapsing_count().into()),
                 ("version", watch.changed_version().into()),
                 ("told_by", told_by.map(|from| from.to_string()).into()),
             ];
-            self.core.log(LogEvent::EntriesMissing, &fields);
+            self.gateway.log(LogEvent::EntriesMissing, &fields);
         }
         changed
     }
 
-    /// Counts a call, and logs when the store falls silent or is back.
-    fn note_call(&self, table: Table, answer: &StoreAnswer) {
+    /// Counts a call, and logs when the store stops answering or answers again.
+    fn record_call(&self, table: Table, answer: &StoreAnswer) {
         let is_answered = *answer != StoreAnswer::Failed;
         let outcome = match is_answered {
             true => "answered",
             false => "failed",
         };
-        meters::store_call(table.as_str(), outcome);
-        let lost_since = self.watch(table).borrow().lost_since();
+        meters::count_store_call(table.as_str(), outcome);
+        let lost_since = self.watch(table).borrow().store_lost_since();
         match (is_answered, lost_since) {
             (false, None) => {
                 let fields = [("table", table.as_str().into())];
-                self.core.log(LogEvent::StoreLost, &fields);
+                self.gateway.log(LogEvent::StoreLost, &fields);
             }
             (true, Some(since)) => {
-                let away = self.core.now().saturating_sub(since);
+                let away = self.gateway.now().saturating_sub(since);
                 let fields = [("table", table.as_str().into()), ("away_ms", millis(away))];
-                self.core.log(LogEvent::StoreRegained, &fields);
+                self.gateway.log(LogEvent::StoreRegained, &fields);
             }
             _ => {}
         }
@@ -251,7 +258,7 @@
         }
     }
 
-    fn news_of(&self, table: Table) -> &RefCell<TableNews> {
+    fn news_of(&self, table: Table) -> &RefCell<PeerVersions> {
         match table {
             Table::Config => &self.config_news,
             Table::Endpoints => &self.endpoints_news,
@@ -261,7 +268,7 @@
     fn apply(&self, table: Table, changed: Vec<Row>) {
         for row in changed {
             match table {
-                Table::Config => match self.core.wire.evacuated(&row.key) {
+                Table::Config => match self.gateway.wire.evacuated_data_centre(&row.key) {
                     Some(data_centre) => self.apply_evacuation(&row, data_centre),
                     None => self.apply_config(&row),
                 },
@@ -271,41 +278,45 @@
     }
 
     fn apply_config(&self, row: &Row) {
-        // A configuration that was removed stays in force: callers are served by the last one.
+        // A removed configuration stays in force: callers are served by the last one.
         let Some(document) = &row.value else {
             return;
         };
-        let config = match self.core.wire.config(document) {
+        let config = match self.gateway.wire.parse_config(document) {
             Ok(config) => config,
             Err(error) => {
                 let fields = [
                     ("row_version", row.version.into()),
                     ("reason", error.to_string().into()),
                 ];
-                self.core.log(LogEvent::ConfigUnusable, &fields);
-                meters::unusable(Table::Config.as_str());
+                self.gateway.log(LogEvent::ConfigUnusable, &fields);
+                meters::count_unusable_row(Table::Config.as_str());
                 return;
             }
         };
-        let known = self.core.routes.borrow().version();
-        if known.is_some_and(|known| known >= config.version) {
+        let known_version = self.gateway.routes.borrow().version();
+        if known_version.is_some_and(|known_version| known_version >= config.version) {
             return;
         }
         let fields = [
             ("version", config.version.into()),
-            ("known_version", known.into()),
+            ("known_version", known_version.into()),
             ("routes", config.routes.len().into()),
         ];
-        self.core.log(LogEvent::ConfigAdopted, &fields);
+        self.gateway.log(LogEvent::ConfigAdopted, &fields);
         let table = Rc::new(RouteTable::new(&config));
-        *self.core.routes.borrow_mut() = table;
+        *self.gateway.routes.borrow_mut() = table;
         let max_header_bytes = config.limits.max_header_bytes;
-        self.core.max_header_bytes.set(max_header_bytes);
-        self.core.max_body_bytes.set(config.limits.max_body_bytes);
-        self.core.idle_timeout.set(config.limits.idle_timeout);
-        self.core.header_timeout.set(config.limits.header_timeout);
+        self.gateway.max_header_bytes.set(max_header_bytes);
+        self.gateway
+            .max_body_bytes
+            .set(config.limits.max_body_bytes);
+        self.gateway.idle_timeout.set(config.limits.idle_timeout);
+        self.gateway
+            .header_timeout
+            .set(config.limits.header_timeout);
         let config = Arc::new(config);
-        self.core.handle(DispatchEvent::Configured(config));
+        self.gateway.handle(DispatchEvent::Configured(config));
     }
 
     fn apply_evacuation(&self, row: &Row, data_centre: Arc<str>) {
@@ -320,8 +331,8 @@
                 DispatchEvent::EvacuationEnded(data_centre),
             ),
         };
-        self.core.log(log_event, &fields);
-        self.core.handle(event);
+        self.gateway.log(log_event, &fields);
+        self.gateway.handle(event);
     }
 
     fn apply_endpoint(&self, row: &Row) {
@@ -329,7 +340,7 @@
             self.remove_endpoint(&row.key);
             return;
         };
-        match self.core.wire.endpoint(&row.key, document) {
+        match self.gateway.wire.parse_endpoint(&row.key, document) {
             Ok(endpoint) => {
                 let fields = [
                     ("endpoint", (*row.key).into()),
@@ -338,18 +349,18 @@
                     ("cold_ms", millis(endpoint.cold_for)),
                     ("row_version", row.version.into()),
                 ];
-                self.core.log(LogEvent::EndpointListed, &fields);
-                self.core.handle(DispatchEvent::EndpointListed(endpoint));
+                self.gateway.log(LogEvent::EndpointListed, &fields);
+                self.gateway.handle(DispatchEvent::EndpointListed(endpoint));
             }
             Err(error) => {
                 let fields = [
                     ("endpoint", (*row.key).into()),
                     ("reason", error.to_string().into()),
                 ];
-                self.core.log(LogEvent::EndpointUnusable, &fields);
-                meters::unusable(Table::Endpoints.as_str());
-                // Whoever wrote it, the endpoint's own entry is overwritten: nothing says any more
-                // that it takes requests.
+                self.gateway.log(LogEvent::EndpointUnusable, &fields);
+                meters::count_unusable_row(Table::Endpoints.as_str());
+                // The endpoint's own entry is overwritten, by whichever writer. Nothing says any
+                // more that the endpoint takes requests.
                 self.remove_endpoint(&row.key);
             }
         }
@@ -357,13 +368,13 @@
 
     fn remove_endpoint(&self, id: &str) {
         let id = sedgeridge_state::ids::EndpointId::from(id);
-        let known: Option<Arc<Endpoint>> = self
-            .core
+        let known_endpoint: Option<Arc<Endpoint>> = self
+            .gateway
             .with_dispatcher(|dispatcher| dispatcher.endpoints().get(&id).cloned());
-        if let Some(endpoint) = known {
+        if let Some(endpoint) = known_endpoint {
             let fields = [("endpoint", endpoint.id.as_str().into())];
-            self.core.log(LogEvent::EndpointGone, &fields);
-            self.core.handle(DispatchEvent::EndpointGone(endpoint));
+            self.gateway.log(LogEvent::EndpointGone, &fields);
+            self.gateway.handle(DispatchEvent::EndpointGone(endpoint));
         }
     }
 }
--- a/crates/gateway/tests/table_copies.rs
+++ b/crates/gateway/tests/table_copies.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use sedgeridge_gateway::store::Table;
-use sedgeridge_gateway::table_copies::Fetched;
+use sedgeridge_gateway::table_copies::FetchResult;
 use sedgeridge_gateway::table_copies::fetch_copy;
 use serde::Serialize;
 use tokio::io::AsyncReadExt;
@@ -12,7 +12,7 @@
 use tokio::task::LocalSet;
 use tokio::task::spawn_local;
 
-/// A copy as hosts of the first version told it.
+/// A copy as sent by hosts of the first version.
 #[derive(Serialize)]
 struct EarliestCopy {
     version: u64,
@@ -27,7 +27,8 @@
     value: Option<serde_bytes::ByteBuf>,
 }
 
-/// A copy whose maker tells what may have lapsed, but not since when it was without the store.
+/// A copy as sent by hosts that report what may have lapsed, but not for how long they were without
+/// the store.
 #[derive(Serialize)]
 struct EarlierCopy {
     version: u64,
@@ -45,12 +46,12 @@
 
 fn encoded(copy: &impl Serialize) -> Vec<u8> {
     let mut bytes = Vec::new();
-    ciborium::into_writer(copy, &mut bytes).expect("a vector takes every byte");
+    ciborium::into_writer(copy, &mut bytes).expect("writing to a vector cannot fail");
     bytes
 }
 
-/// Answers one question, whatever it is.
-async fn answering(status: &'static str, body: Vec<u8>) -> SocketAddr {
+/// Answers one request with `status` and `body`.
+async fn serve_once(status: &'static str, body: Vec<u8>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
     spawn_local(async move {
@@ -68,18 +69,18 @@
     address
 }
 
-fn fetched(status: &'static str, body: Vec<u8>) -> Fetched {
+fn fetched(status: &'static str, body: Vec<u8>) -> FetchResult {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .expect("a runtime");
     LocalSet::new().block_on(&runtime, async move {
-        let from = answering(status, body).await;
+        let from = serve_once(status, body).await;
         fetch_copy(Table::Endpoints, 7, from).await
     })
 }
 
-/// Hosts are replaced in turn, and meanwhile both versions copy from each other.
+/// Hosts are upgraded one after the other, and meanwhile both versions copy from each other.
 #[test]
 fn copies_of_earlier_versions_are_read() {
     let earliest = EarliestCopy {
@@ -91,7 +92,7 @@
             value: None,
         }],
     };
-    let Fetched::Copy(copy) = fetched("200 OK", encoded(&earliest)) else {
+    let FetchResult::Copy(copy) = fetched("200 OK", encoded(&earliest)) else {
         panic!("a copy");
     };
     assert_eq!((copy.version, copy.rows.len()), (9, 1));
@@ -108,25 +109,25 @@
             remaining_ms: 500,
         }],
     };
-    let Fetched::Copy(copy) = fetched("200 OK", encoded(&earlier)) else {
+    let FetchResult::Copy(copy) = fetched("200 OK", encoded(&earlier)) else {
         panic!("a copy");
     };
-    assert!(copy.lapsing[0].lost_for.is_zero());
+    assert!(copy.lapsing[0].outage_age.is_zero());
 }
 
 #[test]
-fn a_host_that_gives_as_many_as_it_can_is_asked_again() {
+fn a_host_at_its_copy_limit_is_reported_as_busy() {
     let fetched = fetched("503 Service Unavailable", Vec::new());
-    assert!(matches!(fetched, Fetched::Busy));
+    assert!(matches!(fetched, FetchResult::Busy));
 }
 
 #[test]
-fn what_is_no_copy_is_not_taken() {
+fn invalid_copies_are_rejected() {
     for (status, body) in [
         ("200 OK", b"no copy".to_vec()),
         ("200 OK", Vec::new()),
         ("404 Not Found", Vec::new()),
     ] {
-        assert!(matches!(fetched(status, body), Fetched::Failed));
+        assert!(matches!(fetched(status, body), FetchResult::Failed));
     }
 }
