--- a/crates/coordination/examples/embed.rs
+++ b/crates/coordination/examples/embed.rs
@@ -79,7 +79,7 @@
         (4, "crew-08"),
     ] {
         callers.insert(RequestKey(key), account);
-        events.push(NodeEvent::Arrived {
+        events.push(NodeEvent::RequestArrived {
             arrival: arrival(key, account),
             claim: None,
         });
@@ -94,7 +94,7 @@
             node.handle(now, event, &mut actions);
         }
         for action in actions {
-            if let NodeAction::Start(start) = action {
+            if let NodeAction::StartAttempt(start) = action {
                 println!(
                     "{now:?}: {} runs on {}",
                     callers[&start.key], start.endpoint
--- a/crates/coordination/src/config_adoption.rs
+++ b/crates/coordination/src/config_adoption.rs
@@ -111,7 +111,7 @@
             .filter(|i| i.generation > after)
             .collect();
         let first = newer.first()?;
-        let is_whole = matches!(first.content, ConfigItemContent::Whole(_));
+        let is_whole = matches!(first.content, ConfigItemContent::Snapshot(_));
         let is_next = first.generation.0 == after.0 + 1;
         (is_whole || is_next).then(|| newer.into_iter().cloned().collect())
     }
@@ -138,7 +138,7 @@
     {
         self.join.start(now);
         match event {
-            ConfigEvent::Peers(peers) => self.take_peers(peers, actions),
+            ConfigEvent::PeersChanged(peers) => self.take_peers(peers, actions),
             ConfigEvent::PeerGeneration { peer, generation } => {
                 self.join.peer_answered(&peer);
                 self.peers
@@ -146,12 +146,12 @@
                     .and_modify(|g| *g = generation.max(*g));
                 self.hear(generation);
             }
-            ConfigEvent::Head { call, generation } => {
+            ConfigEvent::HeadRead { call, generation } => {
                 self.end_head_read(call);
                 self.hear(generation);
             }
             ConfigEvent::Fetched { call, items } => self.take_items(now, call, items, actions),
-            ConfigEvent::Failed { call } => {
+            ConfigEvent::CallFailed { call } => {
                 if self.poll.take_if(|(polled, _)| *polled == call).is_some() {
                     self.join.head_failed();
                 }
@@ -281,7 +281,7 @@
 
 fn follows<C>(item: &ConfigItem<C>, current: Option<Generation>) -> bool {
     match (&item.content, current) {
-        (ConfigItemContent::Whole(_), current) => current < Some(item.generation),
+        (ConfigItemContent::Snapshot(_), current) => current < Some(item.generation),
         (ConfigItemContent::Delta(_), Some(current)) => item.generation.0 == current.0 + 1,
         (ConfigItemContent::Delta(_), None) => false,
     }
--- a/crates/coordination/src/config_events.rs
+++ b/crates/coordination/src/config_events.rs
@@ -62,7 +62,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ConfigItemContent<C> {
     /// The whole configuration.
-    Whole(Arc<C>),
+    Snapshot(Arc<C>),
     /// What differs from the generation before.
     Delta(Arc<C>),
 }
@@ -71,7 +71,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ConfigEvent<C> {
     /// The other members believed alive changed.
-    Peers(Vec<Member>),
+    PeersChanged(Vec<Member>),
     /// A peer told the generation it has in force; none if it has none.
     PeerGeneration {
         /// The peer.
@@ -80,7 +80,7 @@
         generation: Option<Generation>,
     },
     /// The head was read; none if no configuration was accepted yet.
-    Head {
+    HeadRead {
         /// The call.
         call: CallId,
         /// Generation in the table, or an older one if the read was stale.
@@ -94,7 +94,7 @@
         items: Vec<ConfigItem<C>>,
     },
     /// A call got no usable answer.
-    Failed {
+    CallFailed {
         /// The call.
         call: CallId,
     },
--- a/crates/coordination/src/endpoint_health.rs
+++ b/crates/coordination/src/endpoint_health.rs
@@ -14,7 +14,7 @@
 use crate::breaker::AnswerCounts;
 use crate::breaker::FailureKind;
 use crate::node_view::EndpointCondition;
-use crate::node_view::ReportView;
+use crate::node_view::LoadReportView;
 use crate::pooled_endpoint::PooledEndpoint;
 use crate::slot_budget::Load;
 
@@ -274,10 +274,10 @@
     }
 
     /// Returns the last load report of an endpoint.
-    pub(crate) fn report(&self, now: Duration, id: &EndpointId) -> Option<ReportView> {
+    pub(crate) fn report(&self, now: Duration, id: &EndpointId) -> Option<LoadReportView> {
         let (figures_at, load) = self.endpoints.get(id)?.report?;
         let age = now.saturating_sub(figures_at);
-        Some(ReportView { load, age })
+        Some(LoadReportView { load, age })
     }
 
     /// Ends ejections that are over, and returns the endpoints whose usable slots changed since
--- a/crates/coordination/src/entry_pool.rs
+++ b/crates/coordination/src/entry_pool.rs
@@ -192,10 +192,10 @@
     pub(crate) fn account_views(&self) -> Vec<AccountView> {
         let mut views = BTreeMap::new();
         for lane in self.queue.lanes() {
-            self.view_of(&mut views, &lane.account).waiting += self.queue.lane_len(lane);
+            self.view_of(&mut views, &lane.account).waiting_requests += self.queue.lane_len(lane);
         }
         for holding in self.held.holdings() {
-            self.view_of(&mut views, &holding.account).running += 1;
+            self.view_of(&mut views, &holding.account).running_requests += 1;
         }
         for (account, served_tokens) in &self.served {
             self.view_of(&mut views, account).served_tokens = *served_tokens;
@@ -211,8 +211,8 @@
         views.entry(account.clone()).or_insert_with(|| AccountView {
             account: account.clone(),
             pool: self.id.clone(),
-            waiting: 0,
-            running: 0,
+            waiting_requests: 0,
+            running_requests: 0,
             served_tokens: 0,
         })
     }
--- a/crates/coordination/src/membership.rs
+++ b/crates/coordination/src/membership.rs
@@ -47,7 +47,7 @@
 pub use events::MembershipAction;
 pub use events::MembershipEvent;
 pub use messages::Body;
-pub use messages::DIGEST_PARTS;
+pub use messages::DIGEST_BUCKETS;
 pub use messages::Health;
 pub use messages::MemberRecord;
 pub use messages::Message;
@@ -160,7 +160,7 @@
         match event {
             MembershipEvent::Tick => self.tick(now, actions),
             MembershipEvent::MessageReceived(message) => self.receive(now, message, actions),
-            MembershipEvent::Configured(hosts) => self.admission.configure(hosts),
+            MembershipEvent::HostsConfigured(hosts) => self.admission.configure(hosts),
             MembershipEvent::HostList(hosts) => self.take_list(hosts),
             MembershipEvent::ConfigGeneration(generation) => self.raise_generation(generation),
             MembershipEvent::Announce(notice) => self.announce(now, &notice),
@@ -202,7 +202,7 @@
     ///
     /// let member = Member { host: HostId::from("entry-1"), incarnation: Incarnation(1) };
     /// let membership = Membership::new(member, MembershipSettings::default(), Vec::new(), 42);
-    /// assert_eq!(membership.rejections().of(Rejection::UnknownSender), 0);
+    /// assert_eq!(membership.rejections().count_of(Rejection::UnknownSender), 0);
     /// ```
     pub fn rejections(&self) -> &Rejections {
         &self.rejections
--- a/crates/coordination/src/membership/events.rs
+++ b/crates/coordination/src/membership/events.rs
@@ -15,7 +15,7 @@
     /// A message came in.
     MessageReceived(Message),
     /// The hosts named in the settings changed.
-    Configured(Vec<HostId>),
+    HostsConfigured(Vec<HostId>),
     /// The platform's list was read. It lags: who is on it is contacted, who is not stays a member
     /// as long as it answers.
     HostList(Vec<ListedHost>),
--- a/crates/coordination/src/membership/messages.rs
+++ b/crates/coordination/src/membership/messages.rs
@@ -108,14 +108,14 @@
 }
 
 /// Number of parts that a table is compared in.
-pub const DIGEST_PARTS: usize = 32;
+pub const DIGEST_BUCKETS: usize = 32;
 
 /// Summary of a member table in parts, by a hash of the host's name. Parts with equal hashes need
 /// no exchange.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TableDigest {
     /// Hashes of the live members' versions.
-    pub parts: Box<[u32; DIGEST_PARTS]>,
+    pub buckets: Box<[u32; DIGEST_BUCKETS]>,
     /// Hash of the notices held.
     pub notices: u32,
 }
--- a/crates/coordination/src/membership/rejections.rs
+++ b/crates/coordination/src/membership/rejections.rs
@@ -58,9 +58,9 @@
     /// ```
     /// use sedgeridge_coordination::membership::{Rejection, Rejections};
     ///
-    /// assert_eq!(Rejections::default().of(Rejection::UnknownSender), 0);
+    /// assert_eq!(Rejections::default().count_of(Rejection::UnknownSender), 0);
     /// ```
-    pub fn of(&self, reason: Rejection) -> u64 {
+    pub fn count_of(&self, reason: Rejection) -> u64 {
         self.counts.get(&reason).copied().unwrap_or(0)
     }
 
--- a/crates/coordination/src/membership/table_sync.rs
+++ b/crates/coordination/src/membership/table_sync.rs
@@ -6,7 +6,7 @@
 
 use super::dissemination::NoticeKey;
 use super::member_table::MemberTable;
-use super::messages::DIGEST_PARTS;
+use super::messages::DIGEST_BUCKETS;
 use super::messages::MemberRecord;
 use super::messages::TableDigest;
 use super::notice_board::NoticeBoard;
@@ -18,14 +18,14 @@
     table: &MemberTable,
     notices: &NoticeBoard,
 ) -> TableDigest {
-    let mut parts = Box::new([0_u32; DIGEST_PARTS]);
+    let mut buckets = Box::new([0_u32; DIGEST_BUCKETS]);
     for record in table.live().chain([own]) {
         // A sum does not depend on the order, in which the own record has no place.
-        let part = &mut parts[part_of(&record.member.host)];
-        *part = part.wrapping_add(record_hash(record));
+        let bucket = &mut buckets[bucket_of(&record.member.host)];
+        *bucket = bucket.wrapping_add(record_hash(record));
     }
     TableDigest {
-        parts,
+        buckets,
         notices: notices_hash(notices),
     }
 }
@@ -37,8 +37,8 @@
     theirs: &TableDigest,
 ) -> Vec<MemberRecord> {
     let differs = |record: &&MemberRecord| {
-        let part = part_of(&record.member.host);
-        ours.parts[part] != theirs.parts[part]
+        let bucket = bucket_of(&record.member.host);
+        ours.buckets[bucket] != theirs.buckets[bucket]
     };
     table.records().filter(differs).cloned().collect()
 }
@@ -54,10 +54,10 @@
     ours.into_iter().filter(is_newer).collect()
 }
 
-fn part_of(host: &HostId) -> usize {
+fn bucket_of(host: &HostId) -> usize {
     let mut hash = Fnv::default();
     hash.add(host.as_str().as_bytes());
-    hash.0 as usize % DIGEST_PARTS
+    hash.0 as usize % DIGEST_BUCKETS
 }
 
 fn record_hash(record: &MemberRecord) -> u32 {
--- a/crates/coordination/src/node.rs
+++ b/crates/coordination/src/node.rs
@@ -65,7 +65,7 @@
 /// let mut node = Node::new(member, Settings::default(), 42);
 /// let mut actions = Vec::new();
 /// node.handle(Duration::ZERO, NodeEvent::Tick, &mut actions);
-/// assert_eq!(node.load().members, 1);
+/// assert_eq!(node.load().live_members, 1);
 /// ```
 #[derive(Debug)]
 pub struct Node {
@@ -116,7 +116,7 @@
         let mut out = Outbox::default();
         let out = &mut out;
         match event {
-            NodeEvent::Arrived { arrival, claim } => {
+            NodeEvent::RequestArrived { arrival, claim } => {
                 self.arrived(now, arrival, claim, out);
             }
             NodeEvent::CallerGone { key } => {
@@ -142,24 +142,24 @@
                 self.entry.handle(now, event, &mut out.entry);
                 self.record_end(now, key, end, recorded, out);
             }
-            NodeEvent::StoreEnded(event) => {
+            NodeEvent::StoreCallEnded(event) => {
                 let mut steps = Vec::new();
                 self.claims.store_ended(now, event, &mut steps);
                 self.claim_steps(now, steps, out);
             }
-            NodeEvent::ConfigRead(event) => {
+            NodeEvent::ConfigReadEnded(event) => {
                 self.config_event(now, out, |config, steps| {
                     config.handle(now, event, steps);
                 });
             }
-            NodeEvent::Peer { from, message } => {
+            NodeEvent::PeerMessage { from, message } => {
                 self.peer(now, &from, message, out);
             }
-            NodeEvent::PeerReset { host } => {
+            NodeEvent::PeerMessagesLost { host } => {
                 let event = EntryEvent::HomeResync { host };
                 self.entry.handle(now, event, &mut out.entry);
             }
-            NodeEvent::Membership(message) => {
+            NodeEvent::MembershipMessage(message) => {
                 let event = MembershipEvent::MessageReceived(message);
                 self.membership_event(now, event, out);
             }
@@ -218,11 +218,11 @@
     /// Tells how much this router has in hand.
     pub fn load(&self) -> NodeLoad {
         NodeLoad {
-            waiting: self.entry.waiting(),
-            running: self.entry.running(),
-            homes: self.homes.len(),
-            members: self.live.len().max(1),
-            generation: self.generation(),
+            waiting_requests: self.entry.waiting(),
+            running_requests: self.entry.running(),
+            homed_pools: self.homes.len(),
+            live_members: self.live.len().max(1),
+            config_generation: self.generation(),
         }
     }
 
@@ -251,7 +251,7 @@
     }
 
     /// Tells whether every outcome of a request that may not be repeated is on record.
-    pub fn is_settled(&self) -> bool {
+    pub fn has_recorded_outcomes(&self) -> bool {
         self.claims.is_settled()
     }
 
--- a/crates/coordination/src/node/peers.rs
+++ b/crates/coordination/src/node/peers.rs
@@ -118,9 +118,9 @@
                     message: PeerMessage::Poison(notice.clone()),
                 }));
             }
-            EntryAction::Start(start) => out.actions.push(NodeAction::Start(start)),
+            EntryAction::Start(start) => out.actions.push(NodeAction::StartAttempt(start)),
             EntryAction::Retried { key, reason } => {
-                out.actions.push(NodeAction::Retried { key, reason });
+                out.actions.push(NodeAction::RequestRetried { key, reason });
             }
             EntryAction::GiveUp(give_up) => {
                 let outcome = match give_up.outcome {
--- a/crates/coordination/src/node/requests.rs
+++ b/crates/coordination/src/node/requests.rs
@@ -100,7 +100,7 @@
                     outcome,
                     retry_after,
                 })),
-                ClaimStep::Store(action) => out.actions.push(NodeAction::Store(action)),
+                ClaimStep::Store(action) => out.actions.push(NodeAction::CallStore(action)),
             }
         }
     }
--- a/crates/coordination/src/node/settings.rs
+++ b/crates/coordination/src/node/settings.rs
@@ -74,7 +74,7 @@
         );
         self.entry.configure(now, settings);
         let hosts = settings.hosts.iter().map(|host| host.id.clone()).collect();
-        let event = MembershipEvent::Configured(hosts);
+        let event = MembershipEvent::HostsConfigured(hosts);
         self.membership_event(now, event, out);
         let known = &settings.pools;
         self.homes
--- a/crates/coordination/src/node_config.rs
+++ b/crates/coordination/src/node_config.rs
@@ -143,7 +143,7 @@
         steps: &mut Vec<ConfigStep>,
     ) {
         self.peers.clone_from(&peers);
-        self.handle(now, ConfigEvent::Peers(peers), steps);
+        self.handle(now, ConfigEvent::PeersChanged(peers), steps);
     }
 
     /// Takes a generation that a peer was heard to have in force.
@@ -208,7 +208,7 @@
             let whole = ConfigContent::Snapshot(self.document.clone());
             vec![ConfigItem {
                 generation: current,
-                content: ConfigItemContent::Whole(Arc::new(whole)),
+                content: ConfigItemContent::Snapshot(Arc::new(whole)),
             }]
         })
     }
@@ -239,7 +239,7 @@
     fn adopt(&mut self, items: Vec<ConfigItem<ConfigContent>>) -> Option<ConfigStep> {
         let generation = items.last()?.generation;
         for item in items {
-            let (ConfigItemContent::Whole(content) | ConfigItemContent::Delta(content)) =
+            let (ConfigItemContent::Snapshot(content) | ConfigItemContent::Delta(content)) =
                 item.content;
             self.document = content.apply_to(std::mem::take(&mut self.document));
         }
--- a/crates/coordination/src/node_events.rs
+++ b/crates/coordination/src/node_events.rs
@@ -73,7 +73,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum NodeEvent {
     /// A caller sent a request.
-    Arrived {
+    RequestArrived {
         /// The request.
         arrival: Arrival,
         /// Its key, if it may not be repeated.
@@ -103,23 +103,23 @@
         recorded: Option<RecordedAnswer>,
     },
     /// A call of the table service ended.
-    StoreEnded(StoreEvent),
+    StoreCallEnded(StoreEvent),
     /// A read of the configuration ended.
-    ConfigRead(ConfigEvent<ConfigContent>),
+    ConfigReadEnded(ConfigEvent<ConfigContent>),
     /// A message from another router came on its link.
-    Peer {
+    PeerMessage {
         /// The sender.
         from: Member,
         /// The message.
         message: PeerMessage,
     },
     /// Messages to another router were lost.
-    PeerReset {
+    PeerMessagesLost {
         /// The other router.
         host: HostId,
     },
     /// A membership message came.
-    Membership(Message),
+    MembershipMessage(Message),
     /// The platform's list of hosts was read.
     HostList(Vec<ListedHost>),
     /// An endpoint's load report was read, or could not be.
@@ -146,7 +146,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum NodeAction {
     /// Run a request on an endpoint.
-    Start(StartAttempt),
+    StartAttempt(StartAttempt),
     /// Give a caller its final answer now.
     GiveUp(GiveUp),
     /// Give a caller the answer recorded for its key.
@@ -157,14 +157,14 @@
         answer: RecordedAnswer,
     },
     /// An attempt failed and the request waits for another one.
-    Retried {
+    RequestRetried {
         /// The request.
         key: RequestKey,
         /// Why.
         reason: RetryReason,
     },
     /// Call the table service.
-    Store(StoreAction),
+    CallStore(StoreAction),
     /// Read the configuration in the table service.
     ReadConfig(ConfigRead),
     /// These settings are in force now.
@@ -212,13 +212,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct NodeLoad {
     /// Requests that wait.
-    pub waiting: u32,
+    pub waiting_requests: u32,
     /// Requests that run.
-    pub running: usize,
+    pub running_requests: usize,
     /// Pools whose home this router is.
-    pub homes: usize,
+    pub homed_pools: usize,
     /// Live members of the fleet.
-    pub members: usize,
+    pub live_members: usize,
     /// Generation of the configuration in force; 0 for the files given at the start.
-    pub generation: u64,
+    pub config_generation: u64,
 }
--- a/crates/coordination/src/node_view.rs
+++ b/crates/coordination/src/node_view.rs
@@ -24,7 +24,7 @@
 
 /// A load report and the time since it came.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct ReportView {
+pub struct LoadReportView {
     /// The report.
     pub load: Load,
     /// Age of its figures.
@@ -43,7 +43,7 @@
     /// Requests that the fleet holds on it.
     pub occupied_slots: u32,
     /// Its last load report.
-    pub report: Option<ReportView>,
+    pub load_report: Option<LoadReportView>,
 }
 
 /// A client account's requests for one pool, as this router has them.
@@ -54,9 +54,9 @@
     /// The pool.
     pub pool: PoolId,
     /// Requests that wait here.
-    pub waiting: u32,
+    pub waiting_requests: u32,
     /// Requests that run from here.
-    pub running: u32,
+    pub running_requests: u32,
     /// Service given from here since the router started.
     pub served_tokens: u64,
 }
@@ -111,7 +111,7 @@
                 condition: self.health().condition(endpoint),
                 usable_slots: usage.map_or(0, |usage| usage.usable),
                 occupied_slots: usage.map_or(0, |usage| usage.occupied),
-                report: self.health().report(now, endpoint),
+                load_report: self.health().report(now, endpoint),
             }
         })
     }
--- a/crates/coordination/tests/common/config_fleet.rs
+++ b/crates/coordination/tests/common/config_fleet.rs
@@ -95,7 +95,7 @@
         for index in 0..self.routers.len() {
             let others = self.routers.iter().enumerate().filter(|(i, _)| *i != index);
             let peers = others.map(|(_, r)| r.member.clone()).collect();
-            self.event(index, ConfigEvent::Peers(peers));
+            self.event(index, ConfigEvent::PeersChanged(peers));
         }
     }
 
@@ -130,7 +130,7 @@
         let router = &mut self.routers[index];
         for item in items {
             match &item.content {
-                ConfigItemContent::Whole(whole) => router.document = whole.to_vec(),
+                ConfigItemContent::Snapshot(whole) => router.document = whole.to_vec(),
                 ConfigItemContent::Delta(delta) => router.document.extend(delta.iter()),
             }
         }
@@ -160,7 +160,7 @@
         match call {
             _ if is_silent => {}
             ConfigAction::ReadHead { call, .. } if fails => {
-                self.event(index, ConfigEvent::Failed { call });
+                self.event(index, ConfigEvent::CallFailed { call });
             }
             ConfigAction::ReadHead { call, is_exact } => {
                 self.head_reads += 1;
@@ -168,10 +168,10 @@
                 self.routers[index].read_exactly |= is_exact;
                 let length = self.accepted.len().saturating_sub(lags);
                 let generation = generation_of(length);
-                self.event(index, ConfigEvent::Head { call, generation });
+                self.event(index, ConfigEvent::HeadRead { call, generation });
             }
             ConfigAction::FetchFromStore { call, .. } if fails => {
-                self.event(index, ConfigEvent::Failed { call });
+                self.event(index, ConfigEvent::CallFailed { call });
             }
             ConfigAction::FetchFromStore { call, after, up_to } => {
                 self.change_reads += 1;
@@ -224,7 +224,7 @@
         fails: bool,
     ) {
         let Some(other) = self.reachable(index, peer).filter(|_| !fails) else {
-            self.event(index, ConfigEvent::Failed { call });
+            self.event(index, ConfigEvent::CallFailed { call });
             return;
         };
         let other = &self.routers[other];
@@ -308,7 +308,7 @@
 fn whole(document: &[u64]) -> ConfigItem<Document> {
     ConfigItem {
         generation: Generation(document.len() as u64),
-        content: ConfigItemContent::Whole(Arc::new(document.to_vec())),
+        content: ConfigItemContent::Snapshot(Arc::new(document.to_vec())),
     }
 }
 
--- a/crates/coordination/tests/config_adoption.rs
+++ b/crates/coordination/tests/config_adoption.rs
@@ -74,7 +74,7 @@
     serve(&mut fleet, 0, Fate::Stale(2));
     let old = ConfigItem {
         generation: Generation(1),
-        content: ConfigItemContent::Whole(Arc::new(fleet.accepted[..1].to_vec())),
+        content: ConfigItemContent::Snapshot(Arc::new(fleet.accepted[..1].to_vec())),
     };
     let items = vec![old];
     let call = CallId(u64::MAX);
--- a/crates/coordination/tests/coordinator.rs
+++ b/crates/coordination/tests/coordinator.rs
@@ -118,7 +118,7 @@
 
     fn read_config(&mut self, read: &ConfigRead) {
         let event = match (read, &self.accepted) {
-            (ConfigRead::Head { call, .. }, accepted) => ConfigEvent::Head {
+            (ConfigRead::Head { call, .. }, accepted) => ConfigEvent::HeadRead {
                 call: *call,
                 generation: accepted.as_ref().map(|_| Generation(1)),
             },
@@ -126,12 +126,12 @@
                 call: *call,
                 items: vec![ConfigItem {
                     generation: Generation(1),
-                    content: ConfigItemContent::Whole(Arc::new(ConfigContent::Snapshot(
+                    content: ConfigItemContent::Snapshot(Arc::new(ConfigContent::Snapshot(
                         document.clone(),
                     ))),
                 }],
             },
-            (ConfigRead::Changes { call, .. }, None) => ConfigEvent::Failed { call: *call },
+            (ConfigRead::Changes { call, .. }, None) => ConfigEvent::CallFailed { call: *call },
         };
         self.event(CoordinatorEvent::ConfigRead(event));
     }
--- a/crates/coordination/tests/membership_faults.rs
+++ b/crates/coordination/tests/membership_faults.rs
@@ -206,7 +206,7 @@
 fn a_member_that_answers_stays_though_the_list_lacks_it() {
     let mut network = Network::settled(9, Links::default(), 78);
     for node in 0..9 {
-        network.handle(node, MembershipEvent::Configured(Vec::new()));
+        network.handle(node, MembershipEvent::HostsConfigured(Vec::new()));
         network.handle(node, MembershipEvent::HostList(Vec::new()));
     }
     network.run(Duration::from_secs(60));
--- a/crates/coordination/tests/membership_network/encoding.rs
+++ b/crates/coordination/tests/membership_network/encoding.rs
@@ -4,7 +4,7 @@
 //! 3, 5 or 9 bytes by its value; a text its length and 1 or 2 bytes; a flag or variant 1 byte.
 
 use sedgeridge_coordination::membership::Body;
-use sedgeridge_coordination::membership::DIGEST_PARTS;
+use sedgeridge_coordination::membership::DIGEST_BUCKETS;
 use sedgeridge_coordination::membership::MemberRecord;
 use sedgeridge_coordination::membership::Message;
 use sedgeridge_coordination::membership::Notice;
@@ -14,7 +14,7 @@
 const FLAG: u64 = 1;
 
 /// The parts as one byte string, and the hash of the notices.
-const DIGEST: u64 = 1 + 2 * KEY + 2 + 4 * DIGEST_PARTS as u64 + 5;
+const DIGEST: u64 = 1 + 2 * KEY + 2 + 4 * DIGEST_BUCKETS as u64 + 5;
 
 /// Returns the estimated payload, without any transport's framing.
 pub fn estimated_bytes(message: &Message) -> u64 {
--- a/crates/coordination/tests/membership_rejections.rs
+++ b/crates/coordination/tests/membership_rejections.rs
@@ -158,7 +158,7 @@
     let mut actions = Vec::new();
     membership.handle(NOW, MembershipEvent::MessageReceived(message), &mut actions);
     assert_eq!(membership.rejections().iter().count(), 1);
-    assert!(membership.rejections().of(reason) > 0);
+    assert!(membership.rejections().count_of(reason) > 0);
     let told = |a: &MembershipAction| match a {
         MembershipAction::Send { message, .. } => matches!(message.body, Body::Outranked { .. }),
         _ => false,
--- a/crates/coordination/tests/node.rs
+++ b/crates/coordination/tests/node.rs
@@ -54,7 +54,7 @@
         self.node.handle(self.now, event, &mut actions);
         for action in actions {
             match action {
-                NodeAction::Start(start) => {
+                NodeAction::StartAttempt(start) => {
                     self.started.push(start.key);
                     self.due.insert((self.now + RUN, start.attempt.0), start);
                 }
@@ -81,7 +81,7 @@
             fingerprint: Fingerprint(key.into()),
             deadline: self.now + time_left,
         };
-        self.event(NodeEvent::Arrived {
+        self.event(NodeEvent::RequestArrived {
             arrival,
             claim: None,
         });
--- a/crates/protocol/src/membership.rs
+++ b/crates/protocol/src/membership.rs
@@ -6,7 +6,7 @@
 use serde::Serialize;
 
 use sedgeridge_coordination::membership::Body;
-use sedgeridge_coordination::membership::DIGEST_PARTS;
+use sedgeridge_coordination::membership::DIGEST_BUCKETS;
 use sedgeridge_coordination::membership::Health;
 use sedgeridge_coordination::membership::MemberRecord;
 use sedgeridge_coordination::membership::Message;
@@ -325,16 +325,16 @@
 
 fn wire_digest(digest: &TableDigest) -> WireDigest {
     WireDigest {
-        parts: digest.parts.to_vec(),
+        parts: digest.buckets.to_vec(),
         notices: digest.notices,
     }
 }
 
 fn read_digest(digest: &WireDigest) -> Result<TableDigest, PeerCodecError> {
-    let parts: Result<[u32; DIGEST_PARTS], _> = digest.parts.as_slice().try_into();
-    let parts = parts.map_err(|_| PeerCodecError::WrongDigest(digest.parts.len()))?;
+    let buckets: Result<[u32; DIGEST_BUCKETS], _> = digest.parts.as_slice().try_into();
+    let buckets = buckets.map_err(|_| PeerCodecError::WrongDigest(digest.parts.len()))?;
     Ok(TableDigest {
-        parts: Box::new(parts),
+        buckets: Box::new(buckets),
         notices: digest.notices,
     })
 }
--- a/crates/protocol/src/peer_config.rs
+++ b/crates/protocol/src/peer_config.rs
@@ -77,7 +77,7 @@
 }
 
 fn wire_item(item: &ConfigItem<ConfigContent>) -> WireItem {
-    let (ConfigItemContent::Whole(content) | ConfigItemContent::Delta(content)) = &item.content;
+    let (ConfigItemContent::Snapshot(content) | ConfigItemContent::Delta(content)) = &item.content;
     WireItem {
         generation: item.generation.0,
         content: content.as_ref().clone(),
@@ -105,7 +105,7 @@
     ConfigItem {
         generation: Generation(generation),
         content: if is_whole {
-            ConfigItemContent::Whole(content)
+            ConfigItemContent::Snapshot(content)
         } else {
             ConfigItemContent::Delta(content)
         },
--- a/crates/slopes/src/fleet/config.rs
+++ b/crates/slopes/src/fleet/config.rs
@@ -46,7 +46,7 @@
     fn answer(&mut self, read: &ConfigRead) -> ConfigEvent<ConfigContent> {
         self.reads += 1;
         match read {
-            ConfigRead::Head { call, .. } => ConfigEvent::Head {
+            ConfigRead::Head { call, .. } => ConfigEvent::HeadRead {
                 call: *call,
                 generation: (self.newest() > 0).then(|| Generation(self.newest())),
             },
--- a/crates/slopes/src/fleet/mod.rs
+++ b/crates/slopes/src/fleet/mod.rs
@@ -197,18 +197,22 @@
                 let decoding = begin.elapsed();
                 self.nodes[node].costs.received(work, bytes.len(), decoding);
                 let from = sender;
-                self.event(node, work, NodeEvent::Peer { from, message });
+                self.event(node, work, NodeEvent::PeerMessage { from, message });
             }
             Due::Datagram(bytes) => {
                 let begin = Instant::now();
                 let message = membership::decode(&bytes).expect("routers send what they read");
                 let costs = &mut self.nodes[node].costs;
                 costs.received(Work::Membership, bytes.len(), begin.elapsed());
-                self.event(node, Work::Membership, NodeEvent::Membership(message));
+                self.event(
+                    node,
+                    Work::Membership,
+                    NodeEvent::MembershipMessage(message),
+                );
             }
             Due::Reset(host) => {
                 self.lost_links.remove(&(node, self.index[&host]));
-                self.event(node, Work::Entry, NodeEvent::PeerReset { host });
+                self.event(node, Work::Entry, NodeEvent::PeerMessagesLost { host });
             }
             Due::Progress(attempt, charged_tokens) => {
                 let event = NodeEvent::Progress {
@@ -229,14 +233,18 @@
             }
             Due::LoadRead(endpoint) => self.load_read(node, endpoint),
             Due::ConfigRead(event) => {
-                self.event(node, Work::Configuration, NodeEvent::ConfigRead(*event));
+                self.event(
+                    node,
+                    Work::Configuration,
+                    NodeEvent::ConfigReadEnded(*event),
+                );
             }
         }
     }
 
     fn arrival(&mut self) {
         let (node, arrival) = self.callers.next(self.now);
-        let event = NodeEvent::Arrived {
+        let event = NodeEvent::RequestArrived {
             arrival,
             claim: None,
         };
@@ -291,7 +299,7 @@
 
     fn act(&mut self, node: usize, action: NodeAction) {
         match action {
-            NodeAction::Start(start) => self.start(node, &start),
+            NodeAction::StartAttempt(start) => self.start(node, &start),
             NodeAction::GiveUp(_) => self.callers.counts.refused += 1,
             NodeAction::Send { to, message } => self.send(node, to.host, &message),
             NodeAction::SendMembership { to, message } => {
--- a/crates/slopes/src/roles/config.rs
+++ b/crates/slopes/src/roles/config.rs
@@ -158,7 +158,7 @@
             for action in actions {
                 match action {
                     NodeAction::ReadConfig(read) => {
-                        events.push(NodeEvent::ConfigRead(answer(&read, change)));
+                        events.push(NodeEvent::ConfigReadEnded(answer(&read, change)));
                     }
                     NodeAction::SettingsChanged { .. } => adopted = true,
                     _ => {}
@@ -171,7 +171,7 @@
 
 fn answer(read: &ConfigRead, change: &ConfigItem<ConfigContent>) -> ConfigEvent<ConfigContent> {
     match read {
-        ConfigRead::Head { call, .. } => ConfigEvent::Head {
+        ConfigRead::Head { call, .. } => ConfigEvent::HeadRead {
             call: *call,
             generation: Some(change.generation),
         },
--- a/crates/slopes/src/roles/fleet.rs
+++ b/crates/slopes/src/roles/fleet.rs
@@ -193,9 +193,9 @@
             "home_load_cpu_us",
             self.micros(Work::LoadReports) / reads.max(1.0),
         );
-        let idle_nodes = self.count(|n| n.node.load().homes == 0);
-        let idle = self.timer_micros(|n| n.node.load().homes == 0) / idle_nodes.max(1.0);
-        let homes = self.timer_micros(|n| n.node.load().homes > 0);
+        let idle_nodes = self.count(|n| n.node.load().homed_pools == 0);
+        let idle = self.timer_micros(|n| n.node.load().homed_pools == 0) / idle_nodes.max(1.0);
+        let homes = self.timer_micros(|n| n.node.load().homed_pools > 0);
         sample.set("timer_cpu_ms", rate(idle / 1e3, 1.0));
         sample.set("home_timer_cpu_ms", rate(homes / 1e3, pools));
         sample.set("member_cpu_us", rate(self.micros(Work::Membership), nodes));
--- a/crates/transport/src/config_reads.rs
+++ b/crates/transport/src/config_reads.rs
@@ -80,16 +80,16 @@
 fn run(client: &TableClient, read: &ConfigRead) -> ConfigEvent<ConfigContent> {
     match read {
         ConfigRead::Head { call, is_exact } => match read_head(client, *call, *is_exact) {
-            Some(generation) => ConfigEvent::Head {
+            Some(generation) => ConfigEvent::HeadRead {
                 call: *call,
                 generation,
             },
-            None => ConfigEvent::Failed { call: *call },
+            None => ConfigEvent::CallFailed { call: *call },
         },
         ConfigRead::Changes { call, after, up_to } => {
             match read_changes(client, *call, *after, *up_to) {
                 Some(items) => ConfigEvent::Fetched { call: *call, items },
-                None => ConfigEvent::Failed { call: *call },
+                None => ConfigEvent::CallFailed { call: *call },
             }
         }
     }
--- a/crates/transport/src/core.rs
+++ b/crates/transport/src/core.rs
@@ -258,7 +258,7 @@
             return false;
         }
         let answered_at = *self.answered_at.get_or_insert(now);
-        self.node.is_settled() || now >= answered_at + MAX_RECORD_WAIT
+        self.node.has_recorded_outcomes() || now >= answered_at + MAX_RECORD_WAIT
     }
 
     fn input(&mut self, input: CoreInput) {
@@ -287,7 +287,7 @@
                     deadline: arrival.deadline,
                 };
                 self.pending.insert(arrival.key, pending);
-                self.event(NodeEvent::Arrived { arrival, claim });
+                self.event(NodeEvent::RequestArrived { arrival, claim });
             }
             CoreInput::CallerGone { key } => {
                 if !self.running.values().any(|running| *running == key) {
@@ -303,11 +303,13 @@
                 self.workers.idle(worker);
                 self.attempt_ended(attempt, ended);
             }
-            CoreInput::StoreEnded(event) => self.event(NodeEvent::StoreEnded(event)),
-            CoreInput::ConfigRead(event) => self.event(NodeEvent::ConfigRead(event)),
-            CoreInput::Peer { from, message } => self.event(NodeEvent::Peer { from, message }),
-            CoreInput::PeerReset { host } => self.event(NodeEvent::PeerReset { host }),
-            CoreInput::Membership(message) => self.event(NodeEvent::Membership(*message)),
+            CoreInput::StoreEnded(event) => self.event(NodeEvent::StoreCallEnded(event)),
+            CoreInput::ConfigRead(event) => self.event(NodeEvent::ConfigReadEnded(event)),
+            CoreInput::Peer { from, message } => {
+                self.event(NodeEvent::PeerMessage { from, message })
+            }
+            CoreInput::PeerReset { host } => self.event(NodeEvent::PeerMessagesLost { host }),
+            CoreInput::Membership(message) => self.event(NodeEvent::MembershipMessage(*message)),
             CoreInput::Progress {
                 attempt,
                 charged_tokens,
--- a/crates/transport/src/core/actions.rs
+++ b/crates/transport/src/core/actions.rs
@@ -33,7 +33,7 @@
 impl<C: Clock> Core<C> {
     pub(super) fn act(&mut self, action: NodeAction) {
         match action {
-            NodeAction::Start(start) => self.start(&start),
+            NodeAction::StartAttempt(start) => self.start(&start),
             NodeAction::GiveUp(give_up) => {
                 let given_up = GivenUp {
                     reason: give_up.reason,
@@ -44,14 +44,14 @@
                 self.give_up(give_up.key, given_up);
             }
             NodeAction::Replay { key, answer } => self.replay(key, &answer),
-            NodeAction::Retried { key, reason } => {
+            NodeAction::RequestRetried { key, reason } => {
                 counter!("sedgeridge_retries_total", "reason" => reason.as_str()).increment(1);
                 let fields = format_args!("request={} reason={}", key.0, reason.as_str());
                 log_info(LogEvent::RequestRetried, fields);
             }
-            NodeAction::Store(action) => {
+            NodeAction::CallStore(action) => {
                 if let Some(event) = self.table.call(action) {
-                    self.event(NodeEvent::StoreEnded(event));
+                    self.event(NodeEvent::StoreCallEnded(event));
                 }
             }
             NodeAction::ReadConfig(read) => self.config_reads.read(read),
@@ -166,7 +166,7 @@
         counter!("sedgeridge_peer_sent_total", "kind" => message.kind()).increment(1);
         let payload = PeerPayload::Stream(encode(message));
         if !self.send_out(to.host.clone(), payload) {
-            self.event(NodeEvent::PeerReset { host: to.host });
+            self.event(NodeEvent::PeerMessagesLost { host: to.host });
         }
     }
 
--- a/crates/transport/src/router_pages.rs
+++ b/crates/transport/src/router_pages.rs
@@ -73,16 +73,16 @@
         let status = &mut self.last.status;
         status.ready = phase.ready && !phase.stopping;
         status.stopping = phase.stopping;
-        status.waiting = load.waiting.into();
-        status.running = load.running as u64;
-        status.homes = load.homes as u64;
-        status.members = load.members as u64;
-        status.config_generation = load.generation;
+        status.waiting = load.waiting_requests.into();
+        status.running = load.running_requests as u64;
+        status.homes = load.homed_pools as u64;
+        status.members = load.live_members as u64;
+        status.config_generation = load.config_generation;
         self.board.publish(self.last.clone());
-        gauge!("sedgeridge_requests_waiting").set(f64::from(load.waiting));
-        gauge!("sedgeridge_requests_running").set(load.running as f64);
-        gauge!("sedgeridge_members_live").set(load.members as f64);
-        gauge!("sedgeridge_pools_homed").set(load.homes as f64);
+        gauge!("sedgeridge_requests_waiting").set(f64::from(load.waiting_requests));
+        gauge!("sedgeridge_requests_running").set(load.running_requests as f64);
+        gauge!("sedgeridge_members_live").set(load.live_members as f64);
+        gauge!("sedgeridge_pools_homed").set(load.homed_pools as f64);
         count_decisions(node);
     }
 
@@ -131,7 +131,7 @@
     home: &str,
     view: Option<&EndpointView>,
 ) -> EndpointRow {
-    let report = view.and_then(|view| view.report);
+    let report = view.and_then(|view| view.load_report);
     EndpointRow {
         endpoint: endpoint.id.to_string(),
         pool: endpoint.pool.to_string(),
@@ -168,8 +168,8 @@
         weight: weights.get(view.account.as_str()).copied().unwrap_or(0),
         account: view.account.to_string(),
         pool: view.pool.to_string(),
-        waiting: view.waiting.into(),
-        running: view.running.into(),
+        waiting: view.waiting_requests.into(),
+        running: view.running_requests.into(),
         service_tokens: view.served_tokens,
     };
     AccountsPage {
