--- a/crates/coordination/src/member_changes.rs
+++ b/crates/coordination/src/member_changes.rs
@@ -1,4 +1,4 @@
-//! How the home of a pool takes changes of membership.
+//! Applies membership changes to the home of a pool.
 
 use std::time::Duration;
 
@@ -39,15 +39,15 @@
     }
 
     pub(crate) fn add_router(&mut self, member: &Member) -> usize {
-        let host_site = self
+        let known_site = self
             .host_sites
             .iter()
             .find(|known| known.host == member.host);
-        let site = host_site.map(|known| self.slots.site(&known.site));
+        let site = known_site.map(|known| self.slots.site(&known.site));
         self.entries.add(member, site)
     }
 
-    /// Frees everything that a run holds: when it is gone its streams are cut.
+    /// Frees everything that a router run holds: once the run has ended, its streams are cut.
     pub(crate) fn remove_router(&mut self, router: usize) {
         let ids = self.entries.record(router).grant_ids(&self.member);
         for id in ids {
--- a/crates/coordination/src/membership.rs
+++ b/crates/coordination/src/membership.rs
@@ -1,20 +1,20 @@
-//! Which hosts of the fleet are live.
+//! Fleet membership: which hosts are live.
 //!
 //! Failure detection and dissemination follow SWIM (Das, Gupta, Motivala, 2002) with the local
 //! health of Lifeguard (Dadgar, Phillips, Currey, 2018): each host probes one other in each
-//! interval, directly and then through others; who leaves a probe unanswered is suspected and has
-//! time to refute; news ride on the probes and on a few extra messages. Now and then two hosts
-//! compare their whole tables, and hosts that are named but not live are contacted, so that the
-//! halves of a partition and restarted hosts find each other again.
+//! interval, directly and then through others. A host that leaves a probe unanswered is suspected
+//! and has time to refute. Updates are piggybacked on the probes and on a few extra gossip
+//! messages. Periodically two hosts compare their whole tables, and configured or listed hosts that
+//! are not live are contacted, so that the halves of a partition and restarted hosts rejoin.
 //!
-//! Safety never rests on membership: two hosts may believe different tables at any time.
+//! Safety never depends on membership: the tables of two hosts may differ at any time.
 
 mod admission;
 mod dissemination;
 mod events;
 mod member_table;
 mod messages;
-mod notice_board;
+mod notice_table;
 mod probe_schedule;
 mod prober;
 mod receive;
@@ -34,9 +34,9 @@
 use admission::Admission;
 use dissemination::Dissemination;
 use member_table::MemberTable;
-use member_table::Merge;
+use member_table::MergeOutcome;
 use member_table::Source;
-use notice_board::NoticeBoard;
+use notice_table::NoticeTable;
 use prober::Outgoing;
 use prober::Prober;
 
@@ -58,7 +58,7 @@
 pub use rejections::Rejection;
 pub use rejections::Rejections;
 
-/// The membership of one host.
+/// The membership state machine of one host.
 #[derive(Debug)]
 pub struct Membership {
     settings: MembershipSettings,
@@ -66,23 +66,23 @@
     admission: Admission,
     table: MemberTable,
     prober: Prober,
-    news: Dissemination,
-    notices: NoticeBoard,
+    dissemination: Dissemination,
+    notices: NoticeTable,
     rejections: Rejections,
     random: SeededRandom,
     config_generation: u64,
     published: Vec<LiveMember>,
-    may_have_changed: bool,
+    members_may_have_changed: bool,
     last_gossip_at: Option<Duration>,
     next_sync_at: Duration,
     next_rejoin_at: Duration,
-    next_table_at: Duration,
-    departed: bool,
+    next_table_send_at: Duration,
+    has_left: bool,
 }
 
 impl Membership {
     /// Creates the membership of `member`, whose incarnation is the wall-clock time of its start
-    /// in microseconds. `hosts` are those named in the settings.
+    /// in microseconds. `hosts` are the hosts in the settings.
     ///
     /// ```
     /// use std::time::Duration;
@@ -105,7 +105,7 @@
     ) -> Self {
         let mut random = SeededRandom::new(seed);
         let prober = Prober::new(&settings, &mut random);
-        let sync_phase_ms = random.index(settings.sync_interval_ms as usize) as u64;
+        let first_sync_ms = random.index(settings.sync_interval_ms as usize) as u64;
         let admission = Admission::new(member.host.clone(), hosts);
         Self {
             own: MemberRecord {
@@ -117,23 +117,23 @@
             admission,
             table: MemberTable::new(millis(settings.suspicion_ms)),
             prober,
-            news: Dissemination::default(),
-            notices: NoticeBoard::default(),
+            dissemination: Dissemination::default(),
+            notices: NoticeTable::default(),
             rejections: Rejections::default(),
             random,
             config_generation: 0,
             published: Vec::new(),
-            may_have_changed: true,
+            members_may_have_changed: true,
             last_gossip_at: None,
-            next_sync_at: millis(sync_phase_ms),
+            next_sync_at: millis(first_sync_ms),
             next_rejoin_at: Duration::ZERO,
-            next_table_at: Duration::ZERO,
-            departed: false,
+            next_table_send_at: Duration::ZERO,
+            has_left: false,
             settings,
         }
     }
 
-    /// Takes one event and appends what is to be done.
+    /// Handles one event and appends the resulting actions.
     ///
     /// ```
     /// use std::time::Duration;
@@ -153,25 +153,25 @@
         event: MembershipEvent,
         actions: &mut Vec<MembershipAction>,
     ) {
-        if self.departed {
+        if self.has_left {
             return;
         }
-        self.notice_pause(now);
+        self.detect_pause(now);
         match event {
             MembershipEvent::Tick => self.tick(now, actions),
             MembershipEvent::MessageReceived(message) => self.receive(now, message, actions),
-            MembershipEvent::HostsConfigured(hosts) => self.admission.configure(hosts),
-            MembershipEvent::HostList(hosts) => self.take_list(hosts),
+            MembershipEvent::HostsConfigured(hosts) => self.admission.set_configured(hosts),
+            MembershipEvent::HostList(hosts) => self.apply_host_list(hosts),
             MembershipEvent::ConfigGeneration(generation) => self.raise_generation(generation),
             MembershipEvent::Announce(notice) => self.announce(now, &notice),
             MembershipEvent::LeaveRequested => self.start_leaving(),
-            MembershipEvent::LeaveFinished => self.depart(now, actions),
+            MembershipEvent::LeaveFinished => self.finish_leaving(now, actions),
         }
-        self.publish(actions);
+        self.publish_members(actions);
     }
 
-    /// Returns when the next [`MembershipEvent::Tick`] is due. A tick that comes much later is
-    /// taken for a sign that this process was paused.
+    /// Returns when the next [`MembershipEvent::Tick`] is due. An event that comes much later shows
+    /// that this process was paused.
     ///
     /// ```
     /// use std::time::Duration;
@@ -184,7 +184,10 @@
     /// assert_eq!(membership.next_wake(), Duration::ZERO);
     /// ```
     pub fn next_wake(&self) -> Duration {
-        let gossip = self.news.is_pending().then(|| self.gossip_due());
+        let gossip = self
+            .dissemination
+            .is_pending()
+            .then(|| self.next_gossip_at());
         let suspicion = self.table.next_suspicion_end();
         let timers = [gossip, suspicion, Some(self.prober.next_wake())];
         timers
@@ -193,7 +196,7 @@
             .fold(self.next_sync_at.min(self.next_rejoin_at), Duration::min)
     }
 
-    /// Returns what was refused so far.
+    /// Returns the number of rejected messages and entries by reason.
     ///
     /// ```
     /// use sedgeridge_coordination::membership::{Membership, Rejection};
@@ -208,7 +211,7 @@
         &self.rejections
     }
 
-    /// Returns the highest configuration generation heard of.
+    /// Returns the highest known configuration generation.
     ///
     /// ```
     /// use sedgeridge_coordination::membership::Membership;
@@ -223,77 +226,85 @@
         self.config_generation
     }
 
-    fn gossip_due(&self) -> Duration {
+    fn next_gossip_at(&self) -> Duration {
         let interval = millis(self.settings.gossip_interval_ms);
         self.last_gossip_at
             .map_or(Duration::ZERO, |at| at + interval)
     }
 
-    fn take_list(&mut self, hosts: Vec<ListedHost>) {
-        self.admission.list(hosts, &self.table);
-        self.may_have_changed = true;
+    fn apply_host_list(&mut self, hosts: Vec<ListedHost>) {
+        self.admission.set_listed(hosts, &self.table);
+        self.members_may_have_changed = true;
     }
 
     fn raise_generation(&mut self, generation: u64) {
         if generation > self.config_generation {
             self.config_generation = generation;
-            self.news.push_generation();
+            self.dissemination.queue_generation();
         }
     }
 
     fn announce(&mut self, now: Duration, notice: &Notice) {
-        match self.notices.merge(now, self.unix_us(now) / 1_000, notice) {
-            Ok(true) => self.news.push_notice(notice.into()),
+        match self
+            .notices
+            .merge(now, self.estimated_unix_us(now) / 1_000, notice)
+        {
+            Ok(true) => self.dissemination.queue_notice(notice.into()),
             Ok(false) => {}
-            Err(reason) => self.rejections.count(reason),
+            Err(reason) => self.rejections.record(reason),
         }
     }
 
     fn start_leaving(&mut self) {
         if !self.own.leaving {
             self.own.leaving = true;
-            self.renew_own(self.own.refutations + 1);
+            self.raise_own_version(self.own.refutations + 1);
         }
     }
 
-    fn depart(&mut self, now: Duration, actions: &mut Vec<MembershipAction>) {
+    fn finish_leaving(&mut self, now: Duration, actions: &mut Vec<MembershipAction>) {
         self.own.health = Health::Left;
-        for host in self.random_live(2 * self.settings.gossip_fanout as usize) {
+        for host in self.random_live_hosts(2 * self.settings.gossip_fanout as usize) {
             self.send(now, host, Body::Gossip, actions);
         }
-        self.departed = true;
+        self.has_left = true;
     }
 
-    /// Gives the own record a higher version and spreads it.
-    fn renew_own(&mut self, refutations: u64) {
+    /// Raises the version of the own record and queues it for dissemination.
+    fn raise_own_version(&mut self, refutations: u64) {
         self.own.refutations = refutations;
-        self.may_have_changed = true;
-        self.news.push_update(Update {
+        self.members_may_have_changed = true;
+        self.dissemination.queue_update(Update {
             record: self.own.clone(),
             accuser: None,
         });
     }
 
-    /// Merges an update on another host and spreads it if it is news.
-    fn merge(&mut self, now: Duration, update: Update, source: Source) {
+    /// Merges an update about another host and queues it for dissemination if it is new.
+    fn merge_update(&mut self, now: Duration, update: Update, source: Source) {
         let merge = self.table.merge(now, &update, source);
-        if merge == Merge::Ignored {
-            self.news.hear_update(&update, self.member_count());
+        if merge == MergeOutcome::Ignored {
+            self.dissemination
+                .record_received_update(&update, self.member_count());
             return;
         }
-        self.may_have_changed = true;
+        self.members_may_have_changed = true;
         if update.record.is_live() {
             self.prober
                 .schedule
                 .insert(&update.record.member.host, &mut self.random);
         }
-        if source == Source::News {
-            self.news.push_update(update);
+        if source == Source::Gossip {
+            self.dissemination.queue_update(update);
         }
     }
 
-    fn random_live(&mut self, count: usize) -> Vec<HostId> {
-        let mut hosts: Vec<HostId> = self.table.live().map(|r| r.member.host.clone()).collect();
+    fn random_live_hosts(&mut self, count: usize) -> Vec<HostId> {
+        let mut hosts: Vec<HostId> = self
+            .table
+            .live_records()
+            .map(|r| r.member.host.clone())
+            .collect();
         self.random.choose(&mut hosts, count);
         hosts
     }
@@ -302,7 +313,7 @@
         table_sync::digest(&self.own, &self.table, &self.notices)
     }
 
-    fn send_digest(&mut self, now: Duration, to: HostId, actions: &mut Vec<MembershipAction>) {
+    fn request_sync(&mut self, now: Duration, to: HostId, actions: &mut Vec<MembershipAction>) {
         let digest = self.digest();
         self.send(now, to, Body::SyncRequest { digest }, actions);
     }
@@ -314,30 +325,31 @@
     }
 
     fn send(&mut self, now: Duration, to: HostId, body: Body, actions: &mut Vec<MembershipAction>) {
-        let message = self.message(now, &to, body);
+        let message = self.build_message(now, &to, body);
         actions.push(MembershipAction::Send { to, message });
     }
 
-    /// Makes a message with the news that fit in. What the receiver should refute goes first.
+    /// Builds a message with as many queued items as fit. A claim that the receiver should refute
+    /// goes first.
     ///
-    /// A host that was paused for longer than the suspicion lasts is dead to the fleet and knows
-    /// nothing of it; nobody probes it any more. As it goes on, it probes others, and each answer
-    /// tells it, so that it refutes.
-    fn message(&mut self, now: Duration, to: &HostId, body: Body) -> Message {
+    /// A host that was paused for longer than the suspicion lasts is considered dead by the fleet
+    /// and no longer probed, but does not know it. When it resumes, it probes others, and each
+    /// answer carries the claim, so that it refutes.
+    fn build_message(&mut self, now: Duration, to: &HostId, body: Body) -> Message {
         let members = self.member_count();
         let accuser = Some(self.own.member.host.clone());
-        let doubt = self.table.doubt(to);
-        let mut updates: Vec<Update> = doubt
+        let disputed = self.table.disputed_record(to);
+        let mut updates: Vec<Update> = disputed
             .map(|record| Update { record, accuser })
             .into_iter()
             .collect();
-        updates.extend(self.news.take_updates(members));
-        let keys = self.news.take_notices(members);
+        updates.extend(self.dissemination.take_updates(members));
+        let keys = self.dissemination.take_notices(members);
         let notices = keys
             .iter()
             .filter_map(|key| self.notices.notice(now, key))
             .collect();
-        self.news.count_generation(members);
+        self.dissemination.record_sent_generation(members);
         Message {
             from: self.own.clone(),
             config_generation: self.config_generation,
@@ -347,15 +359,19 @@
         }
     }
 
-    fn publish(&mut self, actions: &mut Vec<MembershipAction>) {
-        if !self.may_have_changed {
+    fn publish_members(&mut self, actions: &mut Vec<MembershipAction>) {
+        if !self.members_may_have_changed {
             return;
         }
-        self.may_have_changed = false;
-        let mut live: Vec<LiveMember> = self.table.live().map(|r| self.live_member(r)).collect();
+        self.members_may_have_changed = false;
+        let mut live: Vec<LiveMember> = self
+            .table
+            .live_records()
+            .map(|r| self.live_member(r))
+            .collect();
         let own = self.live_member(&self.own);
-        let place = live.partition_point(|m| m.member < own.member);
-        live.insert(place, own);
+        let position = live.partition_point(|m| m.member < own.member);
+        live.insert(position, own);
         if live != self.published {
             self.published.clone_from(&live);
             actions.push(MembershipAction::MembersChanged(live));
@@ -379,8 +395,8 @@
         }
     }
 
-    /// Estimates the wall clock from the incarnation, which was read from it at the start.
-    fn unix_us(&self, now: Duration) -> u64 {
+    /// Estimates the wall clock from the incarnation, the wall-clock time of the start.
+    fn estimated_unix_us(&self, now: Duration) -> u64 {
         let elapsed_us = now.as_micros() as u64;
         self.own.member.incarnation.0.saturating_add(elapsed_us)
     }
--- a/crates/coordination/src/membership/events.rs
+++ b/crates/coordination/src/membership/events.rs
@@ -1,4 +1,4 @@
-//! What goes into membership and what comes out.
+//! Events that membership handles and actions that it returns.
 
 use sedgeridge_state::ids::HostId;
 use sedgeridge_state::ids::Incarnation;
@@ -7,25 +7,25 @@
 use super::messages::Message;
 use super::messages::Notice;
 
-/// What happens to membership.
+/// An event for [`super::Membership`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum MembershipEvent {
-    /// Time passed; due at [`super::Membership::next_wake`].
+    /// A timer fired; due at [`super::Membership::next_wake`].
     Tick,
-    /// A message came in.
+    /// A message was received.
     MessageReceived(Message),
     /// The hosts named in the settings changed.
     HostsConfigured(Vec<HostId>),
-    /// The platform's list was read. It lags: who is on it is contacted, who is not stays a member
-    /// as long as it answers.
+    /// The platform's list was read. It lags: hosts on it are contacted, and members that are not on
+    /// it stay members as long as they answer.
     HostList(Vec<ListedHost>),
-    /// This host has put a configuration in force, or read of one.
+    /// This host has put a configuration generation in force, or read of one.
     ConfigGeneration(u64),
-    /// Another part of this host wants a notice spread.
+    /// Another module of this host has a notice to disseminate.
     Announce(Notice),
-    /// A planned stop begins: no new work for this host.
+    /// A planned stop begins: this host takes no new work.
     LeaveRequested,
-    /// The work of this host is done; nothing is handled after this.
+    /// The remaining work of this host is done. Later events are ignored.
     LeaveFinished,
 }
 
@@ -34,20 +34,20 @@
 pub struct ListedHost {
     /// The host.
     pub host: HostId,
-    /// What the list says of it.
+    /// Its state according to the list.
     pub hint: HostHint,
 }
 
-/// What the platform's list says of a host.
+/// State of a host according to the platform's list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HostHint {
-    /// It was live some time ago.
+    /// The host was live some time ago.
     Live,
-    /// It is to stop.
+    /// The host is to be stopped.
     Leaving,
 }
 
-/// A member that is believed live.
+/// A member that is considered live.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LiveMember {
     /// The member.
@@ -59,36 +59,36 @@
 /// Whether a live member takes new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MemberState {
-    /// It does.
+    /// It takes new work.
     Alive,
-    /// It finishes what it has.
+    /// It only finishes the work it has.
     Leaving,
 }
 
-/// What membership wants done.
+/// An action that the caller of [`super::Membership`] carries out.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum MembershipAction {
-    /// Send a message; losing it is no harm.
+    /// Send a message. It may be lost.
     Send {
-        /// The host.
+        /// The receiver.
         to: HostId,
         /// The message.
         message: Message,
     },
-    /// The live members changed; this host is among them. Ordered by host.
+    /// The live members changed. The list includes this host and is ordered by host.
     MembersChanged(Vec<LiveMember>),
-    /// A higher configuration generation was heard of. It is a hint where to look, no proof.
+    /// A member sent a higher configuration generation. It is a hint where to look, not a proof.
     GenerationSeen {
         /// The generation.
         generation: u64,
-        /// Who told of it.
+        /// The sender.
         from: HostId,
     },
-    /// A notice came in that was not known.
+    /// A new notice was received.
     NoticeReceived(Notice),
-    /// The fleet knows this host under a higher incarnation, so nobody listens to this run: either
-    /// a newer process has taken its place, or the wall clock went back over a restart. The host
-    /// must restart with an incarnation above this one, or stop.
+    /// The fleet knows this host under a higher incarnation and ignores this run: either a newer
+    /// process has replaced it, or the wall clock went back during a restart. The host must restart
+    /// with an incarnation above this one, or stop.
     Outranked {
         /// The higher incarnation.
         incarnation: Incarnation,
--- a/crates/coordination/src/membership/member_table.rs
+++ b/crates/coordination/src/membership/member_table.rs
@@ -1,4 +1,4 @@
-//! What this host believes of every other host.
+//! The records that this host keeps of all other hosts.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,22 +11,22 @@
 use super::messages::Update;
 use super::suspicion::Suspicion;
 
-/// Time the record of a dead member is kept, so that a late update does not bring it back.
+/// Time for which the record of a dead member is kept, so that a late update does not revive it.
 const DEAD_RETENTION: Duration = Duration::from_secs(3_600);
 
-/// How an update came in.
+/// Origin of an update.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Source {
-    /// Spread as news, or found by this host.
-    News,
-    /// Part of a whole table, so possibly old.
-    Table,
+    /// A disseminated update, or a finding of this host.
+    Gossip,
+    /// Part of a received table, so possibly old.
+    TableSync,
 }
 
-/// What an update did.
+/// Effect of an update on the table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Merge {
-    /// Nothing new.
+pub(crate) enum MergeOutcome {
+    /// The update held nothing new.
     Ignored,
     /// The record changed.
     Changed,
@@ -39,26 +39,26 @@
     record: MemberRecord,
     changed_at: Duration,
     suspicion: Option<Suspicion>,
-    /// Another table holds this member for dead: it is told so, and refutes if it lives.
-    disputed: bool,
+    /// Another table has this member as dead. The member is told, and refutes if it is alive.
+    reported_dead: bool,
 }
 
 /// The records of all hosts but this one.
 #[derive(Debug)]
 pub(crate) struct MemberTable {
     entries: BTreeMap<HostId, Entry>,
-    suspicion_time: Duration,
-    live: usize,
-    suspects: usize,
+    min_suspicion: Duration,
+    live_count: usize,
+    suspect_count: usize,
 }
 
 impl MemberTable {
-    pub(crate) fn new(suspicion_time: Duration) -> Self {
+    pub(crate) fn new(min_suspicion: Duration) -> Self {
         Self {
             entries: BTreeMap::new(),
-            suspicion_time,
-            live: 0,
-            suspects: 0,
+            min_suspicion,
+            live_count: 0,
+            suspect_count: 0,
         }
     }
 
@@ -79,24 +79,24 @@
     }
 
     pub(crate) fn live_count(&self) -> usize {
-        self.live
+        self.live_count
     }
 
     pub(crate) fn records(&self) -> impl Iterator<Item = &MemberRecord> {
         self.entries.values().map(|e| &e.record)
     }
 
-    pub(crate) fn live(&self) -> impl Iterator<Item = &MemberRecord> {
+    pub(crate) fn live_records(&self) -> impl Iterator<Item = &MemberRecord> {
         self.records().filter(|r| r.is_live())
     }
 
-    /// Returns what `host` should hear about itself, if others doubt that it lives.
-    pub(crate) fn doubt(&self, host: &HostId) -> Option<MemberRecord> {
+    /// Returns the record that `host` should refute, if others suspect it or consider it dead.
+    pub(crate) fn disputed_record(&self, host: &HostId) -> Option<MemberRecord> {
         let entry = self.entries.get(host)?;
         let health = match entry.record.health {
-            Health::Alive if entry.disputed => Health::Dead,
+            Health::Alive if entry.reported_dead => Health::Dead,
             Health::Alive | Health::Left => return None,
-            doubtful => doubtful,
+            health => health,
         };
         Some(MemberRecord {
             health,
@@ -104,43 +104,43 @@
         })
     }
 
-    /// Takes a record over if it is newer than the one held.
-    pub(crate) fn merge(&mut self, now: Duration, update: &Update, source: Source) -> Merge {
+    /// Stores a record if it supersedes the one held.
+    pub(crate) fn merge(&mut self, now: Duration, update: &Update, source: Source) -> MergeOutcome {
         let record = &update.record;
         let Some(held) = self.entries.get_mut(&record.member.host) else {
             if !record.is_live() {
-                return Merge::Ignored;
+                return MergeOutcome::Ignored;
             }
             self.store(now, update);
-            return Merge::Changed;
+            return MergeOutcome::Changed;
         };
         if record.version() < held.record.version() {
-            return Merge::Ignored;
+            return MergeOutcome::Ignored;
         }
         if record.version() > held.record.version() {
             self.store(now, update);
-            return Merge::Changed;
+            return MergeOutcome::Changed;
         }
         if record.health == Health::Suspect && held.record.health == Health::Suspect {
             return confirm(held, update);
         }
         if record.health <= held.record.health {
-            return Merge::Ignored;
+            return MergeOutcome::Ignored;
         }
-        // After a partition each half holds the other half for dead. Were such old records taken
-        // over from a table, the first exchange after the heal would empty the fleet. The member
-        // is told instead; if it is dead indeed, this half's own probes find out.
-        if source == Source::Table && record.health != Health::Left {
-            held.disputed = true;
-            return Merge::Ignored;
+        // After a partition each half considers the other half dead. If such old records were
+        // accepted from a table, the first exchange after the partition heals would remove live
+        // members. The member is told instead; if it is dead, this half's own probes detect it.
+        if source == Source::TableSync && record.health != Health::Left {
+            held.reported_dead = true;
+            return MergeOutcome::Ignored;
         }
         self.store(now, update);
-        Merge::Changed
+        MergeOutcome::Changed
     }
 
-    /// Returns the suspects whose time to refute is over.
+    /// Returns the suspects whose time to refute has expired.
     pub(crate) fn expired_suspects(&self, now: Duration) -> Vec<MemberRecord> {
-        if self.suspects == 0 {
+        if self.suspect_count == 0 {
             return Vec::new();
         }
         self.entries
@@ -152,14 +152,14 @@
 
     /// Returns when the next suspicion ends.
     pub(crate) fn next_suspicion_end(&self) -> Option<Duration> {
-        if self.suspects == 0 {
+        if self.suspect_count == 0 {
             return None;
         }
         let suspicions = self.entries.values().filter_map(|e| e.suspicion.as_ref());
         suspicions.map(Suspicion::deadline).min()
     }
 
-    /// Gives every suspect its whole time again.
+    /// Restarts the time to refute of every suspect.
     pub(crate) fn restart_suspicions(&mut self, now: Duration) {
         for suspicion in self
             .entries
@@ -170,39 +170,45 @@
         }
     }
 
-    /// Forgets members that have been dead for long.
-    pub(crate) fn forget_old(&mut self, now: Duration) {
+    /// Removes members that have been dead for [`DEAD_RETENTION`].
+    pub(crate) fn remove_expired_records(&mut self, now: Duration) {
         self.entries
             .retain(|_, e| e.record.is_live() || now < e.changed_at + DEAD_RETENTION);
     }
 
     fn store(&mut self, now: Duration, update: &Update) {
-        let others = self.live.saturating_sub(1);
-        let suspicion = (update.record.health == Health::Suspect)
-            .then(|| Suspicion::new(now, self.suspicion_time, others, update.accuser.clone()));
+        let other_live_members = self.live_count.saturating_sub(1);
+        let suspicion = (update.record.health == Health::Suspect).then(|| {
+            Suspicion::new(
+                now,
+                self.min_suspicion,
+                other_live_members,
+                update.accuser.clone(),
+            )
+        });
         let entry = Entry {
             record: update.record.clone(),
             changed_at: now,
             suspicion,
-            disputed: false,
+            reported_dead: false,
         };
-        self.live += usize::from(entry.record.is_live());
-        self.suspects += usize::from(entry.suspicion.is_some());
+        self.live_count += usize::from(entry.record.is_live());
+        self.suspect_count += usize::from(entry.suspicion.is_some());
         let host = entry.record.member.host.clone();
         if let Some(old) = self.entries.insert(host, entry) {
-            self.live -= usize::from(old.record.is_live());
-            self.suspects -= usize::from(old.suspicion.is_some());
+            self.live_count -= usize::from(old.record.is_live());
+            self.suspect_count -= usize::from(old.suspicion.is_some());
         }
     }
 }
 
-fn confirm(held: &mut Entry, update: &Update) -> Merge {
+fn confirm(held: &mut Entry, update: &Update) -> MergeOutcome {
     let (Some(suspicion), Some(accuser)) = (held.suspicion.as_mut(), update.accuser.clone()) else {
-        return Merge::Ignored;
+        return MergeOutcome::Ignored;
     };
     if suspicion.confirm(accuser) {
-        Merge::Confirmed
+        MergeOutcome::Confirmed
     } else {
-        Merge::Ignored
+        MergeOutcome::Ignored
     }
 }
--- a/crates/coordination/src/membership/messages.rs
+++ b/crates/coordination/src/membership/messages.rs
@@ -1,4 +1,4 @@
-//! What the members of the fleet tell each other.
+//! Messages between the members of the fleet.
 
 use sedgeridge_state::fingerprint::Fingerprint;
 use sedgeridge_state::ids::EndpointId;
@@ -6,33 +6,33 @@
 use sedgeridge_state::ids::Incarnation;
 use sedgeridge_state::ids::Member;
 
-/// How a member is believed to be. At equal [`Version`] the later variant wins.
+/// Health of a member as known to another. At equal [`Version`] the later variant wins.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Health {
-    /// It answers.
+    /// The member answers.
     Alive,
-    /// It left a probe unanswered and has not refuted the suspicion yet.
+    /// The member left a probe unanswered and has not refuted the suspicion yet.
     Suspect,
-    /// It did not refute the suspicion in time.
+    /// The member did not refute the suspicion in time.
     Dead,
-    /// It said itself that it has gone.
+    /// The member itself announced that it has left.
     Left,
 }
 
-/// Orders what is said about one host.
+/// Orders the records of one host.
 ///
 /// Only the member itself raises its version: a restart brings a higher incarnation, a refutation a
-/// higher count. The two are apart because other parts take the incarnation for the identity of a
-/// run, which a refutation must not change.
+/// higher count. The two are separate because other modules use the incarnation as the identity of
+/// a run, which a refutation must not change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Version {
-    /// Which run of the host.
+    /// The run of the host.
     pub incarnation: Incarnation,
-    /// Changes that this run made to its own record: refutations, and the start of a planned stop.
+    /// Number of changes of this run to its own record: refutations and the start of a planned stop.
     pub refutations: u64,
 }
 
-/// What is believed of one member.
+/// State of one member as known to another.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MemberRecord {
     /// The member.
@@ -41,12 +41,12 @@
     pub refutations: u64,
     /// Whether the member has begun a planned stop.
     pub leaving: bool,
-    /// How the member is believed to be.
+    /// Health of the member.
     pub health: Health,
 }
 
 impl MemberRecord {
-    /// Returns what orders this record among others on the same host.
+    /// Returns the version, which orders the records of one host.
     ///
     /// ```
     /// use sedgeridge_coordination::membership::{Health, MemberRecord};
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Whether the member counts as live: suspects do until the suspicion is confirmed.
+    /// Whether the member counts as live. A suspect does until its time to refute expires.
     ///
     /// ```
     /// use sedgeridge_coordination::membership::{Health, MemberRecord};
@@ -79,16 +79,16 @@
     }
 }
 
-/// One change of a member's record, spread through the fleet.
+/// One change of a member's record that is disseminated to the fleet.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Update {
     /// The new record.
     pub record: MemberRecord,
-    /// Whose probe went unanswered, for a suspect; independent accusers shorten the suspicion.
+    /// For a suspect, the host whose probe went unanswered. Independent accusers shorten the suspicion.
     pub accuser: Option<HostId>,
 }
 
-/// A small fact of another part that is spread along with membership.
+/// A fact from another module that is disseminated with membership.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Notice {
     /// An endpoint is leaving and takes no new work.
@@ -98,25 +98,25 @@
         /// Wall-clock time at which it began to leave.
         since_unix_ms: u64,
     },
-    /// A request that crashes endpoints is refused.
+    /// Requests with this fingerprint crash endpoints and are refused.
     Quarantine {
         /// Identifies the request.
         fingerprint: Fingerprint,
-        /// Time the quarantine still lasts when the message is sent.
+        /// Remaining time of the quarantine when the message is sent.
         expires_in_ms: u64,
     },
 }
 
-/// Number of parts that a table is compared in.
+/// Number of buckets in which two tables are compared.
 pub const DIGEST_BUCKETS: usize = 32;
 
-/// Summary of a member table in parts, by a hash of the host's name. Parts with equal hashes need
+/// Digest of a member table in buckets by a hash of the host's name. Buckets with equal hashes need
 /// no exchange.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TableDigest {
-    /// Hashes of the live members' versions.
+    /// Hash of the live members' versions for each bucket.
     pub buckets: Box<[u32; DIGEST_BUCKETS]>,
-    /// Hash of the notices held.
+    /// Hash of the held notices.
     pub notices: u32,
 }
 
@@ -125,17 +125,17 @@
 pub struct Message {
     /// The sender's record of itself.
     pub from: MemberRecord,
-    /// Highest configuration generation that the sender knows of.
+    /// Highest configuration generation known to the sender.
     pub config_generation: u64,
-    /// Changes carried along.
+    /// Piggybacked updates.
     pub updates: Vec<Update>,
-    /// Notices carried along.
+    /// Piggybacked notices.
     pub notices: Vec<Notice>,
-    /// What the message is for.
+    /// Purpose of the message.
     pub body: Body,
 }
 
-/// What a message is for.
+/// Purpose of a message.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Body {
     /// Asks for a [`Body::ProbeAck`].
@@ -155,26 +155,26 @@
         /// The host to be probed.
         target: HostId,
     },
-    /// Says that an indirect probe was tried and has had no answer yet.
+    /// Reports that an indirect probe was sent and is still unanswered.
     ProbeNack {
         /// Sequence of the indirect probe.
         sequence: u64,
     },
     /// Carries updates, notices or a configuration generation only.
     Gossip,
-    /// Asks for those parts of the receiver's table whose digests differ.
+    /// Asks for those buckets of the receiver's table whose hashes differ.
     SyncRequest {
         /// Digest of the sender's table.
         digest: TableDigest,
     },
-    /// Carries parts of a table.
+    /// Carries buckets of a table.
     SyncTable {
         /// Records that the receiver may lack.
         records: Vec<MemberRecord>,
-        /// Digest of the sender's table, if the receiver is to answer with what it knows better.
+        /// Digest of the sender's table, if the receiver is to answer with its newer records.
         answer_wanted: Option<TableDigest>,
     },
-    /// Tells a sender that its host is known under a higher incarnation.
+    /// Tells the receiver that its host is known under a higher incarnation.
     Outranked {
         /// The higher incarnation.
         incarnation: Incarnation,
--- a/crates/coordination/src/membership/notice_board.rs
+++ b/crates/coordination/src/membership/notice_table.rs
@@ -1,4 +1,4 @@
-//! The notices in force.
+//! Table of the notices in force.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,42 +9,43 @@
 use super::messages::Notice;
 use super::rejections::Rejection;
 
-/// Most notices held; beyond it the one that ends first goes.
-pub(crate) const MAX_HELD: usize = 256;
+/// Maximum number of held notices. When it is reached, the one that ends first is evicted.
+pub(crate) const MAX_HELD_NOTICES: usize = 256;
 
-/// Time an endpoint's leaving is remembered.
+/// Time for which a notice of a leaving endpoint is in force.
 const LEAVING_RETENTION_MS: u64 = 600_000;
 
-/// Longest quarantine that is believed.
+/// Longest accepted quarantine.
 const MAX_QUARANTINE_MS: u64 = 3_600_000;
 
-/// Largest difference between the wall clocks of two hosts that is believed.
+/// Largest accepted lead of another host's wall clock over the local one.
 const MAX_CLOCK_LEAD_MS: u64 = 86_400_000;
 
-/// A quarantine is extended only by more than this, so that delays on the way are no news.
-const QUARANTINE_SLACK: Duration = Duration::from_secs(5);
+/// A quarantine that would end later by at most this is not new: delivery delays shift the end.
+const QUARANTINE_END_TOLERANCE: Duration = Duration::from_secs(5);
 
 #[derive(Debug)]
-struct Held {
+struct HeldNotice {
     since_unix_ms: u64,
-    ends: Duration,
+    ends_at: Duration,
 }
 
-/// The notices in force, by what they are about.
+/// The notices in force, by subject.
 #[derive(Debug, Default)]
-pub(crate) struct NoticeBoard {
-    held: BTreeMap<NoticeKey, Held>,
+pub(crate) struct NoticeTable {
+    held: BTreeMap<NoticeKey, HeldNotice>,
 }
 
-impl NoticeBoard {
-    /// Takes a notice; returns whether it is news. `unix_ms` is this host's estimate of the wall clock.
+impl NoticeTable {
+    /// Adds a notice and returns whether it was new. `unix_ms` is this host's estimate of the wall
+    /// clock.
     pub(crate) fn merge(
         &mut self,
         now: Duration,
         unix_ms: u64,
         notice: &Notice,
     ) -> Result<bool, Rejection> {
-        let (since_unix_ms, left_ms) = match *notice {
+        let (since_unix_ms, remaining_ms) = match *notice {
             Notice::EndpointLeaving { since_unix_ms, .. } => {
                 if since_unix_ms > unix_ms + MAX_CLOCK_LEAD_MS {
                     return Err(Rejection::AbsurdNotice);
@@ -54,51 +55,52 @@
             }
             Notice::Quarantine { expires_in_ms, .. } => (0, expires_in_ms),
         };
-        if matches!(notice, Notice::Quarantine { .. }) && left_ms > MAX_QUARANTINE_MS {
+        if matches!(notice, Notice::Quarantine { .. }) && remaining_ms > MAX_QUARANTINE_MS {
             return Err(Rejection::AbsurdNotice);
         }
-        if left_ms == 0 {
+        if remaining_ms == 0 {
             return Ok(false);
         }
         let key = NoticeKey::from(notice);
-        let ends = now + millis(left_ms);
-        let known = self.held.get(&key).is_some_and(|held| {
-            held.since_unix_ms >= since_unix_ms && ends <= held.ends + QUARANTINE_SLACK
+        let ends_at = now + millis(remaining_ms);
+        let is_known = self.held.get(&key).is_some_and(|held| {
+            held.since_unix_ms >= since_unix_ms
+                && ends_at <= held.ends_at + QUARANTINE_END_TOLERANCE
         });
-        if known {
+        if is_known {
             return Ok(false);
         }
-        self.make_room();
+        self.evict_if_full();
         self.held.insert(
             key,
-            Held {
+            HeldNotice {
                 since_unix_ms,
-                ends,
+                ends_at,
             },
         );
         Ok(true)
     }
 
-    /// Forgets notices that have ended.
-    pub(crate) fn forget_ended(&mut self, now: Duration) {
-        self.held.retain(|_, held| held.ends > now);
+    /// Removes notices that have ended.
+    pub(crate) fn remove_ended(&mut self, now: Duration) {
+        self.held.retain(|_, held| held.ends_at > now);
     }
 
-    /// Lists the keys in force.
+    /// Returns the keys of the held notices.
     pub(crate) fn keys(&self) -> impl Iterator<Item = &NoticeKey> {
         self.held.keys()
     }
 
     /// Returns all notices in force.
-    pub(crate) fn all(&self, now: Duration) -> Vec<Notice> {
+    pub(crate) fn notices_in_force(&self, now: Duration) -> Vec<Notice> {
         let keys = self.held.keys();
         keys.filter_map(|key| self.notice(now, key)).collect()
     }
 
-    /// Returns the notice to be sent now, if it is still in force.
+    /// Returns a notice as it is to be sent now, if it is still in force.
     pub(crate) fn notice(&self, now: Duration, key: &NoticeKey) -> Option<Notice> {
         let held = self.held.get(key)?;
-        let left = held.ends.checked_sub(now).filter(|d| !d.is_zero())?;
+        let remaining = held.ends_at.checked_sub(now).filter(|d| !d.is_zero())?;
         Some(match key {
             NoticeKey::Leaving(endpoint) => Notice::EndpointLeaving {
                 endpoint: endpoint.clone(),
@@ -106,16 +108,16 @@
             },
             NoticeKey::Quarantine(fingerprint) => Notice::Quarantine {
                 fingerprint: *fingerprint,
-                expires_in_ms: left.as_millis() as u64,
+                expires_in_ms: remaining.as_millis() as u64,
             },
         })
     }
 
-    fn make_room(&mut self) {
-        if self.held.len() < MAX_HELD {
+    fn evict_if_full(&mut self) {
+        if self.held.len() < MAX_HELD_NOTICES {
             return;
         }
-        let first_to_end = self.held.iter().min_by_key(|(_, held)| held.ends);
+        let first_to_end = self.held.iter().min_by_key(|(_, held)| held.ends_at);
         if let Some(key) = first_to_end.map(|(key, _)| key.clone()) {
             self.held.remove(&key);
         }
--- a/crates/coordination/src/membership/prober.rs
+++ b/crates/coordination/src/membership/prober.rs
@@ -1,7 +1,7 @@
 //! Probes one member after the other, directly and then through others.
 //!
-//! The times follow Lifeguard: a host that has reason to doubt itself (unanswered relays, refuted
-//! suspicions, pauses) waits longer before it suspects others.
+//! Timing follows Lifeguard: a host whose own health is in doubt (missing nacks, suspicions of
+//! itself that it refuted, pauses) waits longer before it suspects others.
 
 use std::time::Duration;
 
@@ -14,13 +14,13 @@
 use super::probe_schedule::ProbeSchedule;
 use crate::random::SeededRandom;
 
-/// Worst local health; times are stretched by at most this plus one.
-const MAX_LOCAL_HEALTH: u32 = 7;
+/// Highest (worst) health score. Times are multiplied by the score plus one.
+const MAX_HEALTH_SCORE: u32 = 7;
 
-/// Most probes made for others at a time.
+/// Maximum number of concurrent probes on behalf of other members.
 const MAX_RELAYS: usize = 64;
 
-/// A message body on its way out.
+/// A message body to be sent.
 #[derive(Debug)]
 pub(crate) struct Outgoing {
     pub(crate) to: HostId,
@@ -32,8 +32,8 @@
     target: HostId,
     sequence: u64,
     indirect_at: Option<Duration>,
-    relays_asked: usize,
-    nacks: usize,
+    helper_count: usize,
+    nack_count: usize,
 }
 
 /// A probe made on behalf of another member.
@@ -50,13 +50,13 @@
 pub(crate) struct Prober {
     interval: Duration,
     timeout: Duration,
-    indirect_probes: usize,
+    indirect_probe_count: usize,
     pub(crate) schedule: ProbeSchedule,
     pending: Option<PendingProbe>,
     relays: Vec<Relay>,
     next_probe_at: Duration,
-    sequence: u64,
-    local_health: u32,
+    last_sequence: u64,
+    health_score: u32,
 }
 
 impl Prober {
@@ -67,17 +67,17 @@
         Self {
             interval: millis(settings.probe_interval_ms),
             timeout: millis(settings.probe_timeout_ms),
-            indirect_probes: settings.indirect_probes as usize,
+            indirect_probe_count: settings.indirect_probes as usize,
             schedule: ProbeSchedule::default(),
             pending: None,
             relays: Vec::new(),
             next_probe_at: millis(phase_ms),
-            sequence: 0,
-            local_health: 0,
+            last_sequence: 0,
+            health_score: 0,
         }
     }
 
-    /// Returns when [`Prober::tick`] has something to do.
+    /// Returns when [`Prober::tick`] is next due.
     pub(crate) fn next_wake(&self) -> Duration {
         let indirect = self.pending.as_ref().and_then(|p| p.indirect_at);
         let nack = self.relays.iter().map(|r| r.nack_at).min();
@@ -88,7 +88,7 @@
             .fold(self.next_probe_at, Duration::min)
     }
 
-    /// Does what is due; returns the member whose probe stayed unanswered.
+    /// Runs the due timers. Returns the member whose probe stayed unanswered, if any.
     pub(crate) fn tick(
         &mut self,
         now: Duration,
@@ -97,24 +97,24 @@
         out: &mut Vec<Outgoing>,
     ) -> Option<HostId> {
         self.send_nacks(now, out);
-        self.ask_others(now, table, random, out);
+        self.start_indirect_probe(now, table, random, out);
         if now < self.next_probe_at {
             return None;
         }
-        let failed = self.finish_probe();
+        let failed = self.take_failed_probe();
         self.start_probe(now, table, random, out);
         failed
     }
 
-    /// Takes an answer to a probe of this host, or passes on that of a relayed probe.
-    pub(crate) fn acked(&mut self, sequence: u64, out: &mut Vec<Outgoing>) {
+    /// Handles an answer to a probe of this host, or forwards the answer to a relayed probe.
+    pub(crate) fn handle_ack(&mut self, sequence: u64, out: &mut Vec<Outgoing>) {
         if self
             .pending
             .as_ref()
             .is_some_and(|p| p.sequence == sequence)
         {
             self.pending = None;
-            self.local_health = self.local_health.saturating_sub(1);
+            self.health_score = self.health_score.saturating_sub(1);
             return;
         }
         if let Some(i) = self.relays.iter().position(|r| r.sequence == sequence) {
@@ -128,15 +128,15 @@
         }
     }
 
-    /// Counts a relay that works, though the target has not answered it.
-    pub(crate) fn nacked(&mut self, sequence: u64) {
+    /// Counts a helper that is reachable although the target has not answered it.
+    pub(crate) fn handle_nack(&mut self, sequence: u64) {
         if let Some(pending) = self.pending.as_mut().filter(|p| p.sequence == sequence) {
-            pending.nacks += 1;
+            pending.nack_count += 1;
         }
     }
 
     /// Probes `target` on behalf of `origin`.
-    pub(crate) fn relay(
+    pub(crate) fn relay_probe(
         &mut self,
         now: Duration,
         origin: HostId,
@@ -160,13 +160,13 @@
         });
     }
 
-    /// Lowers the trust of this host in its own timing.
-    pub(crate) fn doubt_self(&mut self) {
-        self.local_health = (self.local_health + 1).min(MAX_LOCAL_HEALTH);
+    /// Raises the health score, which lengthens the probe times of this host.
+    pub(crate) fn raise_health_score(&mut self) {
+        self.health_score = (self.health_score + 1).min(MAX_HEALTH_SCORE);
     }
 
-    /// Drops the probe in progress: its answer may have been missed during a pause.
-    pub(crate) fn abandon(&mut self, now: Duration) {
+    /// Drops the probes in progress: their answers may have been missed during a pause.
+    pub(crate) fn abandon_probes(&mut self, now: Duration) {
         self.pending = None;
         self.relays.clear();
         self.next_probe_at = now + self.interval;
@@ -183,7 +183,7 @@
         }
     }
 
-    fn ask_others(
+    fn start_indirect_probe(
         &mut self,
         now: Duration,
         table: &MemberTable,
@@ -198,12 +198,12 @@
         }
         pending.indirect_at = None;
         let mut helpers: Vec<HostId> = table
-            .live()
+            .live_records()
             .map(|r| r.member.host.clone())
             .filter(|h| *h != pending.target)
             .collect();
-        random.choose(&mut helpers, self.indirect_probes);
-        pending.relays_asked = helpers.len();
+        random.choose(&mut helpers, self.indirect_probe_count);
+        pending.helper_count = helpers.len();
         out.extend(helpers.into_iter().map(|to| Outgoing {
             to,
             body: Body::IndirectProbe {
@@ -213,10 +213,10 @@
         }));
     }
 
-    fn finish_probe(&mut self) -> Option<HostId> {
+    fn take_failed_probe(&mut self) -> Option<HostId> {
         let pending = self.pending.take()?;
-        if pending.nacks < pending.relays_asked {
-            self.doubt_self();
+        if pending.nack_count < pending.helper_count {
+            self.raise_health_score();
         }
         Some(pending.target)
     }
@@ -228,8 +228,8 @@
         random: &mut SeededRandom,
         out: &mut Vec<Outgoing>,
     ) {
-        let stretch = self.local_health + 1;
-        self.next_probe_at = now + self.interval * stretch;
+        let multiplier = self.health_score + 1;
+        self.next_probe_at = now + self.interval * multiplier;
         let Some(target) = self.schedule.next(random, |host| table.is_live(host)) else {
             return;
         };
@@ -237,9 +237,9 @@
         self.pending = Some(PendingProbe {
             target: target.clone(),
             sequence,
-            indirect_at: Some(now + self.timeout * stretch),
-            relays_asked: 0,
-            nacks: 0,
+            indirect_at: Some(now + self.timeout * multiplier),
+            helper_count: 0,
+            nack_count: 0,
         });
         out.push(Outgoing {
             to: target,
@@ -248,7 +248,7 @@
     }
 
     fn next_sequence(&mut self) -> u64 {
-        self.sequence += 1;
-        self.sequence
+        self.last_sequence += 1;
+        self.last_sequence
     }
 }
--- a/crates/coordination/src/membership/receive.rs
+++ b/crates/coordination/src/membership/receive.rs
@@ -1,4 +1,4 @@
-//! Takes in messages.
+//! Handles received messages.
 
 use std::time::Duration;
 
@@ -19,9 +19,9 @@
 use super::rejections::Rejection;
 use super::table_sync;
 
-/// Shortest time between two whole tables sent. Without it, every host that finds a restarted one
-/// sends it a table in the same second.
-const TABLE_INTERVAL: Duration = Duration::from_millis(200);
+/// Minimum time between two whole tables that this host sends. Without it, every host that finds a
+/// restarted one sends it a table in the same second.
+const MIN_TABLE_INTERVAL: Duration = Duration::from_millis(200);
 
 impl Membership {
     pub(super) fn receive(
@@ -30,29 +30,29 @@
         message: Message,
         actions: &mut Vec<MembershipAction>,
     ) {
-        let unix_us = self.unix_us(now);
+        let unix_us = self.estimated_unix_us(now);
         if let Err(reason) = self.admission.check_message(&message, &self.table, unix_us) {
             self.reject(now, reason, &message, actions);
             return;
         }
         let sender = message.from.member.host.clone();
-        self.hear_generation(message.config_generation, &sender, actions);
+        self.handle_generation(message.config_generation, &sender, actions);
         let from = Update {
             record: message.from,
             accuser: None,
         };
-        self.merge(now, from, Source::News);
+        self.merge_update(now, from, Source::Gossip);
         for update in message.updates {
-            self.take_update(now, update, Source::News, actions);
+            self.handle_update(now, update, Source::Gossip, actions);
         }
         for notice in message.notices {
-            self.take_notice(now, notice, actions);
+            self.handle_notice(now, notice, actions);
         }
-        self.take_body(now, &sender, message.body, actions);
+        self.handle_body(now, &sender, message.body, actions);
     }
 
-    /// Counts a refused message. A sender whose host is known under a higher incarnation is told,
-    /// or it would go on talking to a fleet that does not listen.
+    /// Counts a rejected message. A sender whose host is known under a higher incarnation is told,
+    /// as it would otherwise keep sending to a fleet that ignores it.
     fn reject(
         &mut self,
         now: Duration,
@@ -60,7 +60,7 @@
         message: &Message,
         actions: &mut Vec<MembershipAction>,
     ) {
-        self.rejections.count(reason);
+        self.rejections.record(reason);
         if reason != Rejection::StaleIncarnation {
             return;
         }
@@ -75,7 +75,7 @@
         }
     }
 
-    fn hear_generation(
+    fn handle_generation(
         &mut self,
         generation: u64,
         sender: &HostId,
@@ -83,7 +83,8 @@
     ) {
         if generation <= self.config_generation {
             if generation == self.config_generation {
-                self.news.hear_generation(self.member_count());
+                self.dissemination
+                    .record_received_generation(self.member_count());
             }
             return;
         }
@@ -94,63 +95,71 @@
         });
     }
 
-    fn take_update(
+    fn handle_update(
         &mut self,
         now: Duration,
         update: Update,
         source: Source,
         actions: &mut Vec<MembershipAction>,
     ) {
-        let unix_us = self.unix_us(now);
+        let unix_us = self.estimated_unix_us(now);
         let checked = self
             .admission
             .check_record(&update.record, &self.table, unix_us);
         if let Err(reason) = checked {
-            self.rejections.count(reason);
+            self.rejections.record(reason);
             return;
         }
         if update.record.member.host == self.own.member.host {
-            self.hear_of_self(&update.record, actions);
+            self.refute_claim(&update.record, actions);
         } else {
-            self.merge(now, update, source);
+            self.merge_update(now, update, source);
         }
     }
 
-    /// Refutes what is wrongly said of this host.
-    fn hear_of_self(&mut self, said: &MemberRecord, actions: &mut Vec<MembershipAction>) {
-        if said.member.incarnation != self.own.member.incarnation {
-            self.hear_outranked(said.member.incarnation, actions);
+    /// Refutes a false claim about this host.
+    fn refute_claim(&mut self, claim: &MemberRecord, actions: &mut Vec<MembershipAction>) {
+        if claim.member.incarnation != self.own.member.incarnation {
+            self.handle_outranked(claim.member.incarnation, actions);
             return;
         }
-        let is_older = said.refutations < self.own.refutations;
-        let is_true = said.refutations == self.own.refutations && said.health == Health::Alive;
+        let is_older = claim.refutations < self.own.refutations;
+        let is_true = claim.refutations == self.own.refutations && claim.health == Health::Alive;
         if is_older || is_true {
             return;
         }
-        self.prober.doubt_self();
-        self.renew_own(said.refutations + 1);
+        self.prober.raise_health_score();
+        self.raise_own_version(claim.refutations + 1);
     }
 
-    fn hear_outranked(&mut self, incarnation: Incarnation, actions: &mut Vec<MembershipAction>) {
+    fn handle_outranked(&mut self, incarnation: Incarnation, actions: &mut Vec<MembershipAction>) {
         if incarnation > self.own.member.incarnation {
             actions.push(MembershipAction::Outranked { incarnation });
         }
     }
 
-    fn take_notice(&mut self, now: Duration, notice: Notice, actions: &mut Vec<MembershipAction>) {
-        match self.notices.merge(now, self.unix_us(now) / 1_000, &notice) {
+    fn handle_notice(
+        &mut self,
+        now: Duration,
+        notice: Notice,
+        actions: &mut Vec<MembershipAction>,
+    ) {
+        match self
+            .notices
+            .merge(now, self.estimated_unix_us(now) / 1_000, &notice)
+        {
             Ok(false) => self
-                .news
-                .hear_notice(&(&notice).into(), self.member_count()),
+                .dissemination
+                .record_received_notice(&(&notice).into(), self.member_count()),
             Ok(true) => {
-                self.news.push_notice((&notice).into());
+                self.dissemination.queue_notice((&notice).into());
                 actions.push(MembershipAction::NoticeReceived(notice));
             }
-            Err(reason) => self.rejections.count(reason),
+            Err(reason) => self.rejections.record(reason),
         }
     }
 
-    fn take_body(
+    fn handle_body(
         &mut self,
         now: Duration,
         sender: &HostId,
@@ -162,19 +171,19 @@
             Body::Probe { sequence } => {
                 self.send(now, sender.clone(), Body::ProbeAck { sequence }, actions);
             }
-            Body::ProbeAck { sequence } => self.prober.acked(sequence, &mut out),
+            Body::ProbeAck { sequence } => self.prober.handle_ack(sequence, &mut out),
             Body::IndirectProbe { sequence, target } => {
                 self.prober
-                    .relay(now, sender.clone(), sequence, target, &mut out);
+                    .relay_probe(now, sender.clone(), sequence, target, &mut out);
             }
-            Body::ProbeNack { sequence } => self.prober.nacked(sequence),
+            Body::ProbeNack { sequence } => self.prober.handle_nack(sequence),
             Body::Gossip => {}
             Body::SyncRequest { digest } => self.answer_sync(now, sender, &digest, actions),
             Body::SyncTable {
                 records,
                 answer_wanted,
-            } => self.take_table(now, sender, records, answer_wanted, actions),
-            Body::Outranked { incarnation } => self.hear_outranked(incarnation, actions),
+            } => self.handle_table(now, sender, records, answer_wanted, actions),
+            Body::Outranked { incarnation } => self.handle_outranked(incarnation, actions),
         }
         self.send_all(now, out, actions);
     }
@@ -190,11 +199,11 @@
         if ours == *theirs {
             return;
         }
-        if now < self.next_table_at {
-            self.rejections.count(Rejection::SyncTooOften);
+        if now < self.next_table_send_at {
+            self.rejections.record(Rejection::SyncTooOften);
             return;
         }
-        self.next_table_at = now + TABLE_INTERVAL;
+        self.next_table_send_at = now + MIN_TABLE_INTERVAL;
         let with_notices = ours.notices != theirs.notices;
         let body = Body::SyncTable {
             records: table_sync::differing(&self.table, &ours, theirs),
@@ -203,7 +212,7 @@
         self.send_table(now, sender, body, with_notices, actions);
     }
 
-    fn take_table(
+    fn handle_table(
         &mut self,
         now: Duration,
         sender: &HostId,
@@ -212,7 +221,7 @@
         actions: &mut Vec<MembershipAction>,
     ) {
         if let Err(reason) = Admission::check_table(&records) {
-            self.rejections.count(reason);
+            self.rejections.record(reason);
             return;
         }
         let answer = answer_wanted.map(|theirs| {
@@ -223,7 +232,7 @@
         });
         for record in records {
             let accuser = (record.health == Health::Suspect).then(|| sender.clone());
-            self.take_update(now, Update { record, accuser }, Source::Table, actions);
+            self.handle_update(now, Update { record, accuser }, Source::TableSync, actions);
         }
         if let Some((records, notices_differ)) = answer {
             let body = Body::SyncTable {
@@ -242,9 +251,9 @@
         with_notices: bool,
         actions: &mut Vec<MembershipAction>,
     ) {
-        let mut message = self.message(now, to, body);
+        let mut message = self.build_message(now, to, body);
         if with_notices {
-            message.notices = self.notices.all(now);
+            message.notices = self.notices.notices_in_force(now);
         }
         let to = to.clone();
         actions.push(MembershipAction::Send { to, message });
--- a/crates/coordination/src/membership/rejections.rs
+++ b/crates/coordination/src/membership/rejections.rs
@@ -1,10 +1,10 @@
-//! Counts what was refused, by reason.
+//! Counts rejected messages and entries by reason.
 
 use std::collections::BTreeMap;
 
 use thiserror::Error;
 
-/// Why a message, or one entry of a message, was refused.
+/// Reason for which a message, or one entry of a message, was rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Error)]
 pub enum Rejection {
     /// The sender is in neither the settings, the host list nor the table.
@@ -17,16 +17,16 @@
     #[error("sender has an older incarnation")]
     StaleIncarnation,
     /// An incarnation lies further in the future than clocks may differ.
-    #[error("incarnation lies in the future")]
+    #[error("incarnation lies too far in the future")]
     AbsurdIncarnation,
     /// A refutation count is far above the one known.
-    #[error("refutation count is absurd")]
+    #[error("refutation count is implausibly high")]
     AbsurdRefutations,
-    /// The configuration generation is above what any fleet reaches.
-    #[error("configuration generation is absurd")]
+    /// The configuration generation is above any that a fleet can reach.
+    #[error("configuration generation is implausibly high")]
     AbsurdGeneration,
     /// A notice lies in the future or lasts too long.
-    #[error("notice is absurd")]
+    #[error("notice lies in the future or lasts too long")]
     AbsurdNotice,
     /// The sender uses this host's own name.
     #[error("sender uses this host's name")]
@@ -34,26 +34,26 @@
     /// The sender calls itself suspect or dead.
     #[error("sender declares itself suspect or dead")]
     SelfAccusation,
-    /// The message has more entries than any member sends.
+    /// The message or table has more entries than any member sends.
     #[error("message has too many entries")]
     Oversized,
-    /// A table was asked for too soon after the last one.
-    #[error("table was asked for too often")]
+    /// A table was requested too soon after the previous one.
+    #[error("table was requested too soon after the previous one")]
     SyncTooOften,
 }
 
-/// Number of refusals by reason.
+/// Number of rejections by reason.
 #[derive(Debug, Clone, Default)]
 pub struct Rejections {
     counts: BTreeMap<Rejection, u64>,
 }
 
 impl Rejections {
-    pub(crate) fn count(&mut self, reason: Rejection) {
+    pub(crate) fn record(&mut self, reason: Rejection) {
         *self.counts.entry(reason).or_default() += 1;
     }
 
-    /// Returns how often something was refused for `reason`.
+    /// Returns the number of rejections for `reason`.
     ///
     /// ```
     /// use sedgeridge_coordination::membership::{Rejection, Rejections};
@@ -64,7 +64,7 @@
         self.counts.get(&reason).copied().unwrap_or(0)
     }
 
-    /// Lists the reasons met so far, in fixed order.
+    /// Iterates over the reasons counted so far, in fixed order.
     ///
     /// ```
     /// use sedgeridge_coordination::membership::Rejections;
--- a/crates/coordination/src/membership/table_sync.rs
+++ b/crates/coordination/src/membership/table_sync.rs
@@ -1,4 +1,4 @@
-//! Compares tables part by part, so that what differs is all that is sent (anti-entropy).
+//! Anti-entropy: compares tables bucket by bucket, so that only differing buckets are sent.
 
 use std::collections::BTreeMap;
 
@@ -9,18 +9,19 @@
 use super::messages::DIGEST_BUCKETS;
 use super::messages::MemberRecord;
 use super::messages::TableDigest;
-use super::notice_board::NoticeBoard;
+use super::notice_table::NoticeTable;
 
-/// Summarises what two members should agree on. Suspicions and dead members are left out: the
-/// first pass too quickly to be worth a table, the second are forgotten at different times.
+/// Returns the digest of the state on which two members should agree. Suspicions and dead members
+/// are left out: suspicions end too quickly to be worth sending a table, and dead members are
+/// removed at different times.
 pub(crate) fn digest(
     own: &MemberRecord,
     table: &MemberTable,
-    notices: &NoticeBoard,
+    notices: &NoticeTable,
 ) -> TableDigest {
     let mut buckets = Box::new([0_u32; DIGEST_BUCKETS]);
-    for record in table.live().chain([own]) {
-        // A sum does not depend on the order, in which the own record has no place.
+    for record in table.live_records().chain([own]) {
+        // A sum does not depend on the order, and the own record is not in the table's order.
         let bucket = &mut buckets[bucket_of(&record.member.host)];
         *bucket = bucket.wrapping_add(record_hash(record));
     }
@@ -30,7 +31,7 @@
     }
 }
 
-/// Returns the records held in those parts where the digests differ.
+/// Returns the records in those buckets where the digests differ.
 pub(crate) fn differing(
     table: &MemberTable,
     ours: &TableDigest,
@@ -43,7 +44,7 @@
     table.records().filter(differs).cloned().collect()
 }
 
-/// Returns those of our records that are newer than in `theirs`, or missing there.
+/// Returns the records of `ours` that are newer than in `theirs`, or live and missing there.
 pub(crate) fn newer_than(ours: Vec<MemberRecord>, theirs: &[MemberRecord]) -> Vec<MemberRecord> {
     let theirs: BTreeMap<&HostId, &MemberRecord> =
         theirs.iter().map(|r| (&r.member.host, r)).collect();
@@ -69,7 +70,7 @@
     hash.0
 }
 
-fn notices_hash(notices: &NoticeBoard) -> u32 {
+fn notices_hash(notices: &NoticeTable) -> u32 {
     let mut hash = Fnv::default();
     for key in notices.keys() {
         match key {
@@ -80,7 +81,7 @@
     hash.0
 }
 
-/// The FNV-1a hash, 32 bits wide: equal on every host and cheap; it guards against nobody.
+/// 32-bit FNV-1a hash: cheap and equal on every host, but not secure against crafted collisions.
 #[derive(Debug)]
 struct Fnv(u32);
 
