--- a/crates/coordination/src/config_adoption.rs
+++ b/crates/coordination/src/config_adoption.rs
@@ -1,8 +1,8 @@
-//! How a router comes to the accepted configuration, and never back from it.
+//! Adoption of accepted configurations by a router, which never returns to a lower generation.
 //!
-//! Routers poll the head at a rate that is shared by the whole fleet, and tell each other the
-//! generation in force. Who hears of a higher one fetches it from the peer that told, else from the
-//! store.
+//! Routers poll the head at a rate that the whole fleet shares, and tell each other the generation
+//! in force. A router that learns of a higher generation fetches it from the peer that told it, or
+//! else from the store.
 
 mod fetch;
 mod join;
@@ -26,53 +26,53 @@
 use crate::store_call::CallCounter;
 use crate::store_call::CallId;
 
-/// Adoption of configurations by one router. `C` is the content of a change.
+/// Adopts configurations on one router. `C` is the content of a change.
 #[derive(Debug)]
 pub struct ConfigAdoption<C> {
     settings: ConfigAdoptionSettings,
-    current: Option<Generation>,
-    /// Highest generation heard of.
-    highest: Option<Generation>,
-    /// Generations that peers told, by peer believed alive.
-    peers: BTreeMap<Member, Option<Generation>>,
-    recent: VecDeque<ConfigItem<C>>,
+    current_generation: Option<Generation>,
+    /// Highest generation known from the head or a peer.
+    highest_generation: Option<Generation>,
+    /// Generations in force at the live peers, as far as they told.
+    peer_generations: BTreeMap<Member, Option<Generation>>,
+    recent_items: VecDeque<ConfigItem<C>>,
     join: Join,
-    poll: Option<(CallId, Duration)>,
+    pending_poll: Option<(CallId, Duration)>,
     next_poll_at: Duration,
-    has_spread_polls: bool,
-    fetch: Option<Fetch>,
+    has_randomized_poll_phase: bool,
+    pending_fetch: Option<Fetch>,
     next_fetch_at: Duration,
-    failures: u32,
+    failed_fetches: u32,
     calls: CallCounter,
-    jitter: Backoff,
+    backoff: Backoff,
 }
 
 impl<C> ConfigAdoption<C> {
-    /// Creates the adoption of a router that has no configuration and is not ready.
+    /// Creates the adoption for a router that has no configuration and is not ready.
     ///
     /// ```
     /// use sedgeridge_coordination::config_adoption::ConfigAdoption;
     /// use sedgeridge_coordination::config_events::ConfigAdoptionSettings;
     ///
     /// let adoption = ConfigAdoption::<String>::new(ConfigAdoptionSettings::default(), 7);
-    /// assert_eq!(adoption.current(), None);
+    /// assert_eq!(adoption.current_generation(), None);
     /// ```
     pub fn new(settings: ConfigAdoptionSettings, seed: u64) -> Self {
         let base = millis(settings.base_backoff_ms);
         Self {
-            jitter: Backoff::new(base, millis(settings.max_backoff_ms), seed),
+            backoff: Backoff::new(base, millis(settings.max_backoff_ms), seed),
             join: Join::new(&settings),
             settings,
-            current: None,
-            highest: None,
-            peers: BTreeMap::new(),
-            recent: VecDeque::new(),
-            poll: None,
+            current_generation: None,
+            highest_generation: None,
+            peer_generations: BTreeMap::new(),
+            recent_items: VecDeque::new(),
+            pending_poll: None,
             next_poll_at: Duration::ZERO,
-            has_spread_polls: false,
-            fetch: None,
+            has_randomized_poll_phase: false,
+            pending_fetch: None,
             next_fetch_at: Duration::ZERO,
-            failures: 0,
+            failed_fetches: 0,
             calls: CallCounter::default(),
         }
     }
@@ -84,14 +84,14 @@
     /// use sedgeridge_coordination::config_events::ConfigAdoptionSettings;
     ///
     /// let adoption = ConfigAdoption::<String>::new(ConfigAdoptionSettings::default(), 7);
-    /// assert!(adoption.current().is_none());
+    /// assert!(adoption.current_generation().is_none());
     /// ```
-    pub fn current(&self) -> Option<Generation> {
-        self.current
+    pub fn current_generation(&self) -> Option<Generation> {
+        self.current_generation
     }
 
-    /// Returns the changes after a generation, for a peer; none if not all of them are kept, so
-    /// that the peer needs the whole configuration.
+    /// Returns the changes after a generation, for a peer, or `None` if not all of them are kept and
+    /// the peer needs the whole configuration.
     ///
     /// ```
     /// use sedgeridge_coordination::config_adoption::ConfigAdoption;
@@ -106,17 +106,17 @@
     {
         let after = after?;
         let newer: Vec<_> = self
-            .recent
+            .recent_items
             .iter()
             .filter(|i| i.generation > after)
             .collect();
         let first = newer.first()?;
-        let is_whole = matches!(first.content, ConfigItemContent::Snapshot(_));
+        let is_snapshot = matches!(first.content, ConfigItemContent::Snapshot(_));
         let is_next = first.generation.0 == after.0 + 1;
-        (is_whole || is_next).then(|| newer.into_iter().cloned().collect())
+        (is_snapshot || is_next).then(|| newer.into_iter().cloned().collect())
     }
 
-    /// Takes one event and appends what is to be done.
+    /// Handles one event and appends the resulting actions.
     ///
     /// ```
     /// use std::time::Duration;
@@ -136,101 +136,116 @@
     ) where
         C: Clone,
     {
-        self.join.start(now);
+        self.join.start_wait(now);
         match event {
-            ConfigEvent::PeersChanged(peers) => self.take_peers(peers, actions),
+            ConfigEvent::PeersChanged(peers) => self.set_peers(peers, actions),
             ConfigEvent::PeerGeneration { peer, generation } => {
-                self.join.peer_answered(&peer);
-                self.peers
+                self.join.record_peer_answer(&peer);
+                self.peer_generations
                     .entry(peer)
                     .and_modify(|g| *g = generation.max(*g));
-                self.hear(generation);
+                self.raise_highest_generation(generation);
             }
             ConfigEvent::HeadRead { call, generation } => {
-                self.end_head_read(call);
-                self.hear(generation);
+                self.complete_head_read(call);
+                self.raise_highest_generation(generation);
             }
-            ConfigEvent::Fetched { call, items } => self.take_items(now, call, items, actions),
+            ConfigEvent::Fetched { call, items } => self.handle_items(now, call, items, actions),
             ConfigEvent::CallFailed { call } => {
-                if self.poll.take_if(|(polled, _)| *polled == call).is_some() {
-                    self.join.head_failed();
+                if self
+                    .pending_poll
+                    .take_if(|(polled, _)| *polled == call)
+                    .is_some()
+                {
+                    self.join.record_head_failure();
                 }
                 self.fail_fetch(now, call);
             }
             ConfigEvent::Tick => {}
         }
-        self.end_silent_calls(now);
-        self.poll(now, actions);
-        self.fetch(now, actions);
+        self.time_out_calls(now);
+        self.poll_head(now, actions);
+        self.start_fetch(now, actions);
     }
 
-    fn take_peers(&mut self, peers: Vec<Member>, actions: &mut Vec<ConfigAction<C>>) {
-        let known = std::mem::take(&mut self.peers);
+    fn set_peers(&mut self, peers: Vec<Member>, actions: &mut Vec<ConfigAction<C>>) {
+        let known = std::mem::take(&mut self.peer_generations);
         for peer in peers {
             let generation = known.get(&peer).copied().flatten();
-            self.peers.insert(peer, generation);
+            self.peer_generations.insert(peer, generation);
         }
-        let asked = self.join.peers_to_ask(self.peers.keys());
+        let asked = self.join.peers_to_ask(self.peer_generations.keys());
         actions.extend(asked.into_iter().map(ConfigAction::AskPeer));
     }
 
-    fn hear(&mut self, generation: Option<Generation>) {
-        self.highest = self.highest.max(generation);
+    fn raise_highest_generation(&mut self, generation: Option<Generation>) {
+        self.highest_generation = self.highest_generation.max(generation);
     }
 
-    /// Polls the head, so that the fleet as a whole keeps to its share of the table's reads.
-    fn poll(&mut self, now: Duration, actions: &mut Vec<ConfigAction<C>>) {
-        if self.poll.is_some() || now < self.next_poll_at {
+    /// Polls the head at a rate at which the whole fleet keeps to its share of the table's reads.
+    fn poll_head(&mut self, now: Duration, actions: &mut Vec<ConfigAction<C>>) {
+        if self.pending_poll.is_some() || now < self.next_poll_at {
             return;
         }
         let call = self.calls.next();
-        self.poll = Some((call, now));
+        self.pending_poll = Some((call, now));
         self.next_poll_at = now + self.poll_interval();
-        let is_exact = self.current.is_none();
+        let is_exact = self.current_generation.is_none();
         actions.push(ConfigAction::ReadHead { call, is_exact });
     }
 
-    /// Routers that started together would also poll together: with 200 of them nobody would look
-    /// at the head for ten seconds, and a change would be that late. So the second poll comes
-    /// at any time of the interval.
+    /// Returns the time until the next poll.
+    ///
+    /// Routers that started together would also poll together: with 200 of them none would read the
+    /// head for ten seconds, and a change would be delayed by as much. So the second poll falls at a
+    /// random point of the interval.
     fn poll_interval(&mut self) -> Duration {
-        let routers = self.peers.len() as u64 + 1;
+        let routers = self.peer_generations.len() as u64 + 1;
         let fair_share_ms = routers * 1_000 / self.settings.fleet_polls_per_s;
-        let least = self.settings.min_poll_interval_ms;
-        let mean_ms = fair_share_ms.clamp(least, self.settings.max_poll_interval_ms);
-        if !self.has_spread_polls {
-            self.has_spread_polls = true;
-            return self.jitter.spread(millis(mean_ms));
+        let min_interval_ms = self.settings.min_poll_interval_ms;
+        let mean_ms = fair_share_ms.clamp(min_interval_ms, self.settings.max_poll_interval_ms);
+        if !self.has_randomized_poll_phase {
+            self.has_randomized_poll_phase = true;
+            return self.backoff.spread(millis(mean_ms));
         }
-        // Jitter takes up to half away.
-        self.jitter.jitter(millis(mean_ms * 4 / 3))
+        // Jitter shortens the interval by up to half, so 4/3 keeps the mean.
+        self.backoff.jitter(millis(mean_ms * 4 / 3))
     }
 
-    fn end_head_read(&mut self, call: CallId) {
-        if self.poll.take_if(|(polled, _)| *polled == call).is_some() {
-            self.join.head_answered();
+    fn complete_head_read(&mut self, call: CallId) {
+        if self
+            .pending_poll
+            .take_if(|(polled, _)| *polled == call)
+            .is_some()
+        {
+            self.join.record_head_answer();
         }
     }
 
-    fn end_silent_calls(&mut self, now: Duration) {
+    fn time_out_calls(&mut self, now: Duration) {
         let timeout = millis(self.settings.call_timeout_ms);
-        let silent_poll = self.poll.take_if(|(_, sent_at)| *sent_at + timeout <= now);
-        if silent_poll.is_some() {
-            self.join.head_failed();
+        let timed_out_poll = self
+            .pending_poll
+            .take_if(|(_, sent_at)| *sent_at + timeout <= now);
+        if timed_out_poll.is_some() {
+            self.join.record_head_failure();
         }
-        let silent = self.fetch.as_ref().filter(|f| f.sent_at + timeout <= now);
-        if let Some(call) = silent.map(|f| f.call) {
+        let timed_out_fetch = self
+            .pending_fetch
+            .as_ref()
+            .filter(|f| f.sent_at + timeout <= now);
+        if let Some(call) = timed_out_fetch.map(|f| f.call) {
             self.fail_fetch(now, call);
         }
     }
 
-    /// Puts items in force, each directly after the one before it.
+    /// Puts fetched items in force, in order and without gaps.
     ///
-    /// A lower generation is left out, whoever sent it: a stale read or a peer that lags would
-    /// otherwise turn an accepted configuration back. A delta that does not follow the generation
-    /// in force is left out too, as applied over a gap it would make a configuration that nobody
-    /// accepted; the fetch is repeated.
-    fn take_items(
+    /// A lower generation is dropped, whoever sent it: a stale read or a lagging peer would otherwise
+    /// revert an accepted configuration. A delta that does not directly follow the generation in
+    /// force is dropped too: applied over a gap, it would produce a configuration that was never
+    /// accepted. What is still missing is fetched again.
+    fn handle_items(
         &mut self,
         now: Duration,
         call: CallId,
@@ -240,8 +255,8 @@
         C: Clone,
     {
         items.sort_by_key(|item| item.generation);
-        self.hear(items.last().map(|item| item.generation));
-        let mut reached = self.current;
+        self.raise_highest_generation(items.last().map(|item| item.generation));
+        let mut reached = self.current_generation;
         items.retain(|item| {
             let follows = follows(item, reached);
             if follows {
@@ -249,13 +264,13 @@
             }
             follows
         });
-        let is_behind = self.current.is_none() && reached < self.highest;
-        if items.is_empty() || is_behind || !self.join.is_settled(now) {
+        let is_behind = self.current_generation.is_none() && reached < self.highest_generation;
+        if items.is_empty() || is_behind || !self.join.may_start(now) {
             self.fail_fetch(now, call);
             return;
         }
-        self.fetch.take_if(|f| f.call == call);
-        self.failures = 0;
+        self.pending_fetch.take_if(|f| f.call == call);
+        self.failed_fetches = 0;
         self.adopt(items, actions);
     }
 
@@ -263,16 +278,16 @@
     where
         C: Clone,
     {
-        let is_first = self.current.is_none();
-        self.current = items.last().map(|item| item.generation);
-        self.recent.extend(items.iter().cloned());
+        let is_first = self.current_generation.is_none();
+        self.current_generation = items.last().map(|item| item.generation);
+        self.recent_items.extend(items.iter().cloned());
         let excess = self
-            .recent
+            .recent_items
             .len()
-            .saturating_sub(self.settings.recent_changes);
-        self.recent.drain(..excess);
+            .saturating_sub(self.settings.max_recent_changes);
+        self.recent_items.drain(..excess);
         actions.push(ConfigAction::Adopt(items));
-        actions.extend(self.current.map(ConfigAction::Announce));
+        actions.extend(self.current_generation.map(ConfigAction::Announce));
         if is_first {
             actions.push(ConfigAction::Ready);
         }
--- a/crates/coordination/src/config_adoption/join.rs
+++ b/crates/coordination/src/config_adoption/join.rs
@@ -1,4 +1,4 @@
-//! Which configuration a router without memory may start from.
+//! Decides from which generation a restarted router, which has no stored state, may start.
 
 use std::time::Duration;
 
@@ -14,73 +14,77 @@
     Answered,
 }
 
-/// Keeps a restarted router from starting with a generation that the fleet has left behind.
+/// Keeps a restarted router from starting with a generation that the fleet has replaced.
 ///
-/// A stale read of the table, or a peer that lags, would put an old generation in force on a host
-/// that had a newer one before its restart: callers would see the configuration turn back. So the
-/// router reads the head exactly, and starts with nothing lower. While the table is down it starts
-/// with the highest generation that the peers it asked told, or those that answer within a while.
+/// A stale read of the table, or a lagging peer, would put an old generation in force on a host
+/// that had a newer one before its restart: callers would see the configuration revert. So the
+/// router reads the head exactly and does not start with a lower generation. While the table is
+/// down, it starts with the highest generation of the peers it asked, or of those that answer in
+/// time.
 #[derive(Debug)]
 pub(super) struct Join {
-    wait: Duration,
-    most_peers: usize,
-    asked: Vec<Member>,
-    answered: Vec<Member>,
-    head: HeadRead,
-    wait_until: Option<Duration>,
+    max_wait: Duration,
+    max_peers: usize,
+    asked_peers: Vec<Member>,
+    answered_peers: Vec<Member>,
+    head_read: HeadRead,
+    deadline: Option<Duration>,
 }
 
 impl Join {
     pub(super) fn new(settings: &ConfigAdoptionSettings) -> Self {
         Self {
-            wait: millis(settings.join_wait_ms),
-            most_peers: settings.join_peers,
-            asked: Vec::new(),
-            answered: Vec::new(),
-            head: HeadRead::Awaited,
-            wait_until: None,
+            max_wait: millis(settings.join_wait_ms),
+            max_peers: settings.max_join_peers,
+            asked_peers: Vec::new(),
+            answered_peers: Vec::new(),
+            head_read: HeadRead::Awaited,
+            deadline: None,
         }
     }
 
-    pub(super) fn start(&mut self, now: Duration) {
-        self.wait_until.get_or_insert(now + self.wait);
+    pub(super) fn start_wait(&mut self, now: Duration) {
+        self.deadline.get_or_insert(now + self.max_wait);
     }
 
     pub(super) fn peers_to_ask<'a>(
         &mut self,
         peers: impl Iterator<Item = &'a Member>,
     ) -> Vec<Member> {
-        let free = self.most_peers.saturating_sub(self.asked.len());
-        let new = peers.filter(|p| !self.asked.contains(p)).take(free);
+        let remaining = self.max_peers.saturating_sub(self.asked_peers.len());
+        let new = peers
+            .filter(|p| !self.asked_peers.contains(p))
+            .take(remaining);
         let new: Vec<_> = new.cloned().collect();
-        self.asked.extend(new.iter().cloned());
+        self.asked_peers.extend(new.iter().cloned());
         new
     }
 
-    pub(super) fn peer_answered(&mut self, peer: &Member) {
-        if !self.answered.contains(peer) && self.asked.contains(peer) {
-            self.answered.push(peer.clone());
+    pub(super) fn record_peer_answer(&mut self, peer: &Member) {
+        if !self.answered_peers.contains(peer) && self.asked_peers.contains(peer) {
+            self.answered_peers.push(peer.clone());
         }
     }
 
-    pub(super) fn head_answered(&mut self) {
-        self.head = HeadRead::Answered;
+    pub(super) fn record_head_answer(&mut self) {
+        self.head_read = HeadRead::Answered;
     }
 
-    pub(super) fn head_failed(&mut self) {
-        if self.head == HeadRead::Awaited {
-            self.head = HeadRead::Failed;
+    pub(super) fn record_head_failure(&mut self) {
+        if self.head_read == HeadRead::Awaited {
+            self.head_read = HeadRead::Failed;
         }
     }
 
-    /// Tells whether the generations heard so far are enough to start from.
-    pub(super) fn is_settled(&self, now: Duration) -> bool {
-        let all_heard = !self.asked.is_empty() && self.answered.len() == self.asked.len();
-        let is_over = self.wait_until.is_some_and(|at| at <= now);
-        match self.head {
+    /// Whether the generations known so far suffice to start.
+    pub(super) fn may_start(&self, now: Duration) -> bool {
+        let all_answered =
+            !self.asked_peers.is_empty() && self.answered_peers.len() == self.asked_peers.len();
+        let is_past_deadline = self.deadline.is_some_and(|at| at <= now);
+        match self.head_read {
             HeadRead::Answered => true,
-            HeadRead::Failed => all_heard || is_over,
-            HeadRead::Awaited => is_over,
+            HeadRead::Failed => all_answered || is_past_deadline,
+            HeadRead::Awaited => is_past_deadline,
         }
     }
 }
--- a/crates/coordination/src/config_events.rs
+++ b/crates/coordination/src/config_events.rs
@@ -1,4 +1,4 @@
-//! What goes into and comes out of [`crate::config_adoption::ConfigAdoption`].
+//! Events and actions of [`crate::config_adoption::ConfigAdoption`].
 
 use std::sync::Arc;
 
@@ -6,31 +6,31 @@
 
 use crate::store_call::CallId;
 
-/// Counts accepted configurations. Generations have no gaps; the first is 1.
+/// Number of an accepted configuration. Generations start at 1 and have no gaps.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Generation(pub u64);
 
-/// Limits of the adoption.
+/// Settings of the adoption.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ConfigAdoptionSettings {
-    /// Reads of the head that the whole fleet may make in a second.
+    /// Reads of the head by the whole fleet per second.
     pub fleet_polls_per_s: u64,
-    /// Least time between two polls of one router.
+    /// Shortest mean time between two polls of one router.
     pub min_poll_interval_ms: u64,
-    /// Longest time between two polls of one router.
+    /// Longest mean time between two polls of one router.
     pub max_poll_interval_ms: u64,
-    /// Time after which a call without answer is given up.
+    /// Time after which an unanswered call is given up.
     pub call_timeout_ms: u64,
-    /// Time a router that starts waits for the generations of its peers.
+    /// Time for which a starting router waits for the generations of its peers.
     pub join_wait_ms: u64,
-    /// Peers that a router asks when it starts.
-    pub join_peers: usize,
-    /// First pause after a failed fetch; it doubles and is jittered.
+    /// Maximum number of peers that a starting router asks.
+    pub max_join_peers: usize,
+    /// Backoff after the first failed fetch. It doubles with each failure and is jittered.
     pub base_backoff_ms: u64,
-    /// Longest pause after failed fetches.
+    /// Longest backoff after failed fetches.
     pub max_backoff_ms: u64,
-    /// Changes kept for peers.
-    pub recent_changes: usize,
+    /// Maximum number of changes kept for peers.
+    pub max_recent_changes: usize,
 }
 
 impl Default for ConfigAdoptionSettings {
@@ -41,20 +41,20 @@
             max_poll_interval_ms: 60_000,
             call_timeout_ms: 1_000,
             join_wait_ms: 1_000,
-            join_peers: 3,
+            max_join_peers: 3,
             base_backoff_ms: 100,
             max_backoff_ms: 5_000,
-            recent_changes: 64,
+            max_recent_changes: 64,
         }
     }
 }
 
-/// One generation, or several merged into a whole configuration.
+/// One change, or a whole configuration that merges several generations.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ConfigItem<C> {
-    /// Generation that stands when it is applied.
+    /// Generation in force once the item is applied.
     pub generation: Generation,
-    /// Content.
+    /// The content.
     pub content: ConfigItemContent<C>,
 }
 
@@ -63,23 +63,23 @@
 pub enum ConfigItemContent<C> {
     /// The whole configuration.
     Snapshot(Arc<C>),
-    /// What differs from the generation before.
+    /// The difference from the previous generation.
     Delta(Arc<C>),
 }
 
-/// What happens to the adoption.
+/// An event for the adoption.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ConfigEvent<C> {
-    /// The other members believed alive changed.
+    /// The other live members changed.
     PeersChanged(Vec<Member>),
-    /// A peer told the generation it has in force; none if it has none.
+    /// A peer told which generation it has in force, if any.
     PeerGeneration {
         /// The peer.
         peer: Member,
         /// Its generation.
         generation: Option<Generation>,
     },
-    /// The head was read; none if no configuration was accepted yet.
+    /// The head was read. The generation is `None` if no configuration was accepted yet.
     HeadRead {
         /// The call.
         call: CallId,
@@ -90,52 +90,52 @@
     Fetched {
         /// The call.
         call: CallId,
-        /// What was found.
+        /// The items found.
         items: Vec<ConfigItem<C>>,
     },
-    /// A call got no usable answer.
+    /// A call had no usable answer.
     CallFailed {
         /// The call.
         call: CallId,
     },
-    /// Time passed.
+    /// A timer fired.
     Tick,
 }
 
-/// What the adoption wants done.
+/// An action that the caller of the adoption carries out.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ConfigAction<C> {
     /// Read the head from the table.
     ReadHead {
-        /// Names the call.
+        /// Identifies the call.
         call: CallId,
-        /// Whether an older value would do harm. An exact read is a transaction that checks the
-        /// head for absence and writes nothing: its conflict names the row that stands.
+        /// Whether a stale value is not acceptable. An exact read is a transaction that checks that
+        /// the head is absent and writes nothing: its conflict names the current row.
         is_exact: bool,
     },
     /// Ask a peer for the generation it has in force.
     AskPeer(Member),
     /// Fetch from the table and the object store.
     FetchFromStore {
-        /// Names the call.
+        /// Identifies the call.
         call: CallId,
-        /// Generation in force; without it the whole configuration is needed.
+        /// Generation in force. Without one the whole configuration is needed.
         after: Option<Generation>,
         /// Newest generation wanted.
         up_to: Generation,
     },
     /// Fetch from a peer.
     FetchFromPeer {
-        /// Names the call.
+        /// Identifies the call.
         call: CallId,
         /// The peer.
         peer: Member,
-        /// Generation in force; without it the whole configuration is needed.
+        /// Generation in force. Without one the whole configuration is needed.
         after: Option<Generation>,
     },
-    /// Put these items in force, in order and as one step.
+    /// Put these items in force, in order and in one step.
     Adopt(Vec<ConfigItem<C>>),
-    /// Tell peers the generation now in force.
+    /// Tell peers which generation is now in force.
     Announce(Generation),
     /// The router has a configuration and may take requests.
     Ready,
--- a/crates/coordination/src/coordinator.rs
+++ b/crates/coordination/src/coordinator.rs
@@ -75,7 +75,7 @@
         seed: u64,
     ) -> Self {
         let sweep_seed = seed.wrapping_add(1);
-        let config = NodeConfig::of_host(&member.host, configuration, seed.wrapping_add(2));
+        let config = NodeConfig::for_host(&member.host, configuration, seed.wrapping_add(2));
         let mut orders = Orders::new(settings.orders.clone());
         // Until the accepted configuration is read, an order would go by files that may be old.
         if config.is_none() {
--- a/crates/coordination/src/membership/messages.rs
+++ b/crates/coordination/src/membership/messages.rs
@@ -84,7 +84,8 @@
 pub struct Update {
     /// The new record.
     pub record: MemberRecord,
-    /// For a suspect, the host whose probe went unanswered. Independent accusers shorten the suspicion.
+    /// For a suspect, the host whose probe went unanswered. Independent accusers shorten the time to
+    /// refute.
     pub accuser: Option<HostId>,
 }
 
--- a/crates/coordination/src/node.rs
+++ b/crates/coordination/src/node.rs
@@ -1,5 +1,5 @@
-//! One router's decisions as a whole: membership, the entry part, and the homes of the pools that
-//! stand on this router.
+//! The state machine of one router: membership, the entry part, claims, configuration, and the
+//! homes of the pools that membership places on this router.
 
 mod homes;
 mod peers;
@@ -40,20 +40,21 @@
 pub use crate::node_events::NodeLoad;
 pub use crate::node_events::PeerMessage;
 
-/// Longest chain of reports and grants inside one router that one event may cause; each step uses
-/// up a waiting request or a slot, so it ends by itself, and the bound only guards that claim.
+/// Maximum number of rounds of reports and grants inside one router that one event may cause. Each
+/// round uses up a waiting request or a slot, so the exchange ends by itself. The bound only guards
+/// against a violation of that.
 pub(crate) const MAX_LOCAL_ROUNDS: usize = 10_000;
 
-/// What the parts of a router want done, gathered while one event is handled.
+/// Actions of the parts of a router, collected while one event is handled.
 #[derive(Debug, Default)]
 pub(crate) struct Outbox {
-    /// Wanted by the entry part, not yet passed on.
-    pub(crate) entry: Vec<EntryAction>,
-    /// For the edge.
+    /// Actions of the entry part that are not yet handled.
+    pub(crate) entry_actions: Vec<EntryAction>,
+    /// Actions for the caller of the node.
     pub(crate) actions: Vec<NodeAction>,
 }
 
-/// All decisions of one router.
+/// The state machine of one router.
 ///
 /// ```
 /// use std::time::Duration;
@@ -76,19 +77,19 @@
     claims: NodeClaims,
     config: Option<NodeConfig>,
     pub(crate) homes: BTreeMap<PoolId, HomedPool>,
-    live: Vec<LiveMember>,
-    schedule: ReportSchedule,
+    live_members: Vec<LiveMember>,
+    report_schedule: ReportSchedule,
 }
 
 impl Node {
-    /// Creates the router run `member` under a configuration; `seed` feeds every random choice.
+    /// Creates the state of the router run `member`. All random choices derive from `seed`.
     pub fn new(member: Member, settings: Settings, seed: u64) -> Self {
         let hosts: Vec<HostId> = settings.hosts.iter().map(|host| host.id.clone()).collect();
-        let schedule = ReportSchedule::new(
+        let report_schedule = ReportSchedule::new(
             millis(settings.fair.batch_interval_ms),
             millis(settings.fair.report_interval_ms),
         );
-        let config = NodeConfig::of_host(&member.host, &settings, seed.wrapping_add(3));
+        let config = NodeConfig::for_host(&member.host, &settings, seed.wrapping_add(3));
         let membership = Membership::new(member.clone(), settings.membership.clone(), hosts, seed);
         let mut node = Self {
             entry: Entry::new(member.clone(), &settings, seed.wrapping_add(1)),
@@ -98,11 +99,11 @@
             settings,
             membership,
             homes: BTreeMap::new(),
-            live: Vec::new(),
-            schedule,
+            live_members: Vec::new(),
+            report_schedule,
         };
         if node.settings.fair.scope == FairScope::Router {
-            node.live = vec![LiveMember {
+            node.live_members = vec![LiveMember {
                 member,
                 state: MemberState::Alive,
             }];
@@ -111,16 +112,16 @@
         node
     }
 
-    /// Takes one event and appends what is to be done.
+    /// Handles one event and appends the resulting actions.
     pub fn handle(&mut self, now: Duration, event: NodeEvent, actions: &mut Vec<NodeAction>) {
         let mut out = Outbox::default();
         let out = &mut out;
         match event {
             NodeEvent::RequestArrived { arrival, claim } => {
-                self.arrived(now, arrival, claim, out);
+                self.handle_arrival(now, arrival, claim, out);
             }
             NodeEvent::CallerGone { key } => {
-                self.caller_gone(now, key, out);
+                self.handle_caller_gone(now, key, out);
             }
             NodeEvent::Progress {
                 attempt,
@@ -130,7 +131,7 @@
                     attempt,
                     charged_tokens,
                 };
-                self.entry.handle(now, event, &mut out.entry);
+                self.entry.handle(now, event, &mut out.entry_actions);
             }
             NodeEvent::AttemptEnded {
                 key,
@@ -139,40 +140,40 @@
                 recorded,
             } => {
                 let event = EntryEvent::AttemptEnded { attempt, end };
-                self.entry.handle(now, event, &mut out.entry);
-                self.record_end(now, key, end, recorded, out);
+                self.entry.handle(now, event, &mut out.entry_actions);
+                self.record_outcome(now, key, end, recorded, out);
             }
             NodeEvent::StoreCallEnded(event) => {
                 let mut steps = Vec::new();
-                self.claims.store_ended(now, event, &mut steps);
-                self.claim_steps(now, steps, out);
+                self.claims.handle_store_event(now, event, &mut steps);
+                self.handle_claim_steps(now, steps, out);
             }
             NodeEvent::ConfigReadEnded(event) => {
-                self.config_event(now, out, |config, steps| {
+                self.update_config(now, out, |config, steps| {
                     config.handle(now, event, steps);
                 });
             }
             NodeEvent::PeerMessage { from, message } => {
-                self.peer(now, &from, message, out);
+                self.handle_peer_message(now, &from, message, out);
             }
             NodeEvent::PeerMessagesLost { host } => {
                 let event = EntryEvent::HomeResync { host };
-                self.entry.handle(now, event, &mut out.entry);
+                self.entry.handle(now, event, &mut out.entry_actions);
             }
             NodeEvent::MembershipMessage(message) => {
                 let event = MembershipEvent::MessageReceived(message);
-                self.membership_event(now, event, out);
+                self.handle_membership_event(now, event, out);
             }
             NodeEvent::HostList(hosts) => {
                 self.for_each_home(now, out, |home, out| {
                     home.take_host_list(now, &hosts, out);
                 });
-                // The list names the hosts of endpoints as well; those are no members.
+                // The list also names the hosts of endpoints, which are not members.
                 let settings = &self.settings;
                 let is_router = |listed: &ListedHost| settings.host(listed.host.as_str()).is_some();
                 let routers = hosts.into_iter().filter(is_router).collect();
                 let event = MembershipEvent::HostList(routers);
-                self.membership_event(now, event, out);
+                self.handle_membership_event(now, event, out);
             }
             NodeEvent::LoadRead { endpoint, load } => {
                 self.for_each_home(now, out, |home, out| {
@@ -187,58 +188,60 @@
                     endpoint,
                     since_unix_ms,
                 };
-                self.take_notice(now, &notice, out);
+                self.apply_notice(now, &notice, out);
                 let event = MembershipEvent::Announce(notice);
-                self.membership_event(now, event, out);
+                self.handle_membership_event(now, event, out);
             }
             NodeEvent::StopRequested => {
                 let mut steps = Vec::new();
                 self.claims.give_up_all(now, &mut steps);
-                self.claim_steps(now, steps, out);
+                self.handle_claim_steps(now, steps, out);
                 let event = MembershipEvent::LeaveRequested;
-                self.membership_event(now, event, out);
+                self.handle_membership_event(now, event, out);
                 self.entry
-                    .handle(now, EntryEvent::StopRequested, &mut out.entry);
+                    .handle(now, EntryEvent::StopRequested, &mut out.entry_actions);
             }
             NodeEvent::Tick => self.tick(now, out),
         }
-        self.settle(now, out);
+        self.exchange_messages(now, out);
         actions.append(&mut out.actions);
     }
 
     /// Returns when the next [`NodeEvent::Tick`] is due at the latest.
     pub fn next_wake(&self) -> Duration {
-        let report = self.schedule.next_wake(self.entry.urgency(&self.member));
+        let report = self
+            .report_schedule
+            .next_wake(self.entry.urgency(&self.member));
         let timers = [report, self.entry.next_wake(), self.claims.next_wake()];
-        let first = timers.into_iter().flatten().min();
+        let earliest = timers.into_iter().flatten().min();
         let membership = self.membership.next_wake();
-        first.map_or(membership, |first| first.min(membership))
+        earliest.map_or(membership, |earliest| earliest.min(membership))
     }
 
-    /// Tells how much this router has in hand.
+    /// Returns the load of this router.
     pub fn load(&self) -> NodeLoad {
         NodeLoad {
             waiting_requests: self.entry.waiting(),
             running_requests: self.entry.running(),
             homed_pools: self.homes.len(),
-            live_members: self.live.len().max(1),
-            config_generation: self.generation(),
+            live_members: self.live_members.len().max(1),
+            config_generation: self.config_generation(),
         }
     }
 
-    /// Returns the members believed alive.
+    /// Returns the live members.
     pub fn members(&self) -> &[LiveMember] {
-        &self.live
+        &self.live_members
     }
 
-    /// Returns how often each failure was followed by a retry, or why it was not.
+    /// Returns how often each kind of failure was retried, or was not, by reason.
     pub fn retry_counts(
         &self,
     ) -> impl Iterator<Item = (RetryReason, Option<RetryDenial>, u64)> + '_ {
         self.entry.retry_counts()
     }
 
-    /// Returns what membership refused.
+    /// Returns the rejections counted by membership.
     pub fn membership_rejections(&self) -> &Rejections {
         self.membership.rejections()
     }
@@ -250,27 +253,28 @@
             .map(|(pool, home)| (pool, home.counters()))
     }
 
-    /// Tells whether every outcome of a request that may not be repeated is on record.
+    /// Whether the outcomes of all requests that may not be repeated are recorded.
     pub fn has_recorded_outcomes(&self) -> bool {
         self.claims.is_settled()
     }
 
     fn tick(&mut self, now: Duration, out: &mut Outbox) {
         if now >= self.membership.next_wake() {
-            self.membership_event(now, MembershipEvent::Tick, out);
+            self.handle_membership_event(now, MembershipEvent::Tick, out);
         }
-        self.entry.handle(now, EntryEvent::Tick, &mut out.entry);
+        self.entry
+            .handle(now, EntryEvent::Tick, &mut out.entry_actions);
         let mut steps = Vec::new();
         self.claims.tick(now, &mut steps);
-        self.claim_steps(now, steps, out);
-        self.config_event(now, out, |config, steps| {
+        self.handle_claim_steps(now, steps, out);
+        self.update_config(now, out, |config, steps| {
             config.handle(now, ConfigEvent::Tick, steps);
         });
-        let mut due = Vec::new();
+        let mut due_endpoints = Vec::new();
         self.for_each_home(now, out, |home, out| {
-            due.extend(home.tick(now, out));
+            due_endpoints.extend(home.tick(now, out));
         });
-        let reads = due
+        let reads = due_endpoints
             .into_iter()
             .map(|endpoint| NodeAction::ReadLoad { endpoint });
         out.actions.extend(reads);
--- a/crates/coordination/src/node/homes.rs
+++ b/crates/coordination/src/node/homes.rs
@@ -1,4 +1,4 @@
-//! Membership, and the homes of pools that it places on this router.
+//! Applies membership changes and manages the homes of pools on this router.
 
 use std::time::Duration;
 
@@ -25,15 +25,15 @@
 use crate::rendezvous::home_of;
 
 impl Node {
-    pub(super) fn membership_event(
+    pub(super) fn handle_membership_event(
         &mut self,
         now: Duration,
         event: MembershipEvent,
         out: &mut Outbox,
     ) {
-        let mut wanted = Vec::new();
-        self.membership.handle(now, event, &mut wanted);
-        for action in wanted {
+        let mut membership_actions = Vec::new();
+        self.membership.handle(now, event, &mut membership_actions);
+        for action in membership_actions {
             match action {
                 MembershipAction::Send { to, message } => {
                     out.actions.push(NodeAction::SendMembership { to, message });
@@ -41,23 +41,23 @@
                 MembershipAction::MembersChanged(live) => {
                     out.actions.push(NodeAction::MembersChanged(live.clone()));
                     let members = live.iter().map(|m| m.member.clone()).collect();
-                    self.claims.members(now, members);
+                    self.claims.set_members(now, members);
                     let others = live.iter().map(|m| m.member.clone());
                     let peers = others.filter(|m| *m != self.member).collect();
-                    self.config_event(now, out, |config, steps| {
+                    self.update_config(now, out, |config, steps| {
                         config.set_peers(now, peers, steps);
                     });
                     if self.settings.fair.scope == FairScope::Fleet {
-                        self.live = live;
+                        self.live_members = live;
                         self.place_homes(now, out);
                     }
                 }
                 MembershipAction::NoticeReceived(notice) => {
-                    self.take_notice(now, &notice, out);
+                    self.apply_notice(now, &notice, out);
                 }
                 MembershipAction::GenerationSeen { generation, from } => {
-                    self.config_event(now, out, |config, steps| {
-                        config.heard(now, &from, Generation(generation), steps);
+                    self.update_config(now, out, |config, steps| {
+                        config.handle_peer_generation(now, &from, Generation(generation), steps);
                     });
                 }
                 MembershipAction::Outranked { .. } => out.actions.push(NodeAction::Outranked),
@@ -65,7 +65,7 @@
         }
     }
 
-    pub(super) fn take_notice(&mut self, now: Duration, notice: &Notice, out: &mut Outbox) {
+    pub(super) fn apply_notice(&mut self, now: Duration, notice: &Notice, out: &mut Outbox) {
         match notice {
             Notice::EndpointLeaving { endpoint, .. } => {
                 self.for_each_home(now, out, |home, out| {
@@ -82,20 +82,23 @@
                         remaining: millis(*expires_in_ms),
                     },
                 });
-                self.entry.handle(now, event, &mut out.entry);
+                self.entry.handle(now, event, &mut out.entry_actions);
             }
         }
     }
 
-    /// Gives each pool its home under the live membership, and starts or ends the homes here.
+    /// Assigns each pool a home among the live members, and starts or ends the homes on this router.
     ///
-    /// Leaving members get no homes, so that homes move before their host is gone; only when all
-    /// are leaving do they keep them.
+    /// Leaving members get no homes, so that homes move away before their host stops. If all members
+    /// are leaving, they remain candidates.
     pub(super) fn place_homes(&mut self, now: Duration, out: &mut Outbox) {
-        let staying = self.live.iter().filter(|m| m.state == MemberState::Alive);
-        let mut candidates: Vec<Member> = staying.map(|m| m.member.clone()).collect();
+        let alive = self
+            .live_members
+            .iter()
+            .filter(|m| m.state == MemberState::Alive);
+        let mut candidates: Vec<Member> = alive.map(|m| m.member.clone()).collect();
         if candidates.is_empty() {
-            candidates = self.live.iter().map(|m| m.member.clone()).collect();
+            candidates = self.live_members.iter().map(|m| m.member.clone()).collect();
         }
         let pools: Vec<PoolId> = self.settings.pools.iter().map(|p| p.id.clone()).collect();
         for pool in pools {
@@ -106,9 +109,9 @@
                 self.homes.remove(&pool);
             }
             let event = EntryEvent::HomeChanged { pool, home };
-            self.entry.handle(now, event, &mut out.entry);
+            self.entry.handle(now, event, &mut out.entry_actions);
         }
-        let members: Vec<Member> = self.live.iter().map(|m| m.member.clone()).collect();
+        let members: Vec<Member> = self.live_members.iter().map(|m| m.member.clone()).collect();
         self.for_each_home(now, out, |home, out| {
             home.handle(now, HomeEvent::Members(members.clone()), out);
         });
@@ -119,13 +122,13 @@
             return;
         }
         let mut home = HomedPool::new(self.member.clone(), pool.clone(), &self.settings);
-        let mut wanted = Vec::new();
-        home.configure(now, pool, &self.settings, &mut wanted);
+        let mut home_actions = Vec::new();
+        home.configure(now, pool, &self.settings, &mut home_actions);
         self.homes.insert(pool.clone(), home);
-        self.deliver(now, pool, wanted, out);
+        self.deliver_home_actions(now, pool, home_actions, out);
     }
 
-    pub(super) fn home_event(
+    pub(super) fn handle_home_event(
         &mut self,
         now: Duration,
         pool: &PoolId,
@@ -135,9 +138,9 @@
         let Some(home) = self.homes.get_mut(pool) else {
             return;
         };
-        let mut wanted = Vec::new();
-        home.handle(now, event, &mut wanted);
-        self.deliver(now, pool, wanted, out);
+        let mut home_actions = Vec::new();
+        home.handle(now, event, &mut home_actions);
+        self.deliver_home_actions(now, pool, home_actions, out);
     }
 
     pub(super) fn for_each_home(
@@ -148,32 +151,32 @@
     ) {
         let pools: Vec<PoolId> = self.homes.keys().cloned().collect();
         for pool in pools {
-            let mut wanted = Vec::new();
+            let mut home_actions = Vec::new();
             if let Some(home) = self.homes.get_mut(&pool) {
-                visit(home, &mut wanted);
+                visit(home, &mut home_actions);
             }
-            self.deliver(now, &pool, wanted, out);
+            self.deliver_home_actions(now, &pool, home_actions, out);
         }
     }
 
-    /// Hands what a home wants done to the entry part here or to the links.
-    pub(super) fn deliver(
+    /// Passes the actions of a home to the entry part of this router or to other routers.
+    pub(super) fn deliver_home_actions(
         &mut self,
         now: Duration,
         pool: &PoolId,
-        wanted: Vec<HomeAction>,
+        home_actions: Vec<HomeAction>,
         out: &mut Outbox,
     ) {
-        for action in wanted {
+        for action in home_actions {
             match action {
                 HomeAction::Grant { to, grant } if to == self.member => {
                     self.entry
-                        .handle(now, EntryEvent::Granted(grant), &mut out.entry);
+                        .handle(now, EntryEvent::Granted(grant), &mut out.entry_actions);
                 }
                 HomeAction::AskFull { to } if to == self.member => {
                     let pool = pool.clone();
                     let event = EntryEvent::FullReportWanted { pool };
-                    self.entry.handle(now, event, &mut out.entry);
+                    self.entry.handle(now, event, &mut out.entry_actions);
                 }
                 HomeAction::Grant { to, grant } => {
                     let message = PeerMessage::Grant(grant);
--- a/crates/coordination/src/node/peers.rs
+++ b/crates/coordination/src/node/peers.rs
@@ -1,4 +1,4 @@
-//! Reports and grants between the parts of this router and those of others.
+//! Messages between the parts of this router, and with other routers.
 
 use std::time::Duration;
 
@@ -21,7 +21,7 @@
 use crate::refusal::Outcome;
 
 impl Node {
-    pub(super) fn peer(
+    pub(super) fn handle_peer_message(
         &mut self,
         now: Duration,
         from: &Member,
@@ -31,43 +31,44 @@
         match message {
             PeerMessage::Report(report) => {
                 let pool = report.pool.clone();
-                self.home_event(now, &pool, HomeEvent::Report(report), out);
+                self.handle_home_event(now, &pool, HomeEvent::Report(report), out);
             }
-            // A grant counts only from the home that it names.
+            // A grant is valid only from the home that it names.
             PeerMessage::Grant(grant) if grant.id.home == *from => {
                 self.entry
-                    .handle(now, EntryEvent::Granted(grant), &mut out.entry);
+                    .handle(now, EntryEvent::Granted(grant), &mut out.entry_actions);
             }
             PeerMessage::Grant(_) => {}
             PeerMessage::FullReportWanted { pool } => {
                 let event = EntryEvent::FullReportWanted { pool };
-                self.entry.handle(now, event, &mut out.entry);
+                self.entry.handle(now, event, &mut out.entry_actions);
             }
             PeerMessage::Config(message) => {
-                self.config_event(now, out, |config, steps| {
-                    config.peer_message(now, from, message, steps);
+                self.update_config(now, out, |config, steps| {
+                    config.handle_peer_message(now, from, message, steps);
                 });
             }
             PeerMessage::Poison(notice) => {
                 let event = EntryEvent::Poison(notice);
-                self.entry.handle(now, event, &mut out.entry);
+                self.entry.handle(now, event, &mut out.entry_actions);
             }
         }
     }
 
-    /// Passes reports and grants between the parts of this router until nothing is new.
+    /// Passes reports and grants between the parts of this router until none is left.
     ///
-    /// Reports to a home on this router go at once; those to others wait for their time.
-    pub(super) fn settle(&mut self, now: Duration, out: &mut Outbox) {
+    /// Reports to a home on this router are delivered at once. Reports to other routers are sent when
+    /// they are due.
+    pub(super) fn exchange_messages(&mut self, now: Duration, out: &mut Outbox) {
         for _ in 0..MAX_LOCAL_ROUNDS {
             let own = &self.member;
             self.entry
-                .report(Urgency::Lazy, |home, _| home == own, &mut out.entry);
-            if out.entry.is_empty() {
+                .report(Urgency::Lazy, |home, _| home == own, &mut out.entry_actions);
+            if out.entry_actions.is_empty() {
                 break;
             }
-            for action in std::mem::take(&mut out.entry) {
-                self.entry_action(now, action, out);
+            for action in std::mem::take(&mut out.entry_actions) {
+                self.handle_entry_action(now, action, out);
             }
         }
         self.report_to_others(now, out);
@@ -75,25 +76,30 @@
 
     pub(super) fn report_to_others(&mut self, now: Duration, out: &mut Outbox) {
         let urgency = self.entry.urgency(&self.member);
-        self.schedule.note(now, urgency);
-        let Some(least) = self.schedule.due(now, urgency) else {
+        self.report_schedule.note(now, urgency);
+        let Some(min_urgency) = self.report_schedule.due(now, urgency) else {
             return;
         };
         let own = &self.member;
         let mut reports = Vec::new();
-        let wanted = |home: &Member, urgency| home != own && urgency >= least;
-        self.entry.report(least, wanted, &mut reports);
-        self.schedule.sent(now, least);
+        let is_due = |home: &Member, urgency| home != own && urgency >= min_urgency;
+        self.entry.report(min_urgency, is_due, &mut reports);
+        self.report_schedule.sent(now, min_urgency);
         for report in reports {
-            self.entry_action(now, report, out);
+            self.handle_entry_action(now, report, out);
         }
     }
 
-    pub(super) fn entry_action(&mut self, now: Duration, action: EntryAction, out: &mut Outbox) {
+    pub(super) fn handle_entry_action(
+        &mut self,
+        now: Duration,
+        action: EntryAction,
+        out: &mut Outbox,
+    ) {
         match action {
             EntryAction::Report { to, report } if to == self.member => {
                 let pool = report.pool.clone();
-                self.home_event(now, &pool, HomeEvent::Report(report), out);
+                self.handle_home_event(now, &pool, HomeEvent::Report(report), out);
             }
             EntryAction::Report { to, report } => {
                 let message = PeerMessage::Report(report);
@@ -103,16 +109,16 @@
                 fingerprint,
                 news: PoisonNews::Quarantined { remaining },
             }) => {
-                // A quarantine also has to reach routers that start later, so it goes the way of
-                // notices that are kept and compared.
+                // A quarantine must also reach routers that start later, so it is sent as a
+                // membership notice, which members keep and compare.
                 let event = MembershipEvent::Announce(Notice::Quarantine {
                     fingerprint,
                     expires_in_ms: remaining.as_millis() as u64,
                 });
-                self.membership_event(now, event, out);
+                self.handle_membership_event(now, event, out);
             }
             EntryAction::Announce(notice) => {
-                let others = self.live.iter().filter(|m| m.member != self.member);
+                let others = self.live_members.iter().filter(|m| m.member != self.member);
                 out.actions.extend(others.map(|other| NodeAction::Send {
                     to: other.member.clone(),
                     message: PeerMessage::Poison(notice.clone()),
@@ -130,8 +136,8 @@
                 let key = give_up.key;
                 out.actions.push(NodeAction::GiveUp(give_up));
                 let mut steps = Vec::new();
-                self.claims.finished(now, key, outcome, &mut steps);
-                self.claim_steps(now, steps, out);
+                self.claims.record_outcome(now, key, outcome, &mut steps);
+                self.handle_claim_steps(now, steps, out);
             }
         }
     }
--- a/crates/coordination/src/node/requests.rs
+++ b/crates/coordination/src/node/requests.rs
@@ -1,4 +1,4 @@
-//! Requests that may not be repeated: from their arrival to the record of their outcome.
+//! Handles requests that may not be repeated, from arrival to the record of the outcome.
 
 use std::time::Duration;
 
@@ -17,7 +17,7 @@
 use crate::node_events::NodeAction;
 
 impl Node {
-    pub(super) fn arrived(
+    pub(super) fn handle_arrival(
         &mut self,
         now: Duration,
         arrival: Arrival,
@@ -26,18 +26,18 @@
     ) {
         let Some(claim) = claim else {
             let event = EntryEvent::Arrived(arrival);
-            return self.entry.handle(now, event, &mut out.entry);
+            return self.entry.handle(now, event, &mut out.entry_actions);
         };
         if let Some(refusal) = self.entry.refusal_of(now, &arrival) {
-            out.entry.push(refusal);
+            out.entry_actions.push(refusal);
             return;
         }
         let mut steps = Vec::new();
         self.claims.claim(now, arrival, claim, &mut steps);
-        self.claim_steps(now, steps, out);
+        self.handle_claim_steps(now, steps, out);
     }
 
-    pub(super) fn caller_gone(&mut self, now: Duration, key: RequestKey, out: &mut Outbox) {
+    pub(super) fn handle_caller_gone(&mut self, now: Duration, key: RequestKey, out: &mut Outbox) {
         let mut steps = Vec::new();
         if !self.claims.give_up(now, key, &mut steps) {
             let outcome = if self.entry.may_have_run(key) {
@@ -46,16 +46,16 @@
                 ClaimOutcome::NotRun
             };
             let event = EntryEvent::CallerGone { key };
-            self.entry.handle(now, event, &mut out.entry);
+            self.entry.handle(now, event, &mut out.entry_actions);
             if !self.entry.holds(key) {
-                self.claims.finished(now, key, outcome, &mut steps);
+                self.claims.record_outcome(now, key, outcome, &mut steps);
             }
         }
-        self.claim_steps(now, steps, out);
+        self.handle_claim_steps(now, steps, out);
     }
 
-    /// Puts the end of a claimed request on record, unless another attempt follows.
-    pub(super) fn record_end(
+    /// Records the outcome of a claimed request, unless another attempt follows.
+    pub(super) fn record_outcome(
         &mut self,
         now: Duration,
         key: RequestKey,
@@ -71,20 +71,26 @@
             (AttemptEnd::Finished { .. } | AttemptEnd::CallerGone { .. }, _) => {
                 ClaimOutcome::Unknown
             }
-            // The entry part gave it up, and `settle` records what it told the caller.
+            // The entry part gave the request up. `exchange_messages` records the outcome that the
+            // caller was told.
             (AttemptEnd::Failed { .. }, _) => return,
         };
         let mut steps = Vec::new();
-        self.claims.finished(now, key, outcome, &mut steps);
-        self.claim_steps(now, steps, out);
+        self.claims.record_outcome(now, key, outcome, &mut steps);
+        self.handle_claim_steps(now, steps, out);
     }
 
-    pub(super) fn claim_steps(&mut self, now: Duration, steps: Vec<ClaimStep>, out: &mut Outbox) {
+    pub(super) fn handle_claim_steps(
+        &mut self,
+        now: Duration,
+        steps: Vec<ClaimStep>,
+        out: &mut Outbox,
+    ) {
         for step in steps {
             match step {
                 ClaimStep::Queue(arrival) => {
                     let event = EntryEvent::Arrived(arrival);
-                    self.entry.handle(now, event, &mut out.entry);
+                    self.entry.handle(now, event, &mut out.entry_actions);
                 }
                 ClaimStep::Replay { key, answer } => {
                     out.actions.push(NodeAction::Replay { key, answer });
--- a/crates/coordination/src/node/settings.rs
+++ b/crates/coordination/src/node/settings.rs
@@ -1,4 +1,4 @@
-//! The accepted configuration: how a generation comes into force.
+//! Puts accepted configurations in force.
 
 use std::time::Duration;
 
@@ -15,13 +15,13 @@
 use crate::node_events::PeerMessage;
 
 impl Node {
-    /// Returns the generation of the configuration in force; 0 for the files given at the start.
-    pub(super) fn generation(&self) -> u64 {
+    /// Returns the generation of the configuration in force, or 0 for the files given at the start.
+    pub(super) fn config_generation(&self) -> u64 {
         let current = self.config.as_ref().and_then(NodeConfig::generation);
         current.map_or(0, |generation| generation.0)
     }
 
-    pub(super) fn config_event(
+    pub(super) fn update_config(
         &mut self,
         now: Duration,
         out: &mut Outbox,
@@ -43,7 +43,7 @@
                     generation,
                     settings,
                 } => {
-                    self.put_in_force(now, &settings, out);
+                    self.apply_settings(now, &settings, out);
                     out.actions.push(NodeAction::SettingsChanged {
                         generation,
                         settings,
@@ -58,34 +58,34 @@
                 }),
                 ConfigStep::Announce(generation) => {
                     let event = MembershipEvent::ConfigGeneration(generation.0);
-                    self.membership_event(now, event, out);
+                    self.handle_membership_event(now, event, out);
                 }
                 ConfigStep::Ready => out.actions.push(NodeAction::Ready),
             }
         }
     }
 
-    /// Puts settings in force without touching the requests in hand.
-    pub(super) fn put_in_force(&mut self, now: Duration, settings: &Settings, out: &mut Outbox) {
+    /// Puts settings in force without affecting waiting and running requests.
+    pub(super) fn apply_settings(&mut self, now: Duration, settings: &Settings, out: &mut Outbox) {
         self.settings = settings.clone();
-        self.schedule.configure(
+        self.report_schedule.configure(
             millis(settings.fair.batch_interval_ms),
             millis(settings.fair.report_interval_ms),
         );
         self.entry.configure(now, settings);
         let hosts = settings.hosts.iter().map(|host| host.id.clone()).collect();
         let event = MembershipEvent::HostsConfigured(hosts);
-        self.membership_event(now, event, out);
-        let known = &settings.pools;
+        self.handle_membership_event(now, event, out);
+        let configured_pools = &settings.pools;
         self.homes
-            .retain(|pool, _| known.iter().any(|known| known.id == *pool));
+            .retain(|id, _| configured_pools.iter().any(|pool| pool.id == *id));
         let pools: Vec<PoolId> = self.homes.keys().cloned().collect();
         for pool in pools {
-            let mut wanted = Vec::new();
+            let mut home_actions = Vec::new();
             if let Some(home) = self.homes.get_mut(&pool) {
-                home.configure(now, &pool, settings, &mut wanted);
+                home.configure(now, &pool, settings, &mut home_actions);
             }
-            self.deliver(now, &pool, wanted, out);
+            self.deliver_home_actions(now, &pool, home_actions, out);
         }
         self.place_homes(now, out);
     }
--- a/crates/coordination/src/node_claims.rs
+++ b/crates/coordination/src/node_claims.rs
@@ -1,5 +1,5 @@
-//! Requests that may not be repeated, between their arrival and their claim, and until the outcome
-//! is on record.
+//! Tracks requests that may not be repeated, from the claim of their key until the outcome is
+//! recorded.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -25,54 +25,54 @@
 use crate::store_call::StoreAction;
 use crate::store_call::StoreEvent;
 
-/// What a caller gives with a request that may not be repeated.
+/// Idempotency key and body hash of a request that may not be repeated.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ClaimKey {
     /// The caller's idempotency key.
     pub idempotency_key: Arc<str>,
-    /// Hash of what is asked for.
+    /// Hash of the request body.
     pub body_hash: BodyHash,
 }
 
-/// What becomes of a request that may not be repeated.
+/// Next step for a request that may not be repeated.
 #[derive(Debug)]
 pub(crate) enum ClaimStep {
-    /// Its claim is in the table: it may be queued.
+    /// The claim is in the table: the request may be queued.
     Queue(Arrival),
-    /// Its key has an answer on record.
+    /// The key has a recorded answer.
     Replay {
         key: RequestKey,
         answer: RecordedAnswer,
     },
-    /// It is refused.
+    /// The request is refused.
     Refuse {
         key: RequestKey,
         reason: RefusalReason,
         outcome: Outcome,
         retry_after: Option<Duration>,
     },
-    /// The table is to be called.
+    /// The table service is to be called.
     Store(StoreAction),
 }
 
-/// Claims of one router, by the keys that the rest of the router uses.
+/// Claims of one router, by the request keys that its other parts use.
 #[derive(Debug)]
 pub(crate) struct NodeClaims {
     member: Member,
     claims: Claims,
-    claiming: BTreeMap<RequestId, Arrival>,
-    claimed: BTreeMap<RequestKey, RequestId>,
+    pending_claims: BTreeMap<RequestId, Arrival>,
+    claimed_requests: BTreeMap<RequestKey, RequestId>,
 }
 
 impl NodeClaims {
     pub(crate) fn new(member: Member, seed: u64) -> Self {
-        // The incarnation is the wall clock at the start of this run.
+        // The incarnation is the wall-clock time of the start of this run.
         let started_unix_ms = member.incarnation.0 / MICROS_PER_MILLI;
         Self {
             member,
             claims: Claims::new(ClaimSettings::default(), started_unix_ms, seed),
-            claiming: BTreeMap::new(),
-            claimed: BTreeMap::new(),
+            pending_claims: BTreeMap::new(),
+            claimed_requests: BTreeMap::new(),
         }
     }
 
@@ -84,8 +84,8 @@
         key: ClaimKey,
         steps: &mut Vec<ClaimStep>,
     ) {
-        // Callers choose request ids and may use one twice, so the claim goes by the key that this
-        // run gave the request.
+        // Callers choose request ids and may use one twice, so the claim is identified by the key
+        // that this run gave the request.
         let request = RequestId::from(arrival.key.0.to_string().as_str());
         let claim = ClaimRequest {
             request: request.clone(),
@@ -97,12 +97,12 @@
                 sequence: arrival.key.0,
             },
         };
-        self.claiming.insert(request, arrival);
-        self.event(now, ClaimEvent::Claim(claim), steps);
+        self.pending_claims.insert(request, arrival);
+        self.handle_event(now, ClaimEvent::Claim(claim), steps);
     }
 
-    /// Notes that the caller of a request went away, or that this router stops, before the claim
-    /// was settled.
+    /// Gives up the claim of a request if it is not settled yet, because the caller went away or the
+    /// router stops. Returns whether there was such a claim.
     pub(crate) fn give_up(
         &mut self,
         now: Duration,
@@ -110,56 +110,56 @@
         steps: &mut Vec<ClaimStep>,
     ) -> bool {
         let request = RequestId::from(key.0.to_string().as_str());
-        let claiming = self.claiming.contains_key(&request);
-        if claiming {
-            self.event(now, ClaimEvent::GiveUp(request), steps);
+        let is_pending = self.pending_claims.contains_key(&request);
+        if is_pending {
+            self.handle_event(now, ClaimEvent::GiveUp(request), steps);
         }
-        claiming
+        is_pending
     }
 
     /// Gives up every claim that is not settled.
     pub(crate) fn give_up_all(&mut self, now: Duration, steps: &mut Vec<ClaimStep>) {
-        let requests: Vec<RequestId> = self.claiming.keys().cloned().collect();
+        let requests: Vec<RequestId> = self.pending_claims.keys().cloned().collect();
         for request in requests {
-            self.event(now, ClaimEvent::GiveUp(request), steps);
+            self.handle_event(now, ClaimEvent::GiveUp(request), steps);
         }
     }
 
     /// Records how a request ended, if it was claimed.
-    pub(crate) fn finished(
+    pub(crate) fn record_outcome(
         &mut self,
         now: Duration,
         key: RequestKey,
         outcome: ClaimOutcome,
         steps: &mut Vec<ClaimStep>,
     ) {
-        if let Some(request) = self.claimed.remove(&key) {
-            self.event(now, ClaimEvent::Finished { request, outcome }, steps);
+        if let Some(request) = self.claimed_requests.remove(&key) {
+            self.handle_event(now, ClaimEvent::Finished { request, outcome }, steps);
         }
     }
 
-    /// Tells whether a request is claimed and has not ended.
+    /// Whether a request is claimed and has not ended.
     pub(crate) fn is_claimed(&self, key: RequestKey) -> bool {
-        self.claimed.contains_key(&key)
+        self.claimed_requests.contains_key(&key)
     }
 
-    pub(crate) fn members(&mut self, now: Duration, members: Vec<Member>) {
-        let mut none = Vec::new();
-        self.event(now, ClaimEvent::Members(members), &mut none);
+    pub(crate) fn set_members(&mut self, now: Duration, members: Vec<Member>) {
+        let mut no_steps = Vec::new();
+        self.handle_event(now, ClaimEvent::Members(members), &mut no_steps);
     }
 
-    pub(crate) fn store_ended(
+    pub(crate) fn handle_store_event(
         &mut self,
         now: Duration,
         event: StoreEvent,
         steps: &mut Vec<ClaimStep>,
     ) {
-        self.event(now, ClaimEvent::Store(event), steps);
+        self.handle_event(now, ClaimEvent::Store(event), steps);
     }
 
     pub(crate) fn tick(&mut self, now: Duration, steps: &mut Vec<ClaimStep>) {
         if self.claims.next_wake().is_some_and(|at| at <= now) {
-            self.event(now, ClaimEvent::Tick, steps);
+            self.handle_event(now, ClaimEvent::Tick, steps);
         }
     }
 
@@ -167,28 +167,28 @@
         self.claims.next_wake()
     }
 
-    /// Tells whether every outcome is on record.
+    /// Whether all outcomes are recorded.
     pub(crate) fn is_settled(&self) -> bool {
         self.claims.is_settled()
     }
 
-    fn event(&mut self, now: Duration, event: ClaimEvent, steps: &mut Vec<ClaimStep>) {
+    fn handle_event(&mut self, now: Duration, event: ClaimEvent, steps: &mut Vec<ClaimStep>) {
         let mut actions = Vec::new();
         self.claims.handle(now, event, &mut actions);
         for action in actions {
-            steps.extend(self.step(action));
+            steps.extend(self.claim_step(action));
         }
     }
 
-    fn step(&mut self, action: ClaimAction) -> Option<ClaimStep> {
+    fn claim_step(&mut self, action: ClaimAction) -> Option<ClaimStep> {
         match action {
             ClaimAction::Dispatch(request) => {
-                let arrival = self.claiming.remove(&request)?;
-                self.claimed.insert(arrival.key, request);
+                let arrival = self.pending_claims.remove(&request)?;
+                self.claimed_requests.insert(arrival.key, request);
                 Some(ClaimStep::Queue(arrival))
             }
             ClaimAction::Replay { request, answer } => {
-                let key = self.claiming.remove(&request)?.key;
+                let key = self.pending_claims.remove(&request)?.key;
                 Some(ClaimStep::Replay { key, answer })
             }
             ClaimAction::Refuse {
@@ -196,7 +196,7 @@
                 reason,
                 retry_after,
             } => {
-                let key = self.claiming.remove(&request)?.key;
+                let key = self.pending_claims.remove(&request)?.key;
                 let outcome = if reason.is_not_run() {
                     Outcome::NotRun
                 } else {
@@ -214,7 +214,6 @@
     }
 }
 
-/// Microseconds in a millisecond.
 const MICROS_PER_MILLI: u64 = 1_000;
 
 fn refusal_reason(refusal: ClaimRefusal) -> RefusalReason {
--- a/crates/coordination/src/node_config.rs
+++ b/crates/coordination/src/node_config.rs
@@ -1,4 +1,4 @@
-//! The accepted configuration of one router: which generation is in force, and its content.
+//! The configuration of one router: the generation in force and its content.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,25 +20,25 @@
 use crate::config_events::Generation;
 use crate::store_call::CallId;
 
-/// What routers tell each other about the configuration.
+/// A message between routers about the configuration.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ConfigMessage {
     /// Asks for the generation in force.
     GenerationWanted,
-    /// Tells the generation in force, if there is one.
+    /// Tells the generation in force, if any.
     GenerationInForce(Option<Generation>),
-    /// Asks for what came after a generation; without one, for the whole configuration.
+    /// Asks for the changes after a generation or, without one, for the whole configuration.
     ChangesWanted {
-        /// Names the call.
+        /// Identifies the call.
         call: CallId,
         /// Generation in force at the sender.
         after: Option<Generation>,
     },
     /// Answers a [`ConfigMessage::ChangesWanted`].
     Changes {
-        /// Names the call.
+        /// Identifies the call.
         call: CallId,
-        /// What came after; empty when the sender has nothing newer.
+        /// The newer items. Empty if the sender has none.
         items: Vec<ConfigItem<ConfigContent>>,
     },
 }
@@ -48,14 +48,14 @@
 pub enum ConfigRead {
     /// The head.
     Head {
-        /// Names the call.
+        /// Identifies the call.
         call: CallId,
-        /// Whether an older value would do harm.
+        /// Whether a stale value is not acceptable.
         is_exact: bool,
     },
-    /// The changes after a generation, or the last snapshot and what follows it.
+    /// The changes after a generation, or the last snapshot and the changes after it.
     Changes {
-        /// Names the call.
+        /// Identifies the call.
         call: CallId,
         /// Generation in force.
         after: Option<Generation>,
@@ -64,7 +64,7 @@
     },
 }
 
-/// What becomes of the configuration.
+/// A step that the configuration requires of its router.
 #[derive(Debug)]
 pub(crate) enum ConfigStep {
     /// Read from the table service.
@@ -76,14 +76,14 @@
         generation: Generation,
         settings: Box<Settings>,
     },
-    /// The content of a generation is not usable here; the settings before it stay in force.
+    /// The content of a generation is not usable here. The previous settings stay in force.
     Unusable {
         generation: Generation,
         findings: String,
     },
-    /// Tell the fleet the generation in force.
+    /// Tell the fleet which generation is in force.
     Announce(Generation),
-    /// A configuration is in force, so requests may come.
+    /// A configuration is in force: the router can take requests.
     Ready,
 }
 
@@ -106,8 +106,8 @@
         }
     }
 
-    /// Creates the configuration of a process on a host, unless the files stay in force.
-    pub(crate) fn of_host(host: &HostId, files: &Settings, seed: u64) -> Option<Self> {
+    /// Creates the configuration of a process on a host, or `None` if the files stay in force.
+    pub(crate) fn for_host(host: &HostId, files: &Settings, seed: u64) -> Option<Self> {
         match files.platform.configuration {
             ConfigurationSource::Files => None,
             ConfigurationSource::Table => {
@@ -120,7 +120,7 @@
 
     /// Returns the generation in force.
     pub(crate) fn generation(&self) -> Option<Generation> {
-        self.adoption.current()
+        self.adoption.current_generation()
     }
 
     pub(crate) fn handle(
@@ -132,7 +132,7 @@
         let mut actions = Vec::new();
         self.adoption.handle(now, event, &mut actions);
         for action in actions {
-            self.step(action, steps);
+            self.apply_action(action, steps);
         }
     }
 
@@ -146,8 +146,8 @@
         self.handle(now, ConfigEvent::PeersChanged(peers), steps);
     }
 
-    /// Takes a generation that a peer was heard to have in force.
-    pub(crate) fn heard(
+    /// Handles the generation that a peer sent with a membership message.
+    pub(crate) fn handle_peer_generation(
         &mut self,
         now: Duration,
         from: &HostId,
@@ -164,8 +164,8 @@
         self.handle(now, event, steps);
     }
 
-    /// Takes a message of a peer.
-    pub(crate) fn peer_message(
+    /// Handles a message of a peer.
+    pub(crate) fn handle_peer_message(
         &mut self,
         now: Duration,
         from: &Member,
@@ -175,7 +175,7 @@
         match message {
             ConfigMessage::GenerationWanted => steps.push(ConfigStep::Send {
                 to: from.clone(),
-                message: ConfigMessage::GenerationInForce(self.adoption.current()),
+                message: ConfigMessage::GenerationInForce(self.adoption.current_generation()),
             }),
             ConfigMessage::GenerationInForce(generation) => {
                 let event = ConfigEvent::PeerGeneration {
@@ -198,7 +198,7 @@
     }
 
     fn changes_after(&self, after: Option<Generation>) -> Vec<ConfigItem<ConfigContent>> {
-        let Some(current) = self.adoption.current() else {
+        let Some(current) = self.adoption.current_generation() else {
             return Vec::new();
         };
         if after >= Some(current) {
@@ -213,7 +213,7 @@
         })
     }
 
-    fn step(&mut self, action: ConfigAction<ConfigContent>, steps: &mut Vec<ConfigStep>) {
+    fn apply_action(&mut self, action: ConfigAction<ConfigContent>, steps: &mut Vec<ConfigStep>) {
         match action {
             ConfigAction::ReadHead { call, is_exact } => {
                 steps.push(ConfigStep::Read(ConfigRead::Head { call, is_exact }));
@@ -235,7 +235,7 @@
         }
     }
 
-    /// Applies changes in order; only the last state is put in force.
+    /// Applies changes in order. Only the resulting state is put in force.
     fn adopt(&mut self, items: Vec<ConfigItem<ConfigContent>>) -> Option<ConfigStep> {
         let generation = items.last()?.generation;
         for item in items {
--- a/crates/coordination/src/node_events.rs
+++ b/crates/coordination/src/node_events.rs
@@ -1,4 +1,4 @@
-//! What goes into and comes out of [`crate::node::Node`].
+//! Events and actions of [`crate::node::Node`].
 
 use sedgeridge_state::claim_record::RecordedAnswer;
 use sedgeridge_state::config_records::ConfigContent;
@@ -30,7 +30,7 @@
 use crate::store_call::StoreAction;
 use crate::store_call::StoreEvent;
 
-/// What one router tells another on their link.
+/// A message from one router to another on their link.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PeerMessage {
     /// An entry router reports to a home.
@@ -42,9 +42,9 @@
         /// The pool.
         pool: PoolId,
     },
-    /// A router tells about a request that crashes endpoints.
+    /// A router reports a request that crashes endpoints.
     Poison(PoisonNotice),
-    /// Routers tell each other about the configuration.
+    /// A message about the configuration.
     Config(ConfigMessage),
 }
 
@@ -69,14 +69,14 @@
     }
 }
 
-/// What happens to a router.
+/// An event for a router.
 #[derive(Debug, Clone, PartialEq)]
 pub enum NodeEvent {
     /// A caller sent a request.
     RequestArrived {
         /// The request.
         arrival: Arrival,
-        /// Its key, if it may not be repeated.
+        /// Its key, if the request may not be repeated.
         claim: Option<ClaimKey>,
     },
     /// The caller of a request went away before its answer began.
@@ -84,11 +84,11 @@
         /// The request.
         key: RequestKey,
     },
-    /// An attempt has received this much service so far.
+    /// An attempt reported the service that it has received so far.
     Progress {
         /// The attempt.
         attempt: AttemptKey,
-        /// Service received.
+        /// Service received so far.
         charged_tokens: u64,
     },
     /// An attempt ended.
@@ -102,11 +102,11 @@
         /// The whole answer, if the request may not be repeated.
         recorded: Option<RecordedAnswer>,
     },
-    /// A call of the table service ended.
+    /// A call to the table service ended.
     StoreCallEnded(StoreEvent),
     /// A read of the configuration ended.
     ConfigReadEnded(ConfigEvent<ConfigContent>),
-    /// A message from another router came on its link.
+    /// A message from another router was received on its link.
     PeerMessage {
         /// The sender.
         from: Member,
@@ -118,7 +118,7 @@
         /// The other router.
         host: HostId,
     },
-    /// A membership message came.
+    /// A membership message was received.
     MembershipMessage(Message),
     /// The platform's list of hosts was read.
     HostList(Vec<ListedHost>),
@@ -138,11 +138,11 @@
     },
     /// The router was told to stop.
     StopRequested,
-    /// Time passed.
+    /// A timer fired.
     Tick,
 }
 
-/// What a router wants done.
+/// An action that the caller of the node carries out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum NodeAction {
     /// Run a request on an endpoint.
@@ -165,9 +165,9 @@
     },
     /// Call the table service.
     CallStore(StoreAction),
-    /// Read the configuration in the table service.
+    /// Read the configuration from the table service.
     ReadConfig(ConfigRead),
-    /// These settings are in force now.
+    /// New settings are in force.
     SettingsChanged {
         /// The generation.
         generation: Generation,
@@ -178,10 +178,10 @@
     ConfigUnusable {
         /// The generation.
         generation: Generation,
-        /// What is wrong with it.
+        /// The errors in it.
         findings: String,
     },
-    /// A configuration is in force, so requests may come.
+    /// A configuration is in force: the router can take requests.
     Ready,
     /// Send a message on the link to another router.
     Send {
@@ -190,7 +190,7 @@
         /// The message.
         message: PeerMessage,
     },
-    /// Send a membership message; losing it is no harm.
+    /// Send a membership message. It may be lost.
     SendMembership {
         /// The receiver.
         to: HostId,
@@ -202,23 +202,23 @@
         /// The endpoint.
         endpoint: EndpointId,
     },
-    /// The members believed alive changed.
+    /// The live members changed.
     MembersChanged(Vec<LiveMember>),
-    /// Nobody listens to this run any more: a newer one has taken its place.
+    /// The fleet ignores this run, as it knows the host under a higher incarnation.
     Outranked,
 }
 
-/// How much a router has in hand.
+/// Load of a router.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct NodeLoad {
-    /// Requests that wait.
+    /// Number of requests that wait.
     pub waiting_requests: u32,
-    /// Requests that run.
+    /// Number of requests that run.
     pub running_requests: usize,
-    /// Pools whose home this router is.
+    /// Number of pools whose home is on this router.
     pub homed_pools: usize,
-    /// Live members of the fleet.
+    /// Number of live members of the fleet.
     pub live_members: usize,
-    /// Generation of the configuration in force; 0 for the files given at the start.
+    /// Generation of the configuration in force, or 0 for the files given at the start.
     pub config_generation: u64,
 }
--- a/crates/coordination/src/node_view.rs
+++ b/crates/coordination/src/node_view.rs
@@ -1,4 +1,4 @@
-//! What a router can tell operators of its decisions, as typed snapshots.
+//! Snapshots of a router's state for operators.
 
 use std::time::Duration;
 
@@ -11,18 +11,18 @@
 use crate::node::Node;
 use crate::slot_budget::Load;
 
-/// What is believed of an endpoint.
+/// Condition of an endpoint as known to its home.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndpointCondition {
-    /// It takes work.
+    /// The endpoint takes work.
     Serving,
-    /// It failed too often and gets no work, or one request on trial.
+    /// The endpoint failed too often and gets no work, or a single trial request.
     Ejected,
-    /// It finishes its work and takes no more.
+    /// The endpoint finishes its work and takes no more.
     Leaving,
 }
 
-/// A load report and the time since it came.
+/// A load report and its age.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LoadReportView {
     /// The report.
@@ -36,33 +36,33 @@
 pub struct EndpointView {
     /// The endpoint.
     pub endpoint: EndpointId,
-    /// What is believed of it.
+    /// Its condition.
     pub condition: EndpointCondition,
-    /// Requests that the fleet may hold on it.
+    /// Number of requests that the fleet may hold on it.
     pub usable_slots: u32,
-    /// Requests that the fleet holds on it.
+    /// Number of requests that the fleet holds on it.
     pub occupied_slots: u32,
     /// Its last load report.
     pub load_report: Option<LoadReportView>,
 }
 
-/// A client account's requests for one pool, as this router has them.
+/// The requests of a client account for one pool on this router.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AccountView {
     /// The account.
     pub account: AccountId,
     /// The pool.
     pub pool: PoolId,
-    /// Requests that wait here.
+    /// Number of requests that wait on this router.
     pub waiting_requests: u32,
-    /// Requests that run from here.
+    /// Number of running requests that this router started.
     pub running_requests: u32,
-    /// Service given from here since the router started.
+    /// Service given through this router since it started.
     pub served_tokens: u64,
 }
 
 impl Node {
-    /// Lists the endpoints of the pools homed on this router.
+    /// Returns the endpoints of the pools homed on this router.
     ///
     /// ```
     /// use std::time::Duration;
@@ -79,7 +79,7 @@
         homes.flat_map(|home| home.endpoint_views(now)).collect()
     }
 
-    /// Lists the client accounts that wait, run or were served here, by pool.
+    /// Returns the client accounts with waiting, running or served requests on this router, by pool.
     ///
     /// ```
     /// use sedgeridge_coordination::node::Node;
--- a/crates/coordination/tests/common/config_fleet.rs
+++ b/crates/coordination/tests/common/config_fleet.rs
@@ -134,7 +134,10 @@
                 ConfigItemContent::Delta(delta) => router.document.extend(delta.iter()),
             }
         }
-        let generation = router.adoption.current().map_or(0, |g| g.0 as usize);
+        let generation = router
+            .adoption
+            .current_generation()
+            .map_or(0, |g| g.0 as usize);
         let accepted = &self.accepted[..generation];
         assert_eq!(router.document, accepted, "not what was accepted");
         let is_excused = !router.read_exactly;
@@ -238,7 +241,7 @@
 
     fn ask_peer(&mut self, index: usize, peer: Member) {
         if let Some(other) = self.reachable(index, &peer) {
-            let generation = self.routers[other].adoption.current();
+            let generation = self.routers[other].adoption.current_generation();
             self.event(index, ConfigEvent::PeerGeneration { peer, generation });
         }
     }
--- a/crates/coordination/tests/config_fuzz.rs
+++ b/crates/coordination/tests/config_fuzz.rs
@@ -93,7 +93,10 @@
     fn check_invariants(fleet: &ConfigFleet, accepted: &usize) {
         assert_eq!(fleet.accepted.len(), *accepted);
         for router in &fleet.routers {
-            let generation = router.adoption.current().map_or(0, |g| g.0 as usize);
+            let generation = router
+                .adoption
+                .current_generation()
+                .map_or(0, |g| g.0 as usize);
             assert_eq!(router.document.len(), generation);
             assert_eq!(router.ready, generation > 0);
         }
--- a/crates/coordination/tests/config_reads.rs
+++ b/crates/coordination/tests/config_reads.rs
@@ -88,7 +88,7 @@
         let other = (*random >> 33) as usize % count;
         for (from, to) in [(index, other), (other, index)] {
             let peer = fleet.routers[from].member.clone();
-            let generation = fleet.routers[from].adoption.current();
+            let generation = fleet.routers[from].adoption.current_generation();
             fleet.event(to, ConfigEvent::PeerGeneration { peer, generation });
         }
     }
