--- a/crates/coordination/benches/membership_slope.rs
+++ b/crates/coordination/benches/membership_slope.rs
@@ -1,10 +1,10 @@
-//! Measures what membership costs and how fast it is, against the number of hosts.
+//! Measures the cost and speed of membership by number of hosts.
 //!
 //! Run with `cargo bench -p sedgeridge-coordination --bench membership_slope`; host counts given
 //! after `--` replace the default ones, `loss=PERCENT` adds loss, and `KEY=VALUE` changes one of
 //! the settings listed in [`change_setting`]. All hosts run in memory in one thread on simulated
 //! time: processor time and memory are measured, times and messages are simulated, and bytes are
-//! estimated as told in `tests/membership_network/encoding.rs`.
+//! estimated as described in `tests/membership_network/encoding.rs`.
 
 #[path = "../tests/membership_network/mod.rs"]
 mod membership_network;
@@ -20,21 +20,21 @@
 use sedgeridge_state::fingerprint::Fingerprint;
 use sedgeridge_state::settings::MembershipSettings;
 
-const DEFAULT_COUNTS: [usize; 5] = [25, 50, 100, 200, 400];
+const DEFAULT_HOST_COUNTS: [usize; 5] = [25, 50, 100, 200, 400];
 
 /// IP and UDP headers of one message.
 const DATAGRAM_OVERHEAD_BYTES: u64 = 28;
 
 const QUIET_TIME: Duration = Duration::from_secs(60);
-const KILLS: usize = 8;
-const GENERATIONS: u64 = 40;
-const NOTICES: u64 = 100;
+const KILL_COUNT: usize = 8;
+const GENERATION_COUNT: u64 = 40;
+const NOTICE_COUNT: u64 = 100;
 const SEED: u64 = 20_261_202;
 
-/// What one run is made with.
+/// Options of one run.
 #[derive(Debug, Clone, Default)]
 struct Options {
-    counts: Vec<usize>,
+    host_counts: Vec<usize>,
     links: Links,
     settings: MembershipSettings,
 }
@@ -43,10 +43,10 @@
     let options = parse_options();
     println!("settings: {:?}", options.settings);
     println!("links: {:?}", options.links);
-    // Kept to the end, so that the memory of one is not counted for the next as free.
+    // Kept until the end: memory freed by one network would distort the measurement of the next.
     let mut networks = Vec::new();
-    for count in &options.counts {
-        networks.push(measure(*count, &options));
+    for count in &options.host_counts {
+        networks.push(measure_fleet(*count, &options));
     }
     drop(networks);
 }
@@ -55,13 +55,13 @@
     let mut options = Options::default();
     for argument in std::env::args().skip(1) {
         if let Ok(count) = argument.parse() {
-            options.counts.push(count);
+            options.host_counts.push(count);
         } else if let Some((key, value)) = argument.split_once('=') {
             change_setting(&mut options, key, value);
         }
     }
-    if options.counts.is_empty() {
-        options.counts = DEFAULT_COUNTS.to_vec();
+    if options.host_counts.is_empty() {
+        options.host_counts = DEFAULT_HOST_COUNTS.to_vec();
     }
     options
 }
@@ -82,7 +82,7 @@
     }
 }
 
-fn measure(count: usize, options: &Options) -> Network {
+fn measure_fleet(count: usize, options: &Options) -> Network {
     let memory_before = resident_bytes();
     let mut network = Network::new(count, options.settings.clone(), options.links.clone(), SEED);
     network.start_all();
@@ -94,30 +94,30 @@
         "  memory: {} KB a host, this simulator included",
         memory / 1024 / count as u64
     );
-    quiet(&mut network);
-    kills(&mut network);
-    generations(&mut network);
-    notices(&mut network);
-    rack(&mut network);
-    partition(&mut network);
+    measure_quiet_time(&mut network);
+    measure_kills(&mut network);
+    measure_generations(&mut network);
+    measure_notices(&mut network);
+    measure_rack_failure(&mut network);
+    measure_partition(&mut network);
     network
 }
 
-fn quiet(network: &mut Network) {
+fn measure_quiet_time(network: &mut Network) {
     network.costs = Costs::default();
     network.run(QUIET_TIME);
     print_costs("quiet minute", network, QUIET_TIME);
-    let false_losses: u64 = network.nodes.iter().map(|n| n.reports.losses).sum();
+    let false_losses: u64 = network.nodes.iter().map(|n| n.reports.false_losses).sum();
     println!(
         "  running hosts held for dead since the start, summed over observers: {false_losses}"
     );
 }
 
-fn kills(network: &mut Network) {
+fn measure_kills(network: &mut Network) {
     let mut times = Vec::new();
     network.costs = Costs::default();
     let begin = network.now;
-    for kill in 0..KILLS {
+    for kill in 0..KILL_COUNT {
         let victim = (kill * 7 + 3) % network.nodes.len();
         let killed_at = network.now;
         network.kill(victim);
@@ -138,12 +138,12 @@
     print_costs("during kills and restarts", network, time);
 }
 
-fn generations(network: &mut Network) {
+fn measure_generations(network: &mut Network) {
     let mut each = Vec::new();
     let mut all = Vec::new();
     network.costs = Costs::default();
     let begin = network.now;
-    for generation in 1..=GENERATIONS {
+    for generation in 1..=GENERATION_COUNT {
         let origin = generation as usize % network.nodes.len();
         let told_at = network.now;
         network.handle(origin, MembershipEvent::ConfigGeneration(generation));
@@ -154,7 +154,7 @@
             .enumerate()
             .filter(|(i, _)| *i != origin);
         let times: Vec<Duration> = times
-            .filter_map(|(_, n)| n.reports.generations.get(&generation))
+            .filter_map(|(_, n)| n.reports.generation_times.get(&generation))
             .map(|at| *at - told_at)
             .collect();
         if times.len() + 1 < network.nodes.len() {
@@ -169,9 +169,9 @@
     print_costs("with a generation every 5 s", network, time);
 }
 
-fn notices(network: &mut Network) {
+fn measure_notices(network: &mut Network) {
     let mut all = Vec::new();
-    for fingerprint in 0..NOTICES {
+    for fingerprint in 0..NOTICE_COUNT {
         let origin = fingerprint as usize % network.nodes.len();
         let told_at = network.now;
         let notice = Notice::Quarantine {
@@ -198,8 +198,8 @@
     }
 }
 
-/// Kills a tenth of the hosts at once, as when a rack goes, and brings them back.
-fn rack(network: &mut Network) {
+/// Kills a tenth of the hosts at once, as when a rack fails, and restarts them.
+fn measure_rack_failure(network: &mut Network) {
     let gone = network.nodes.len().div_ceil(10);
     network.costs = Costs::default();
     let begin = network.now;
@@ -216,7 +216,7 @@
     print_costs("during that", network, time);
 }
 
-fn partition(network: &mut Network) {
+fn measure_partition(network: &mut Network) {
     let half: BTreeSet<usize> = (0..network.nodes.len() / 2).collect();
     network.costs = Costs::default();
     let begin = network.now;
@@ -236,13 +236,13 @@
     let seconds = time.as_secs_f64();
     let costs = &network.costs;
     let per_host = |total: f64| total / hosts / seconds;
-    let wire_bytes = costs.bytes + costs.messages * DATAGRAM_OVERHEAD_BYTES;
+    let wire_bytes = costs.total_bytes + costs.message_count * DATAGRAM_OVERHEAD_BYTES;
     let peak_bytes = costs.bytes_by_second.values().max().copied().unwrap_or(0);
     println!(
         "  {label}: {:.1} messages, {:.0} bytes payload, {:.0} with UDP/IP, {:.1} us processor \
          a host and second; busiest second of a host {peak_bytes} bytes; largest message {} bytes",
-        per_host(costs.messages as f64),
-        per_host(costs.bytes as f64),
+        per_host(costs.message_count as f64),
+        per_host(costs.total_bytes as f64),
         per_host(wire_bytes as f64),
         per_host(costs.handle_time.as_secs_f64() * 1e6),
         costs.largest_bytes,
@@ -264,7 +264,7 @@
     );
 }
 
-/// Returns the resident memory of this process, or 0 where it can't be told.
+/// Returns the resident memory of this process, or 0 where it cannot be read.
 fn resident_bytes() -> u64 {
     const PAGE_BYTES: u64 = 4_096;
     let statm = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
--- a/crates/coordination/src/config_adoption.rs
+++ b/crates/coordination/src/config_adoption.rs
@@ -90,8 +90,8 @@
         self.current_generation
     }
 
-    /// Returns the changes after a generation, for a peer, or `None` if not all of them are kept and
-    /// the peer needs the whole configuration.
+    /// Returns the changes after a generation, for a peer, or `None` if not all of them are kept
+    /// and the peer needs the whole configuration.
     ///
     /// ```
     /// use sedgeridge_coordination::config_adoption::ConfigAdoption;
@@ -197,8 +197,8 @@
     /// Returns the time until the next poll.
     ///
     /// Routers that started together would also poll together: with 200 of them none would read the
-    /// head for ten seconds, and a change would be delayed by as much. So the second poll falls at a
-    /// random point of the interval.
+    /// head for ten seconds, and a change would be delayed by as much. So the second poll falls at
+    /// a random point of the interval.
     fn poll_interval(&mut self) -> Duration {
         let routers = self.peer_generations.len() as u64 + 1;
         let fair_share_ms = routers * 1_000 / self.settings.fleet_polls_per_s;
@@ -241,10 +241,10 @@
 
     /// Puts fetched items in force, in order and without gaps.
     ///
-    /// A lower generation is dropped, whoever sent it: a stale read or a lagging peer would otherwise
-    /// revert an accepted configuration. A delta that does not directly follow the generation in
-    /// force is dropped too: applied over a gap, it would produce a configuration that was never
-    /// accepted. What is still missing is fetched again.
+    /// A lower generation is dropped, whoever sent it: a stale read or a lagging peer would
+    /// otherwise revert an accepted configuration. A delta that does not directly follow the
+    /// generation in force is dropped too: applied over a gap, it would produce a configuration
+    /// that was never accepted. What is still missing is fetched again.
     fn handle_items(
         &mut self,
         now: Duration,
--- a/crates/coordination/src/membership/events.rs
+++ b/crates/coordination/src/membership/events.rs
@@ -16,8 +16,8 @@
     MessageReceived(Message),
     /// The hosts named in the settings changed.
     HostsConfigured(Vec<HostId>),
-    /// The platform's list was read. It lags: hosts on it are contacted, and members that are not on
-    /// it stay members as long as they answer.
+    /// The platform's list was read. It lags: hosts on it are contacted, and members that are not
+    /// on it stay members as long as they answer.
     HostList(Vec<ListedHost>),
     /// This host has put a configuration generation in force, or read of one.
     ConfigGeneration(u64),
--- a/crates/coordination/src/membership/messages.rs
+++ b/crates/coordination/src/membership/messages.rs
@@ -28,7 +28,8 @@
 pub struct Version {
     /// The run of the host.
     pub incarnation: Incarnation,
-    /// Number of changes of this run to its own record: refutations and the start of a planned stop.
+    /// Number of changes of this run to its own record: refutations and the start of a planned
+    /// stop.
     pub refutations: u64,
 }
 
@@ -84,8 +85,8 @@
 pub struct Update {
     /// The new record.
     pub record: MemberRecord,
-    /// For a suspect, the host whose probe went unanswered. Independent accusers shorten the time to
-    /// refute.
+    /// For a suspect, the host whose probe went unanswered. Independent accusers shorten the time
+    /// to refute.
     pub accuser: Option<HostId>,
 }
 
--- a/crates/coordination/src/membership/probe_schedule.rs
+++ b/crates/coordination/src/membership/probe_schedule.rs
@@ -24,8 +24,8 @@
         self.order.insert(position, host.clone());
     }
 
-    /// Returns the next live host. Hosts that are not live are skipped, and removed when a new round
-    /// starts.
+    /// Returns the next live host. Hosts that are not live are skipped, and removed when a new
+    /// round starts.
     pub(crate) fn next(
         &mut self,
         random: &mut SeededRandom,
--- a/crates/coordination/src/membership/timers.rs
+++ b/crates/coordination/src/membership/timers.rs
@@ -33,9 +33,9 @@
 
     /// Restarts the timers after a pause of this process.
     ///
-    /// A paused process misses every answer and refutation. When it resumes, its overdue timers would
-    /// make it declare members dead that were never silent, and disseminate that. So no timer about
-    /// other members may run on across the pause: all of them are restarted.
+    /// A paused process misses every answer and refutation. When it resumes, its overdue timers
+    /// would make it declare members dead that were never silent, and disseminate that. So no timer
+    /// about other members may run on across the pause: all of them are restarted.
     pub(super) fn detect_pause(&mut self, now: Duration) {
         let delay = now.saturating_sub(self.next_wake());
         if delay < millis(self.settings.pause_ms) {
--- a/crates/coordination/src/node/homes.rs
+++ b/crates/coordination/src/node/homes.rs
@@ -87,10 +87,11 @@
         }
     }
 
-    /// Assigns each pool a home among the live members, and starts or ends the homes on this router.
+    /// Assigns each pool a home among the live members, and starts or ends the homes on this
+    /// router.
     ///
-    /// Leaving members get no homes, so that homes move away before their host stops. If all members
-    /// are leaving, they remain candidates.
+    /// Leaving members get no homes, so that homes move away before their host stops. If all
+    /// members are leaving, they remain candidates.
     pub(super) fn place_homes(&mut self, now: Duration, out: &mut Outbox) {
         let alive = self
             .live_members
--- a/crates/coordination/src/node/peers.rs
+++ b/crates/coordination/src/node/peers.rs
@@ -57,8 +57,8 @@
 
     /// Passes reports and grants between the parts of this router until none is left.
     ///
-    /// Reports to a home on this router are delivered at once. Reports to other routers are sent when
-    /// they are due.
+    /// Reports to a home on this router are delivered at once. Reports to other routers are sent
+    /// when they are due.
     pub(super) fn exchange_messages(&mut self, now: Duration, out: &mut Outbox) {
         for _ in 0..MAX_LOCAL_ROUNDS {
             let own = &self.member;
--- a/crates/coordination/src/node_claims.rs
+++ b/crates/coordination/src/node_claims.rs
@@ -101,8 +101,8 @@
         self.handle_event(now, ClaimEvent::Claim(claim), steps);
     }
 
-    /// Gives up the claim of a request if it is not settled yet, because the caller went away or the
-    /// router stops. Returns whether there was such a claim.
+    /// Gives up the claim of a request if it is not settled yet, because the caller went away or
+    /// the router stops. Returns whether there was such a claim.
     pub(crate) fn give_up(
         &mut self,
         now: Duration,
--- a/crates/coordination/src/node_view.rs
+++ b/crates/coordination/src/node_view.rs
@@ -79,7 +79,8 @@
         homes.flat_map(|home| home.endpoint_views(now)).collect()
     }
 
-    /// Returns the client accounts with waiting, running or served requests on this router, by pool.
+    /// Returns the client accounts with waiting, running or served requests on this router, by
+    /// pool.
     ///
     /// ```
     /// use sedgeridge_coordination::node::Node;
--- a/crates/coordination/tests/common/config_fleet.rs
+++ b/crates/coordination/tests/common/config_fleet.rs
@@ -1,6 +1,7 @@
-//! Routers that adopt configurations from a store and from each other.
+//! Simulated routers that adopt configurations from a store and from each other.
 //!
-//! A configuration is the list of all changes so far, so that a gap, a reversal or a repeat shows.
+//! A configuration is the list of all changes so far, so that gaps, reversals and repeats are
+//! detected.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -19,7 +20,7 @@
 
 use super::store::Fate;
 
-/// Generations from one stored whole configuration to the next.
+/// Number of generations from one stored snapshot to the next.
 const SNAPSHOT_INTERVAL: usize = 4;
 
 pub type Document = Vec<u64>;
@@ -30,12 +31,12 @@
     pub member: Member,
     pub adoption: ConfigAdoption<Document>,
     pub document: Document,
-    pub ready: bool,
+    pub is_ready: bool,
     pub calls: VecDeque<ConfigAction<Document>>,
-    /// Highest generation this host had in force in any of its runs.
-    pub had: usize,
+    /// Highest generation that this host had in force in any of its runs.
+    pub highest_adopted: usize,
     /// Whether this run has read the head exactly.
-    pub read_exactly: bool,
+    pub has_read_exactly: bool,
     pub adopted_at: Duration,
 }
 
@@ -43,12 +44,12 @@
 #[derive(Debug)]
 pub struct ConfigFleet {
     pub now: Duration,
-    pub accepted: Document,
+    pub accepted_changes: Document,
     pub routers: Vec<ConfigRouter>,
-    pub cut: Vec<(usize, usize)>,
+    pub cut_pairs: Vec<(usize, usize)>,
     pub head_reads: u64,
     pub change_reads: u64,
-    /// Peers told of each adoption; all of them if none is set.
+    /// Number of peers told of each adoption, or `None` for all.
     pub fanout: Option<usize>,
     seed: u64,
 }
@@ -57,9 +58,9 @@
     pub fn new(routers: usize) -> Self {
         let mut fleet = Self {
             now: Duration::ZERO,
-            accepted: Document::new(),
+            accepted_changes: Document::new(),
             routers: Vec::new(),
-            cut: Vec::new(),
+            cut_pairs: Vec::new(),
             head_reads: 0,
             change_reads: 0,
             fanout: None,
@@ -73,7 +74,7 @@
         fleet
     }
 
-    fn start(&mut self, index: usize, incarnation: u64, had: usize) -> ConfigRouter {
+    fn start(&mut self, index: usize, incarnation: u64, highest_adopted: usize) -> ConfigRouter {
         self.seed += 1;
         let member = Member {
             host: HostId::from(format!("router-{index}").as_str()),
@@ -83,10 +84,10 @@
             member,
             adoption: ConfigAdoption::new(ConfigAdoptionSettings::default(), self.seed),
             document: Document::new(),
-            ready: false,
+            is_ready: false,
             calls: VecDeque::new(),
-            had,
-            read_exactly: false,
+            highest_adopted,
+            has_read_exactly: false,
             adopted_at: Duration::ZERO,
         }
     }
@@ -99,18 +100,18 @@
         }
     }
 
-    /// Kills a router and starts it again with no memory.
+    /// Kills a router and restarts it without its previous state.
     pub fn restart(&mut self, index: usize) {
         let incarnation = self.routers[index].member.incarnation.0 + 1;
-        let had = self.routers[index].had;
-        self.routers[index] = self.start(index, incarnation, had);
+        let highest_adopted = self.routers[index].highest_adopted;
+        self.routers[index] = self.start(index, incarnation, highest_adopted);
         self.announce_members();
     }
 
-    /// Operators get a change accepted.
-    pub fn accept(&mut self) {
-        let change = self.accepted.len() as u64 * 7 + 1;
-        self.accepted.push(change);
+    /// Adds an accepted change.
+    pub fn accept_change(&mut self) {
+        let change = self.accepted_changes.len() as u64 * 7 + 1;
+        self.accepted_changes.push(change);
     }
 
     pub fn event(&mut self, index: usize, event: ConfigEvent<Document>) {
@@ -120,7 +121,7 @@
         for action in actions {
             match action {
                 ConfigAction::Adopt(items) => self.adopt(index, &items),
-                ConfigAction::Ready => self.routers[index].ready = true,
+                ConfigAction::Ready => self.routers[index].is_ready = true,
                 call => self.routers[index].calls.push_back(call),
             }
         }
@@ -130,7 +131,7 @@
         let router = &mut self.routers[index];
         for item in items {
             match &item.content {
-                ConfigItemContent::Snapshot(whole) => router.document = whole.to_vec(),
+                ConfigItemContent::Snapshot(snapshot) => router.document = snapshot.to_vec(),
                 ConfigItemContent::Delta(delta) => router.document.extend(delta.iter()),
             }
         }
@@ -138,14 +139,14 @@
             .adoption
             .current_generation()
             .map_or(0, |g| g.0 as usize);
-        let accepted = &self.accepted[..generation];
+        let accepted = &self.accepted_changes[..generation];
         assert_eq!(router.document, accepted, "not what was accepted");
-        let is_excused = !router.read_exactly;
+        let may_revert = !router.has_read_exactly;
         assert!(
-            is_excused || generation >= router.had,
+            may_revert || generation >= router.highest_adopted,
             "host {index} turned back"
         );
-        router.had = router.had.max(generation);
+        router.highest_adopted = router.highest_adopted.max(generation);
         router.adopted_at = self.now;
     }
 
@@ -154,36 +155,36 @@
         let Some(call) = self.routers[index].calls.pop_front() else {
             return;
         };
-        let lags = match fate {
-            Fate::Stale(back) => back,
+        let lag = match fate {
+            Fate::Stale(lag_generations) => lag_generations,
             _ => 0,
         };
-        let fails = fate == Fate::Refused;
+        let is_refused = fate == Fate::Refused;
         let is_silent = fate == Fate::CallLost;
         match call {
             _ if is_silent => {}
-            ConfigAction::ReadHead { call, .. } if fails => {
+            ConfigAction::ReadHead { call, .. } if is_refused => {
                 self.event(index, ConfigEvent::CallFailed { call });
             }
             ConfigAction::ReadHead { call, is_exact } => {
                 self.head_reads += 1;
-                let lags = if is_exact { 0 } else { lags };
-                self.routers[index].read_exactly |= is_exact;
-                let length = self.accepted.len().saturating_sub(lags);
+                let lag = if is_exact { 0 } else { lag };
+                self.routers[index].has_read_exactly |= is_exact;
+                let length = self.accepted_changes.len().saturating_sub(lag);
                 let generation = generation_of(length);
                 self.event(index, ConfigEvent::HeadRead { call, generation });
             }
-            ConfigAction::FetchFromStore { call, .. } if fails => {
+            ConfigAction::FetchFromStore { call, .. } if is_refused => {
                 self.event(index, ConfigEvent::CallFailed { call });
             }
             ConfigAction::FetchFromStore { call, after, up_to } => {
                 self.change_reads += 1;
                 let newest = self
-                    .accepted
+                    .accepted_changes
                     .len()
-                    .saturating_sub(lags)
+                    .saturating_sub(lag)
                     .min(up_to.0 as usize);
-                let mut items = self.stored(after, newest);
+                let mut items = self.stored_items(after, newest);
                 if fate == Fate::AnswerLost && items.len() > 1 {
                     items.remove(items.len() / 2);
                 }
@@ -191,7 +192,7 @@
                 self.event(index, ConfigEvent::Fetched { call, items });
             }
             ConfigAction::FetchFromPeer { call, peer, after } => {
-                self.fetch_from_peer(index, call, &peer, after, fails);
+                self.fetch_from_peer(index, call, &peer, after, is_refused);
             }
             ConfigAction::AskPeer(peer) => self.ask_peer(index, peer),
             ConfigAction::Announce(generation) => self.gossip(index, generation),
@@ -199,7 +200,7 @@
         }
     }
 
-    fn stored(&self, after: Option<Generation>, newest: usize) -> Vec<ConfigItem<Document>> {
+    fn stored_items(&self, after: Option<Generation>, newest: usize) -> Vec<ConfigItem<Document>> {
         let snapshot = newest - newest.saturating_sub(1) % SNAPSHOT_INTERVAL;
         let first = match after {
             Some(after) if after.0 as usize >= snapshot => after.0 as usize,
@@ -207,12 +208,14 @@
         };
         let mut items = Vec::new();
         if first == snapshot && newest > 0 && after.is_none_or(|a| (a.0 as usize) < snapshot) {
-            items.push(whole(&self.accepted[..snapshot]));
+            items.push(snapshot_item(&self.accepted_changes[..snapshot]));
         }
         for generation in first + 1..=newest {
             items.push(ConfigItem {
                 generation: Generation(generation as u64),
-                content: ConfigItemContent::Delta(Arc::new(vec![self.accepted[generation - 1]])),
+                content: ConfigItemContent::Delta(Arc::new(vec![
+                    self.accepted_changes[generation - 1],
+                ])),
             });
         }
         items
@@ -224,9 +227,9 @@
         call: sedgeridge_coordination::store_call::CallId,
         peer: &Member,
         after: Option<Generation>,
-        fails: bool,
+        is_refused: bool,
     ) {
-        let Some(other) = self.reachable(index, peer).filter(|_| !fails) else {
+        let Some(other) = self.reachable(index, peer).filter(|_| !is_refused) else {
             self.event(index, ConfigEvent::CallFailed { call });
             return;
         };
@@ -234,7 +237,7 @@
         let changes = other.adoption.changes_after(after);
         let items = changes.unwrap_or_else(|| match other.document.as_slice() {
             [] => Vec::new(),
-            document => vec![whole(document)],
+            document => vec![snapshot_item(document)],
         });
         self.event(index, ConfigEvent::Fetched { call, items });
     }
@@ -249,19 +252,19 @@
     fn gossip(&mut self, index: usize, generation: Generation) {
         let peer = self.routers[index].member.clone();
         let count = self.routers.len();
-        let told = self.fanout.unwrap_or(count - 1);
-        for step in 1..=told {
+        let message_count = self.fanout.unwrap_or(count - 1);
+        for step in 1..=message_count {
             self.seed = self
                 .seed
                 .wrapping_mul(6_364_136_223_846_793_005)
                 .wrapping_add(1);
             let random = (self.seed >> 33) as usize % count;
-            let chosen = if self.fanout.is_some() {
+            let chosen_index = if self.fanout.is_some() {
                 random
             } else {
                 index + step
             };
-            let other = chosen % count;
+            let other = chosen_index % count;
             if other == index || self.is_cut(index, other) {
                 continue;
             }
@@ -277,7 +280,7 @@
     }
 
     fn is_cut(&self, a: usize, b: usize) -> bool {
-        self.cut.contains(&(a.min(b), a.max(b)))
+        self.cut_pairs.contains(&(a.min(b), a.max(b)))
     }
 
     pub fn advance(&mut self, by_ms: u64) {
@@ -287,7 +290,7 @@
         }
     }
 
-    /// Lets time pass with a store that works and all routers connected.
+    /// Advances the time while every call is answered.
     pub fn run(&mut self, for_ms: u64) {
         for _ in 0..for_ms / 100 {
             self.advance(100);
@@ -299,16 +302,19 @@
         }
     }
 
-    /// Checks that every router has what was accepted last.
+    /// Checks that every router has all accepted changes in force.
     pub fn check_all_in_force(&self) {
         for (index, router) in self.routers.iter().enumerate() {
-            assert_eq!(router.document, self.accepted, "router {index} is behind");
-            assert_eq!(router.ready, !self.accepted.is_empty());
+            assert_eq!(
+                router.document, self.accepted_changes,
+                "router {index} is behind"
+            );
+            assert_eq!(router.is_ready, !self.accepted_changes.is_empty());
         }
     }
 }
 
-fn whole(document: &[u64]) -> ConfigItem<Document> {
+fn snapshot_item(document: &[u64]) -> ConfigItem<Document> {
     ConfigItem {
         generation: Generation(document.len() as u64),
         content: ConfigItemContent::Snapshot(Arc::new(document.to_vec())),
--- a/crates/coordination/tests/config_adoption.rs
+++ b/crates/coordination/tests/config_adoption.rs
@@ -1,4 +1,4 @@
-//! Failures on the way of an accepted configuration into force.
+//! Adoption of accepted configurations under failures.
 
 mod common;
 
@@ -16,25 +16,25 @@
 fn fleet_at(generation: usize) -> ConfigFleet {
     let mut fleet = ConfigFleet::new(3);
     for _ in 0..generation {
-        fleet.accept();
+        fleet.accept_change();
     }
     fleet.run(5_000);
     fleet.check_all_in_force();
     fleet
 }
 
-/// Carries out all calls of a router; those to the store meet `store`.
-fn serve(fleet: &mut ConfigFleet, router: usize, store: Fate) {
+/// Carries out all calls of a router. Calls to the store end with `store_fate`.
+fn serve(fleet: &mut ConfigFleet, router: usize, store_fate: Fate) {
     while let Some(call) = fleet.routers[router].calls.front() {
         let to_store = matches!(
             call,
             ConfigAction::ReadHead { .. } | ConfigAction::FetchFromStore { .. }
         );
-        fleet.deliver(router, if to_store { store } else { Fate::Answered });
+        fleet.deliver(router, if to_store { store_fate } else { Fate::Answered });
     }
 }
 
-// The store is down when a router starts again without memory. It asks its peers for their
+// Guards against a router that cannot restart while the store is down. It asks its peers for their
 // generation and takes the configuration from one of them.
 #[test]
 fn a_restarted_router_takes_its_configuration_from_peers() {
@@ -47,25 +47,25 @@
     fleet.check_all_in_force();
 }
 
-// The store is down and no peer can be reached. The router has no configuration to judge callers
-// by, so it is not ready, however long this lasts.
+// Guards against a router that becomes ready without a configuration, by which it would have to
+// check callers, while the store is down and no peer is reachable.
 #[test]
 fn a_router_without_any_configuration_is_not_ready() {
     let mut fleet = fleet_at(3);
-    fleet.cut = vec![(0, 1), (0, 2)];
+    fleet.cut_pairs = vec![(0, 1), (0, 2)];
     fleet.restart(0);
     for _ in 0..600 {
         fleet.advance(100);
         serve(&mut fleet, 0, Fate::Refused);
     }
-    assert!(!fleet.routers[0].ready);
-    fleet.cut.clear();
+    assert!(!fleet.routers[0].is_ready);
+    fleet.cut_pairs.clear();
     fleet.run(10_000);
     fleet.check_all_in_force();
 }
 
-// A router reads the head from a replica that lags, and is handed an older whole configuration by
-// a peer. Its own newer one stays in force.
+// Guards against a return to an older configuration: a router reads the head from a lagging replica
+// and receives an older snapshot from a peer. Its newer configuration stays in force.
 #[test]
 fn a_lower_generation_is_never_adopted() {
     let mut fleet = fleet_at(3);
@@ -74,7 +74,7 @@
     serve(&mut fleet, 0, Fate::Stale(2));
     let old = ConfigItem {
         generation: Generation(1),
-        content: ConfigItemContent::Snapshot(Arc::new(fleet.accepted[..1].to_vec())),
+        content: ConfigItemContent::Snapshot(Arc::new(fleet.accepted_changes[..1].to_vec())),
     };
     let items = vec![old];
     let call = CallId(u64::MAX);
@@ -82,45 +82,46 @@
     fleet.check_all_in_force();
 }
 
-// A host had generation 3 in force and starts again while its peers are cut off and the store's
-// reads lag by two. A plain read would put generation 1 in force: the configuration turned back.
-// The first read is exact, so the router knows of 3 and waits for it.
+// Guards against a configuration that reverts over a restart. A host had generation 3 in force and
+// restarts while its peers are cut off and reads of the store lag by two, so a plain read would put
+// generation 1 in force. The first read is exact, so the router knows of 3 and waits for it.
 #[test]
-fn a_stale_read_after_a_restart_does_not_turn_the_configuration_back() {
+fn a_stale_read_after_a_restart_does_not_revert_the_configuration() {
     let mut fleet = fleet_at(3);
-    fleet.cut = vec![(0, 1), (0, 2)];
+    fleet.cut_pairs = vec![(0, 1), (0, 2)];
     fleet.restart(0);
     for _ in 0..50 {
         fleet.advance(100);
         serve(&mut fleet, 0, Fate::Stale(2));
     }
-    assert!(!fleet.routers[0].ready);
+    assert!(!fleet.routers[0].is_ready);
     fleet.run(10_000);
     fleet.check_all_in_force();
 }
 
-// A fetch comes without one change in the middle. What follows the gap is left out, as it would
-// make a configuration that nobody accepted, and is fetched again.
+// Guards against a configuration that was never accepted: a fetch lacks one change in the middle.
+// The changes after the gap are dropped and fetched again.
 #[test]
 fn a_gap_is_noticed_and_fetched_again() {
     let mut fleet = fleet_at(1);
     for _ in 0..3 {
-        fleet.accept();
+        fleet.accept_change();
     }
-    fleet.cut = vec![(0, 1), (0, 2)];
+    fleet.cut_pairs = vec![(0, 1), (0, 2)];
     fleet.advance(1_000);
     fleet.deliver(0, Fate::Answered);
     fleet.deliver(0, Fate::AnswerLost);
-    assert_eq!(fleet.routers[0].document, fleet.accepted[..2]);
+    assert_eq!(fleet.routers[0].document, fleet.accepted_changes[..2]);
     fleet.run(10_000);
-    assert_eq!(fleet.routers[0].document, fleet.accepted);
+    assert_eq!(fleet.routers[0].document, fleet.accepted_changes);
 }
 
-// The peer that told of a new generation goes silent. After the timeout the store is asked.
+// Guards against a change delayed by a peer that announced a new generation and then does not
+// answer. After the timeout the store is asked.
 #[test]
-fn a_silent_peer_does_not_hold_a_change_up() {
+fn a_silent_peer_does_not_delay_a_change() {
     let mut fleet = fleet_at(1);
-    fleet.accept();
+    fleet.accept_change();
     let peer = fleet.routers[1].member.clone();
     let generation = Some(Generation(2));
     fleet.routers[0].calls.clear();
@@ -134,40 +135,40 @@
         .calls
         .retain(|c| matches!(c, ConfigAction::FetchFromStore { .. }));
     serve(&mut fleet, 0, Fate::Answered);
-    assert_eq!(fleet.routers[0].document, fleet.accepted);
+    assert_eq!(fleet.routers[0].document, fleet.accepted_changes);
 }
 
-// The store is down or silent when a host that had generation 3 starts again. The first peer that
-// answers lags behind at 1; the second has 3. Started from the first answer alone, the host would
-// turn the configuration back, so it hears both.
+// Guards against a configuration that reverts over a restart while the store is down or silent. The
+// host had generation 3; the first peer that answers lags at 1, the second has 3. The router must
+// not start before both have answered.
 #[test]
-fn a_lagging_peer_does_not_turn_a_restarted_router_back() {
-    for store in [Fate::Refused, Fate::CallLost] {
+fn a_lagging_peer_does_not_revert_a_restarted_router() {
+    for store_fate in [Fate::Refused, Fate::CallLost] {
         let mut fleet = fleet_at(1);
-        fleet.accept();
-        fleet.accept();
-        fleet.cut = vec![(0, 1), (1, 2)];
+        fleet.accept_change();
+        fleet.accept_change();
+        fleet.cut_pairs = vec![(0, 1), (1, 2)];
         for _ in 0..20 {
             fleet.advance(100);
             serve(&mut fleet, 0, Fate::Answered);
             serve(&mut fleet, 2, Fate::Answered);
         }
-        assert_eq!(fleet.routers[0].document, fleet.accepted);
+        assert_eq!(fleet.routers[0].document, fleet.accepted_changes);
 
-        fleet.cut.clear();
+        fleet.cut_pairs.clear();
         fleet.restart(0);
         let newer = fleet.routers[2].member.clone();
         let ask_newer = ConfigAction::AskPeer(newer);
         fleet.routers[0].calls.retain(|call| *call != ask_newer);
-        serve(&mut fleet, 0, store);
+        serve(&mut fleet, 0, store_fate);
         fleet.advance(100);
-        serve(&mut fleet, 0, store);
-        assert!(!fleet.routers[0].ready, "started from the lagging peer");
+        serve(&mut fleet, 0, store_fate);
+        assert!(!fleet.routers[0].is_ready, "started from the lagging peer");
         fleet.routers[0].calls.push_back(ask_newer);
         for _ in 0..20 {
             fleet.advance(100);
-            serve(&mut fleet, 0, store);
+            serve(&mut fleet, 0, store_fate);
         }
-        assert_eq!(fleet.routers[0].document, fleet.accepted);
+        assert_eq!(fleet.routers[0].document, fleet.accepted_changes);
     }
 }
--- a/crates/coordination/tests/config_fuzz.rs
+++ b/crates/coordination/tests/config_fuzz.rs
@@ -1,6 +1,7 @@
-//! Adoption by three routers with stale reads, gaps, lost calls, partitions and restarts.
+//! Stateful fuzzing of adoption by three routers with stale reads, gaps, lost calls, partitions and
+//! restarts.
 //!
-//! The oracle is the list of accepted changes: whatever a router has in force is a prefix of it.
+//! The oracle is the list of accepted changes: the changes in force on a router are a prefix of it.
 
 mod common;
 
@@ -25,7 +26,7 @@
     Restart { router: usize },
 }
 
-/// The number of accepted changes.
+/// Oracle whose state is the number of accepted changes.
 #[derive(Debug, Clone)]
 struct Oracle;
 
@@ -77,34 +78,34 @@
         ConfigFleet::new(ROUTERS)
     }
 
-    // The fleet itself asserts at each adoption that the document is what was accepted.
+    // The fleet itself asserts at each adoption that the document was accepted.
     fn apply(mut fleet: ConfigFleet, _: &usize, step: Step) -> ConfigFleet {
         match step {
-            Step::Accept => fleet.accept(),
+            Step::Accept => fleet.accept_change(),
             Step::Deliver { router, fate } => fleet.deliver(router, fate),
             Step::Advance { by_ms } => fleet.advance(by_ms),
-            Step::Cut { a, b } => fleet.cut.push((a, b)),
-            Step::Join { a, b } => fleet.cut.retain(|cut| *cut != (a, b)),
+            Step::Cut { a, b } => fleet.cut_pairs.push((a, b)),
+            Step::Join { a, b } => fleet.cut_pairs.retain(|cut| *cut != (a, b)),
             Step::Restart { router } => fleet.restart(router),
         }
         fleet
     }
 
     fn check_invariants(fleet: &ConfigFleet, accepted: &usize) {
-        assert_eq!(fleet.accepted.len(), *accepted);
+        assert_eq!(fleet.accepted_changes.len(), *accepted);
         for router in &fleet.routers {
             let generation = router
                 .adoption
                 .current_generation()
                 .map_or(0, |g| g.0 as usize);
             assert_eq!(router.document.len(), generation);
-            assert_eq!(router.ready, generation > 0);
+            assert_eq!(router.is_ready, generation > 0);
         }
     }
 
-    // With everything connected and working, all routers come to the last accepted change.
+    // Once all routers are connected and all calls answered, every router has the last change.
     fn teardown(mut fleet: ConfigFleet, _: usize) {
-        fleet.cut.clear();
+        fleet.cut_pairs.clear();
         fleet.announce_members();
         fleet.run(20_000);
         fleet.check_all_in_force();
@@ -120,5 +121,5 @@
     })]
 
     #[test]
-    fn configurations_never_turn_back(sequential 1..150 => Fleet);
+    fn configurations_never_revert(sequential 1..150 => Fleet);
 }
--- a/crates/coordination/tests/config_reads.rs
+++ b/crates/coordination/tests/config_reads.rs
@@ -1,8 +1,8 @@
-//! Table reads that configuration costs the fleet, and how soon a change is in force.
+//! Table reads that configuration costs the fleet, and time until a change is in force.
 //!
 //! The clock is simulated and each call takes up to 100 ms. Routers tell three random peers of a
-//! generation when they adopt it, and exchange generations with a random peer every 500 ms, as the
-//! membership's probes do. Run with `--nocapture` to see the figures.
+//! generation when they adopt it, and exchange generations with a random peer every 500 ms, as
+//! membership probes do. Run with `--nocapture` to see the figures.
 
 mod common;
 
@@ -11,7 +11,7 @@
 use sedgeridge_coordination::config_events::ConfigEvent;
 
 const STEP_MS: u64 = 100;
-const PROBE_STEPS: u64 = 5;
+const STEPS_PER_PROBE: u64 = 5;
 const RUN_MS: u64 = 120_000;
 const DAY_MS: u64 = 86_400_000;
 const TABLE_READS_PER_S: f64 = 2_000.0;
@@ -24,10 +24,10 @@
     in_force_p99_ms: u64,
 }
 
-fn run(routers: usize, changes_per_day: u64) -> Cost {
+fn simulate(routers: usize, changes_per_day: u64) -> Cost {
     let mut fleet = ConfigFleet::new(routers);
     fleet.fanout = Some(3);
-    fleet.accept();
+    fleet.accept_change();
     fleet.run(10_000);
     fleet.check_all_in_force();
     (fleet.head_reads, fleet.change_reads) = (0, 0);
@@ -39,24 +39,24 @@
     for step in 0..RUN_MS / STEP_MS {
         let now_ms = step * STEP_MS;
         if now_ms >= next_change_ms {
-            fleet.accept();
+            fleet.accept_change();
             accepted_at_ms = now_ms;
             next_change_ms = now_ms.saturating_add(change_interval_ms);
         }
-        let behind = behind(&fleet);
+        let behind = routers_behind(&fleet);
         fleet.advance(STEP_MS);
-        if step.is_multiple_of(PROBE_STEPS) {
-            probe(&mut fleet, &mut random);
+        if step.is_multiple_of(STEPS_PER_PROBE) {
+            exchange_generations(&mut fleet, &mut random);
         }
         for index in 0..routers {
             for _ in 0..fleet.routers[index].calls.len() {
                 fleet.deliver(index, Fate::Answered);
             }
         }
-        let adopted = behind.iter().filter(|i| !is_behind(&fleet, **i)).count();
+        let adopted_count = behind.iter().filter(|i| !is_behind(&fleet, **i)).count();
         delays_ms.extend(std::iter::repeat_n(
             now_ms + STEP_MS - accepted_at_ms,
-            adopted,
+            adopted_count,
         ));
     }
     delays_ms.sort_unstable();
@@ -70,16 +70,16 @@
 }
 
 fn is_behind(fleet: &ConfigFleet, index: usize) -> bool {
-    fleet.routers[index].document.len() < fleet.accepted.len()
+    fleet.routers[index].document.len() < fleet.accepted_changes.len()
 }
 
-fn behind(fleet: &ConfigFleet) -> Vec<usize> {
+fn routers_behind(fleet: &ConfigFleet) -> Vec<usize> {
     let all = 0..fleet.routers.len();
     all.filter(|index| is_behind(fleet, *index)).collect()
 }
 
-/// Each router exchanges generations with one other.
-fn probe(fleet: &mut ConfigFleet, random: &mut u64) {
+/// Exchanges generations between each router and a random one.
+fn exchange_generations(fleet: &mut ConfigFleet, random: &mut u64) {
     let count = fleet.routers.len();
     for index in 0..count {
         *random = random
@@ -94,14 +94,15 @@
     }
 }
 
-// 11,000 changes a day at 400 routers are to cost less than a hundredth of the table's reads, and
-// each change is to be in force within three seconds.
+// Guards against configuration overloading the table or being in force late: 11,000 changes a day
+// at 400 routers must cost less than a hundredth of the table's reads, and each change must be in
+// force within three seconds.
 #[test]
 fn configuration_keeps_to_its_share_of_the_table() {
     println!("routers | changes a day | head reads/s | change reads/s | share % | in force p99 ms");
     for routers in [6, 50, 100, 200, 400] {
         for changes_per_day in [0, 11_000, 44_000] {
-            let cost = run(routers, changes_per_day);
+            let cost = simulate(routers, changes_per_day);
             let Cost {
                 head_reads_per_s,
                 change_reads_per_s,
--- a/crates/coordination/tests/membership.rs
+++ b/crates/coordination/tests/membership.rs
@@ -1,4 +1,4 @@
-//! The membership of a small fleet: joining, leaving, failing and what is spread along.
+//! Membership of a small fleet: joining, leaving, failures and dissemination.
 
 mod membership_network;
 
@@ -36,7 +36,7 @@
     for seed in SEEDS {
         let mut network = Network::settled(count, Links::default(), seed);
         network.run(Duration::from_secs(120));
-        let losses: u64 = network.nodes.iter().map(|n| n.reports.losses).sum();
+        let losses: u64 = network.nodes.iter().map(|n| n.reports.false_losses).sum();
         assert_eq!(losses, 0, "seed {seed}");
     }
 }
--- a/crates/coordination/tests/membership_faults.rs
+++ b/crates/coordination/tests/membership_faults.rs
@@ -22,13 +22,12 @@
 const SEEDS: [u64; 3] = [101, 202, 303];
 
 fn losses(network: &Network) -> u64 {
-    network.nodes.iter().map(|n| n.reports.losses).sum()
+    network.nodes.iter().map(|n| n.reports.false_losses).sum()
 }
 
-// A caller in one half sees only that half's engines during the cut, and all of them soon after it.
-// The halves lose each other, each declares the other dead and stops probing it, the cut heals.
-// No probe crosses any more, so only the contacts of missing hosts bring the halves together; and
-// the death records that both hold must not empty the fleet when they are exchanged.
+// Guards against a fleet that stays split after a partition heals, with each half using only its
+// own engines. Each half declared the other dead and stopped probing it, so only contacts of
+// missing hosts rejoin them; the exchanged records of dead members must not remove live ones.
 #[parameterized(
     today = { 8, 4 },
     uneven = { 9, 1 },
@@ -37,11 +36,14 @@
 fn halves_of_a_partition_rejoin(count: usize, cut_off: usize) {
     for seed in SEEDS {
         let mut network = Network::settled(count, Links::default(), seed);
-        let half: BTreeSet<usize> = (0..cut_off).collect();
-        network.partition(&half);
+        let first_half: BTreeSet<usize> = (0..cut_off).collect();
+        network.partition(&first_half);
         network.run(Duration::from_secs(90));
         for (a, b) in [(0, count - 1), (count - 1, 0)] {
-            assert!(!network.believes_live(a, b), "seed {seed}: cut not noticed");
+            assert!(
+                !network.considers_live(a, b),
+                "seed {seed}: cut not noticed"
+            );
         }
         let before = losses(&network);
         network.heal();
@@ -53,11 +55,11 @@
     }
 }
 
-// Callers of a restarted router are served again at once, with the whole fleet's engines.
-// A router is killed and started before the others notice, with no memory; they still hold its
-// old run for live. The higher incarnation replaces the old run, and one table tells it of all.
+// Guards against a restarted router that serves its callers late or with a part of the fleet's
+// engines. It restarts without state before the others notice, so they still consider its old run
+// live. The higher incarnation replaces that run, and one table tells the router of all members.
 #[test]
-fn a_restarted_host_is_accepted_and_knows_all() {
+fn a_restarted_host_is_accepted_and_learns_all_members() {
     for seed in SEEDS {
         let mut network = Network::settled(20, Links::default(), seed);
         network.kill(5);
@@ -68,16 +70,16 @@
     }
 }
 
-// A caller finds the router that was paused back in service seconds after it goes on.
-// The router is paused for longer than every timeout, so the others declare it dead and stop
-// probing it. It goes on, unaware. Whoever it speaks to tells it, and it refutes.
+// Guards against a paused router that is out of service for long after it resumes. It is paused for
+// longer than every timeout, so the others declare it dead and stop probing it. It does not know
+// this when it resumes; the answers to its messages tell it, and it refutes.
 #[test]
 fn a_host_frozen_until_declared_dead_comes_back() {
     for seed in SEEDS {
         let mut network = Network::settled(9, Links::default(), seed);
         network.freeze(2);
         network.run(Duration::from_secs(30));
-        assert!(!network.believes_live(0, 2), "seed {seed}: not noticed");
+        assert!(!network.considers_live(0, 2), "seed {seed}: not noticed");
         network.resume(2);
         let agreed = network.run_until(Duration::from_secs(10), Network::agrees);
         assert!(agreed.is_some(), "seed {seed}");
@@ -87,9 +89,9 @@
     }
 }
 
-// Callers of the other routers notice nothing of one router's pause.
-// A router hears a suspicion of a live member and is paused before the refutation reaches it. On
-// going on, its overdue timer would declare the member dead at once and tell the fleet.
+// Guards against callers of other routers being affected by the pause of one router. It receives a
+// suspicion of a live member and is paused before the refutation arrives. When it resumes, its
+// overdue timer would declare the member dead at once and tell the fleet.
 #[test]
 fn a_host_that_was_frozen_declares_nobody_dead() {
     for seed in SEEDS {
@@ -105,7 +107,7 @@
     }
 }
 
-/// Makes a message by which `accuser` tells that `suspect` left a probe unanswered.
+/// Returns a message in which `accuser` reports that `suspect` left a probe unanswered.
 fn accusation(network: &Network, accuser: usize, suspect: usize) -> Message {
     let record = |node: usize, health| MemberRecord {
         member: Member {
@@ -128,11 +130,10 @@
     }
 }
 
-// Callers notice nothing: the member whose direct path to one other is broken stays a member.
-// A probe finds no direct answer, others are asked to probe, and their answers come back in time,
-// so that nobody is even suspected and has to refute.
+// Guards against the removal of a member whose direct path to one other is broken. The direct probe
+// is not answered, but the indirect probes are, in time, so that no member is even suspected.
 #[test]
-fn a_broken_path_between_two_hosts_costs_neither() {
+fn a_broken_path_between_two_hosts_removes_neither() {
     for seed in SEEDS {
         let mut network = Network::settled(9, Links::default(), seed);
         network.cut_pairs.insert((1, 2));
@@ -143,13 +144,13 @@
     }
 }
 
-// Callers notice nothing of a network that loses one message in ten.
-// Probes go unanswered now and then; the indirect ones, or the refutation, come in time.
+// Guards against the removal of live members while the network loses one message in ten. Some
+// probes stay unanswered; the indirect probes or the refutation arrive in time.
 #[parameterized(
     today = { 9 },
     larger = { 60 },
 )]
-fn no_host_is_lost_while_one_message_in_ten_is(count: usize) {
+fn no_host_is_lost_at_ten_percent_message_loss(count: usize) {
     let links = Links {
         loss_percent: 10,
         delay_us: 500..20_000,
@@ -162,8 +163,8 @@
     }
 }
 
-// Callers of a dead rack's routers are served by others within seconds.
-// A quarter of all hosts go at the same moment, among them those asked for indirect probes.
+// Guards against slow detection when a rack fails, whose callers must be served by other routers
+// within seconds. A quarter of all hosts die at once, among them hosts asked for indirect probes.
 #[test]
 fn hosts_that_die_together_are_all_removed() {
     for seed in SEEDS {
@@ -176,15 +177,14 @@
     }
 }
 
-// An operator sees the router say that it must restart; without that it would serve alone for good.
-// The wall clock went back over a restart, so the new run has the lower incarnation and its
-// messages are dropped as those of the old run. The answer to them names the higher incarnation;
-// after a planned stop nothing else would, as nobody probes or suspects a host that said good-bye.
+// Guards against a router that serves alone permanently after its wall clock went back in a
+// restart. Its new run has the lower incarnation and is rejected as stale. Only the rejections tell
+// it the higher one: after a planned stop the others neither probe nor suspect the host.
 #[parameterized(
     killed = { false },
     stopped = { true },
 )]
-fn a_host_whose_clock_went_back_is_told(planned_stop: bool) {
+fn a_host_whose_clock_went_back_is_told_that_it_is_outranked(planned_stop: bool) {
     let mut network = Network::settled(9, Links::default(), 77);
     let Incarnation(first) = network.nodes[3].incarnation;
     if planned_stop {
@@ -196,12 +196,11 @@
     network.run(Duration::from_secs(2));
     network.start_with_incarnation(3, Incarnation(first - 5_000_000));
     network.run(Duration::from_secs(3));
-    let outranked = &network.nodes[3].reports.outranked;
+    let outranked = &network.nodes[3].reports.outranked_by;
     assert!(outranked.contains(&Incarnation(first)));
 }
 
-// Callers notice nothing of a host list that is out of date.
-// The platform's list lacks members that answer: they stay.
+// Guards against the removal of members that answer but are missing in an outdated platform's list.
 #[test]
 fn a_member_that_answers_stays_though_the_list_lacks_it() {
     let mut network = Network::settled(9, Links::default(), 78);
@@ -214,17 +213,17 @@
     assert_eq!(losses(&network), 0);
 }
 
-// A caller's work goes to no router that the platform is about to stop, and again to the new run.
-// The list says leaving before the host itself does. It goes on saying so after the restart, since
-// it lags; the new run must not be held for leaving.
+// Guards against work on a router that the platform is about to stop, and against a new run that
+// counts as leaving. The list marks the host as leaving before the host itself does and, as it
+// lags, still does so after the restart.
 #[test]
-fn a_leaving_hint_holds_for_the_run_that_it_was_given_for() {
+fn a_leaving_hint_applies_only_to_the_run_it_was_given_for() {
     let mut network = Network::settled(9, Links::default(), 79);
-    let stopping = |node| match node {
+    let hint = |node| match node {
         4 => HostHint::Leaving,
         _ => HostHint::Live,
     };
-    let list = network.list(stopping);
+    let list = network.host_list(hint);
     network.handle(0, MembershipEvent::HostList(list.clone()));
     assert_eq!(network.state(0, 4), Some(MemberState::Leaving));
     network.kill(4);
--- a/crates/coordination/tests/membership_fuzz.rs
+++ b/crates/coordination/tests/membership_fuzz.rs
@@ -1,4 +1,4 @@
-//! Stateful fuzzing: random faults, then a heal, after which all hosts must agree with the oracle.
+//! Stateful fuzzing: after random faults are repaired, all hosts must agree with the oracle.
 
 mod membership_network;
 
@@ -19,11 +19,11 @@
 
 const HOSTS: usize = 9;
 
-/// Time after the heal within which all must agree.
-const CONVERGENCE: Duration = Duration::from_secs(60);
+/// Time within which all hosts must agree once all faults are repaired.
+const CONVERGENCE_LIMIT: Duration = Duration::from_secs(60);
 
-/// Time over which nobody may be lost once all agree and no fault is left.
-const QUIET: Duration = Duration::from_secs(60);
+/// Time without faults, after all hosts agree, during which no host may be lost.
+const QUIET_TIME: Duration = Duration::from_secs(60);
 
 #[derive(Debug, Clone)]
 enum Fault {
@@ -46,7 +46,7 @@
     Frozen,
 }
 
-/// What must be true in the end, however the faults fell.
+/// Expected state of the hosts and of the configuration generations.
 #[derive(Debug, Clone)]
 struct Oracle {
     hosts: [HostState; HOSTS],
@@ -55,7 +55,7 @@
 }
 
 impl Oracle {
-    /// Highest generation that some host still knows.
+    /// Returns the highest generation that some host still knows.
     fn generation(&self) -> u64 {
         self.generations.values().copied().max().unwrap_or(0)
     }
@@ -183,7 +183,7 @@
                 HostState::Running => {}
             }
         }
-        let agreed = network.run_until(CONVERGENCE, Network::agrees);
+        let agreed = network.run_until(CONVERGENCE_LIMIT, Network::agrees);
         assert!(agreed.is_some(), "no agreement after the heal");
         network.run(Duration::from_secs(2));
         let memberships = network.nodes.iter().filter_map(|n| n.membership.as_ref());
@@ -191,10 +191,10 @@
             assert!(membership.config_generation() >= oracle.generation());
             assert!(membership.config_generation() < oracle.next_generation);
         }
-        let losses = |n: &Network| n.nodes.iter().map(|n| n.reports.losses).sum::<u64>();
+        let losses = |n: &Network| n.nodes.iter().map(|n| n.reports.false_losses).sum::<u64>();
         network.run(Duration::from_secs(10));
         let before = losses(&network);
-        network.run(QUIET);
+        network.run(QUIET_TIME);
         assert!(network.agrees(), "apart again");
         assert_eq!(losses(&network), before, "lost in a quiet network");
     }
--- a/crates/coordination/tests/membership_network/mod.rs
+++ b/crates/coordination/tests/membership_network/mod.rs
@@ -1,4 +1,4 @@
-//! Connects memberships in memory, with loss, delay, partitions, restarts and freezes.
+//! Simulated network of memberships with loss, delay, partitions, restarts and freezes.
 #![allow(dead_code)]
 
 pub mod encoding;
@@ -28,13 +28,13 @@
 use reports::Costs;
 use reports::Reports;
 
-/// Wall clock at the start of each run.
+/// Wall-clock time at the start of each simulated run.
 const START_UNIX_US: u64 = 1_800_000_000_000_000;
 
-/// Messages that wait for a frozen process before further ones are lost.
-const FROZEN_INBOX: usize = 1_000;
+/// Maximum number of messages that wait for a frozen process. Further ones are lost.
+const MAX_FROZEN_INBOX: usize = 1_000;
 
-/// How messages fare on their way.
+/// Loss and delay of messages.
 #[derive(Debug, Clone)]
 pub struct Links {
     pub loss_percent: u64,
@@ -51,7 +51,7 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
+enum Task {
     Deliver(usize),
     Wake,
 }
@@ -64,9 +64,9 @@
     pub membership: Option<Membership>,
     pub reports: Reports,
     started_at: Duration,
-    frozen: bool,
+    is_frozen: bool,
     inbox: Vec<Message>,
-    group: u32,
+    partition_group: u32,
 }
 
 /// Hosts and the messages between them.
@@ -76,14 +76,14 @@
     pub nodes: Vec<Node>,
     pub links: Links,
     pub costs: Costs,
-    /// Pairs that can't reach each other, whatever the groups.
+    /// Pairs that cannot reach each other, whatever their partition groups.
     pub cut_pairs: BTreeSet<(usize, usize)>,
     settings: MembershipSettings,
     index: BTreeMap<HostId, usize>,
-    due: BinaryHeap<Reverse<(Duration, u64, usize, Due)>>,
+    tasks: BinaryHeap<Reverse<(Duration, u64, usize, Task)>>,
     in_flight: BTreeMap<usize, Message>,
     sequence: u64,
-    random: u64,
+    random_state: u64,
 }
 
 impl Network {
@@ -96,9 +96,9 @@
             membership: None,
             reports: Reports::default(),
             started_at: Duration::ZERO,
-            frozen: false,
+            is_frozen: false,
             inbox: Vec::new(),
-            group: 0,
+            partition_group: 0,
         });
         Self {
             now: Duration::ZERO,
@@ -108,10 +108,10 @@
             cut_pairs: BTreeSet::new(),
             settings,
             index: hosts.iter().cloned().zip(0..).collect(),
-            due: BinaryHeap::new(),
+            tasks: BinaryHeap::new(),
             in_flight: BTreeMap::new(),
             sequence: 0,
-            random: seed,
+            random_state: seed,
         }
     }
 
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Starts a host, or restarts it with no memory.
+    /// Starts a host, or restarts it without its previous state.
     pub fn start(&mut self, node: usize) {
         let incarnation = START_UNIX_US + self.now.as_micros() as u64;
         self.start_with_incarnation(node, Incarnation(incarnation));
@@ -137,7 +137,7 @@
 
     pub fn start_with_incarnation(&mut self, node: usize, incarnation: Incarnation) {
         let hosts = self.nodes.iter().map(|n| n.host.clone()).collect();
-        let seed = self.below(u64::MAX);
+        let seed = self.random_below(u64::MAX);
         let settings = self.settings.clone();
         let now = self.now;
         let started = &mut self.nodes[node];
@@ -148,7 +148,7 @@
         started.membership = Some(Membership::new(member, settings, hosts, seed));
         started.incarnation = incarnation;
         started.started_at = now;
-        started.frozen = false;
+        started.is_frozen = false;
         started.inbox.clear();
         started.reports = Reports::default();
         self.handle(node, MembershipEvent::Tick);
@@ -161,29 +161,29 @@
 
     /// Stops a host from running; messages to it wait.
     pub fn freeze(&mut self, node: usize) {
-        self.nodes[node].frozen = true;
+        self.nodes[node].is_frozen = true;
     }
 
-    /// Lets a frozen host go on: it finds its messages first, then its overdue timer.
+    /// Resumes a frozen host, which handles its waiting messages first, then its overdue timer.
     pub fn resume(&mut self, node: usize) {
-        self.nodes[node].frozen = false;
+        self.nodes[node].is_frozen = false;
         for message in std::mem::take(&mut self.nodes[node].inbox) {
             self.handle(node, MembershipEvent::MessageReceived(message));
         }
         self.handle(node, MembershipEvent::Tick);
     }
 
-    /// Lets a frozen host go on: it finds its overdue timer first, then its messages.
+    /// Resumes a frozen host, which handles its overdue timer first, then its waiting messages.
     pub fn resume_timer_first(&mut self, node: usize) {
-        self.nodes[node].frozen = false;
+        self.nodes[node].is_frozen = false;
         self.handle(node, MembershipEvent::Tick);
         self.resume(node);
     }
 
-    /// Cuts the network into those in `group` and the others.
+    /// Partitions the network into the hosts in `group` and the others.
     pub fn partition(&mut self, group: &BTreeSet<usize>) {
         for (i, node) in self.nodes.iter_mut().enumerate() {
-            node.group = u32::from(group.contains(&i));
+            node.partition_group = u32::from(group.contains(&i));
         }
     }
 
@@ -191,7 +191,7 @@
         self.partition(&BTreeSet::new());
     }
 
-    /// Hands an event to a host.
+    /// Passes an event to a host and carries out its actions.
     pub fn handle(&mut self, node: usize, event: MembershipEvent) {
         let target = &mut self.nodes[node];
         let Some(membership) = target.membership.as_mut() else {
@@ -204,29 +204,29 @@
         let wake = membership.next_wake();
         self.costs.handle_time += begin.elapsed();
         let wake_at = (target.started_at + wake).max(self.now);
-        self.schedule(wake_at, node, Due::Wake);
+        self.schedule(wake_at, node, Task::Wake);
         for action in actions {
-            self.act(node, action);
+            self.carry_out(node, action);
         }
     }
 
-    /// Runs for `time`.
+    /// Runs for `time` of simulated time.
     pub fn run(&mut self, time: Duration) {
         let end = self.now + time;
-        while let Some(Reverse((at, ..))) = self.due.peek() {
+        while let Some(Reverse((at, ..))) = self.tasks.peek() {
             if *at > end {
                 break;
             }
-            let Some(Reverse((at, _, node, due))) = self.due.pop() else {
+            let Some(Reverse((at, _, node, task))) = self.tasks.pop() else {
                 break;
             };
             self.now = at;
-            self.step(node, due);
+            self.step(node, task);
         }
         self.now = end;
     }
 
-    /// Runs until `done`, at most for `limit`; returns the time taken, to 10 ms.
+    /// Runs until `done`, at most for `limit`. Returns the time taken, to 10 ms.
     pub fn run_until(&mut self, limit: Duration, done: impl Fn(&Self) -> bool) -> Option<Duration> {
         let begin = self.now;
         while !done(self) {
@@ -238,13 +238,13 @@
         Some(self.now - begin)
     }
 
-    /// Hosts that run, frozen ones too.
+    /// Returns the running hosts, including frozen ones.
     pub fn running(&self) -> BTreeSet<HostId> {
         let running = self.nodes.iter().filter(|n| n.membership.is_some());
         running.map(|n| n.host.clone()).collect()
     }
 
-    /// Whether every running host believes exactly the running hosts, in their present run, live.
+    /// Whether every running host considers exactly the running hosts live, in their current run.
     pub fn agrees(&self) -> bool {
         let running: Vec<Member> = self
             .nodes
@@ -261,14 +261,14 @@
             .all(|n| n.reports.live.iter().map(|m| &m.member).eq(&running))
     }
 
-    /// Whether `node` believes `other` live.
-    pub fn believes_live(&self, node: usize, other: usize) -> bool {
+    /// Whether `node` considers `other` live.
+    pub fn considers_live(&self, node: usize, other: usize) -> bool {
         let host = &self.nodes[other].host;
         let live = &self.nodes[node].reports.live;
         live.iter().any(|m| m.member.host == *host)
     }
 
-    /// State of `other` as `node` sees it.
+    /// Returns the state of `other` as `node` knows it.
     pub fn state(&self, node: usize, other: usize) -> Option<MemberState> {
         let host = &self.nodes[other].host;
         let live = &self.nodes[node].reports.live;
@@ -277,8 +277,8 @@
             .map(|m| m.state)
     }
 
-    /// The platform's list, naming all hosts.
-    pub fn list(&self, hint: impl Fn(usize) -> HostHint) -> Vec<ListedHost> {
+    /// Returns a platform's list that names all hosts.
+    pub fn host_list(&self, hint: impl Fn(usize) -> HostHint) -> Vec<ListedHost> {
         let hosts = self.nodes.iter().enumerate();
         hosts
             .map(|(i, n)| ListedHost {
@@ -288,28 +288,28 @@
             .collect()
     }
 
-    /// Returns a number below `bound`.
-    pub fn below(&mut self, bound: u64) -> u64 {
-        self.random ^= self.random << 13;
-        self.random ^= self.random >> 7;
-        self.random ^= self.random << 17;
-        self.random % bound.max(1)
+    /// Returns a random number below `bound`.
+    pub fn random_below(&mut self, bound: u64) -> u64 {
+        self.random_state ^= self.random_state << 13;
+        self.random_state ^= self.random_state >> 7;
+        self.random_state ^= self.random_state << 17;
+        self.random_state % bound.max(1)
     }
 
-    fn step(&mut self, node: usize, due: Due) {
-        match due {
-            Due::Deliver(id) => {
+    fn step(&mut self, node: usize, task: Task) {
+        match task {
+            Task::Deliver(id) => {
                 if let Some(message) = self.in_flight.remove(&id) {
                     self.deliver(node, message);
                 }
             }
-            Due::Wake => self.wake(node),
+            Task::Wake => self.wake(node),
         }
     }
 
     fn wake(&mut self, node: usize) {
         let target = &self.nodes[node];
-        let Some(membership) = target.membership.as_ref().filter(|_| !target.frozen) else {
+        let Some(membership) = target.membership.as_ref().filter(|_| !target.is_frozen) else {
             return;
         };
         if target.started_at + membership.next_wake() <= self.now {
@@ -319,8 +319,8 @@
 
     fn deliver(&mut self, node: usize, message: Message) {
         let target = &mut self.nodes[node];
-        if target.frozen {
-            if target.inbox.len() < FROZEN_INBOX {
+        if target.is_frozen {
+            if target.inbox.len() < MAX_FROZEN_INBOX {
                 target.inbox.push(message);
             }
             return;
@@ -328,73 +328,79 @@
         self.handle(node, MembershipEvent::MessageReceived(message));
     }
 
-    fn act(&mut self, node: usize, action: MembershipAction) {
+    fn carry_out(&mut self, node: usize, action: MembershipAction) {
         let now = self.now;
         match action {
             MembershipAction::Send { to, message } => self.send(node, &to, message),
-            MembershipAction::MembersChanged(live) => self.note_members(node, live),
+            MembershipAction::MembersChanged(live) => self.record_members(node, live),
             MembershipAction::GenerationSeen { generation, .. } => {
                 let reports = &mut self.nodes[node].reports;
-                reports.generations.entry(generation).or_insert(now);
+                reports.generation_times.entry(generation).or_insert(now);
             }
             MembershipAction::NoticeReceived(notice) => {
                 self.nodes[node].reports.notices.push((now, notice));
             }
             MembershipAction::Outranked { incarnation } => {
-                self.nodes[node].reports.outranked.push(incarnation);
+                self.nodes[node].reports.outranked_by.push(incarnation);
             }
         }
     }
 
-    fn note_members(&mut self, node: usize, live: Vec<LiveMember>) {
-        let still: BTreeSet<&HostId> = live.iter().map(|m| &m.member.host).collect();
+    fn record_members(&mut self, node: usize, live: Vec<LiveMember>) {
+        let live_hosts: BTreeSet<&HostId> = live.iter().map(|m| &m.member.host).collect();
         let before = std::mem::take(&mut self.nodes[node].reports.live);
-        for lost in before.iter().filter(|m| !still.contains(&m.member.host)) {
+        for lost in before
+            .iter()
+            .filter(|m| !live_hosts.contains(&m.member.host))
+        {
             let host = &lost.member.host;
             let other = &self.nodes[self.index[host]];
-            let reachable = other.group == self.nodes[node].group;
-            let false_loss = other.membership.is_some() && !other.frozen && reachable;
+            let is_reachable = other.partition_group == self.nodes[node].partition_group;
+            let is_false_loss = other.membership.is_some() && !other.is_frozen && is_reachable;
             let reports = &mut self.nodes[node].reports;
-            reports.losses += u64::from(false_loss);
+            reports.false_losses += u64::from(is_false_loss);
             reports.lost_at.insert(host.clone(), self.now);
         }
         self.nodes[node].reports.live = live;
     }
 
     fn send(&mut self, from: usize, to: &HostId, message: Message) {
-        self.count(from, &message);
+        self.count_message(from, &message);
         self.nodes[from].reports.refutations = message.from.refutations;
         let Some(&target) = self.index.get(to) else {
             return;
         };
         let pair = (from.min(target), from.max(target));
-        let cut = self.nodes[from].group != self.nodes[target].group;
-        if cut || self.cut_pairs.contains(&pair) || self.below(100) < self.links.loss_percent {
+        let is_cut = self.nodes[from].partition_group != self.nodes[target].partition_group;
+        if is_cut
+            || self.cut_pairs.contains(&pair)
+            || self.random_below(100) < self.links.loss_percent
+        {
             return;
         }
         let Range { start, end } = self.links.delay_us;
-        let delay = Duration::from_micros(start + self.below(end - start));
+        let delay = Duration::from_micros(start + self.random_below(end - start));
         let id = self.sequence as usize;
         self.in_flight.insert(id, message);
-        self.schedule(self.now + delay, target, Due::Deliver(id));
+        self.schedule(self.now + delay, target, Task::Deliver(id));
     }
 
-    fn count(&mut self, from: usize, message: &Message) {
+    fn count_message(&mut self, from: usize, message: &Message) {
         let bytes = encoding::estimated_bytes(message);
-        self.costs.messages += 1;
-        self.costs.bytes += bytes;
+        self.costs.message_count += 1;
+        self.costs.total_bytes += bytes;
         self.costs.largest_bytes = self.costs.largest_bytes.max(bytes);
         let slot = (from, self.now.as_secs());
         *self.costs.bytes_by_second.entry(slot).or_default() += bytes;
     }
 
-    fn schedule(&mut self, at: Duration, node: usize, due: Due) {
-        self.due.push(Reverse((at, self.sequence, node, due)));
+    fn schedule(&mut self, at: Duration, node: usize, task: Task) {
+        self.tasks.push(Reverse((at, self.sequence, node, task)));
         self.sequence += 1;
     }
 }
 
-/// Name of the host at a position; names sort like positions.
+/// Returns the name of the host at a position. Names sort like positions.
 pub fn host_name(position: usize) -> HostId {
     HostId::from(format!("router-{position:04}").as_str())
 }
--- a/crates/coordination/tests/membership_network/reports.rs
+++ b/crates/coordination/tests/membership_network/reports.rs
@@ -1,4 +1,4 @@
-//! What a run shows: the reports of each host and the costs of all.
+//! Results of a simulated run: the reports of each host and the costs of all hosts.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,30 +8,30 @@
 use sedgeridge_state::ids::HostId;
 use sedgeridge_state::ids::Incarnation;
 
-/// What a host reported when.
+/// What one host reported since its start.
 #[derive(Debug, Default)]
 pub struct Reports {
     /// Last list of live members.
     pub live: Vec<LiveMember>,
-    /// Times at which each host last ceased to be live.
+    /// Time at which each host last ceased to be live.
     pub lost_at: BTreeMap<HostId, Duration>,
-    /// Times at which each generation was heard of.
-    pub generations: BTreeMap<u64, Duration>,
-    /// Notices, each with the time it came in.
+    /// Time at which each configuration generation was first seen.
+    pub generation_times: BTreeMap<u64, Duration>,
+    /// Received notices, each with the time of its receipt.
     pub notices: Vec<(Duration, Notice)>,
-    /// Incarnations above the own one that were heard of.
-    pub outranked: Vec<Incarnation>,
-    /// Highest refutation count that the host gave itself.
+    /// Higher incarnations under which this host is known to others.
+    pub outranked_by: Vec<Incarnation>,
+    /// Refutation count in the last message that the host sent.
     pub refutations: u64,
-    /// Number of hosts lost while they ran and could be reached.
-    pub losses: u64,
+    /// Number of hosts that ceased to be live here while they ran and could be reached.
+    pub false_losses: u64,
 }
 
-/// What the run has cost so far, all hosts together.
+/// Costs of all hosts so far.
 #[derive(Debug, Default, Clone)]
 pub struct Costs {
-    pub messages: u64,
-    pub bytes: u64,
+    pub message_count: u64,
+    pub total_bytes: u64,
     pub handle_time: Duration,
     /// Largest message.
     pub largest_bytes: u64,
--- a/crates/coordination/tests/membership_rejections.rs
+++ b/crates/coordination/tests/membership_rejections.rs
@@ -1,4 +1,4 @@
-//! What bad messages get: dropped, counted by reason, and nothing changes.
+//! Invalid messages are dropped and counted by reason, and change nothing.
 
 mod membership_network;
 
@@ -125,7 +125,7 @@
     }
 }
 
-/// A membership that knows host 1 and has no news left to send.
+/// Returns a membership that knows host 1 and has nothing left to disseminate.
 fn membership() -> Membership {
     let member = Member {
         host: host_name(0),
@@ -159,16 +159,17 @@
     membership.handle(NOW, MembershipEvent::MessageReceived(message), &mut actions);
     assert_eq!(membership.rejections().iter().count(), 1);
     assert!(membership.rejections().count_of(reason) > 0);
-    let told = |a: &MembershipAction| match a {
+    let is_outranked_answer = |a: &MembershipAction| match a {
         MembershipAction::Send { message, .. } => matches!(message.body, Body::Outranked { .. }),
         _ => false,
     };
-    assert!(actions.iter().all(told), "{actions:?}");
+    assert!(actions.iter().all(is_outranked_answer), "{actions:?}");
     assert_eq!(membership.config_generation(), 0);
 }
 
-// A router's callers are served throughout: a claim about the router itself is no reason to stop.
-// Somebody says that this host is dead under a version it never had; it refutes with a higher one.
+// Guards against a router that stops serving because of a false claim about itself. A message
+// claims that this host is dead, under a version it never had; the host refutes with a higher
+// version.
 #[test]
 fn a_false_claim_about_this_host_is_refuted() {
     let mut membership = membership();
--- a/crates/coordination/tests/node.rs
+++ b/crates/coordination/tests/node.rs
@@ -1,4 +1,4 @@
-//! One router by itself: entry part and home together.
+//! A single router with its entry part and home together.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -19,15 +19,15 @@
 use sedgeridge_state::settings::Settings;
 use sedgeridge_state::settings::load;
 
-const RUN: Duration = Duration::from_millis(20);
+const SERVICE_TIME: Duration = Duration::from_millis(20);
 
-/// Drives one node and a pool of two endpoints that answer after [`RUN`].
+/// Drives one node and a pool of two endpoints that answer after [`SERVICE_TIME`].
 struct OneRouter {
     node: Node,
     now: Duration,
-    due: BTreeMap<(Duration, u64), StartAttempt>,
-    running_at_most: usize,
-    started: Vec<RequestKey>,
+    running_attempts: BTreeMap<(Duration, u64), StartAttempt>,
+    max_running: usize,
+    started_requests: Vec<RequestKey>,
     given_up: Vec<GiveUp>,
 }
 
@@ -40,9 +40,9 @@
         let mut router = Self {
             node: Node::new(member, settings(), 7),
             now: Duration::ZERO,
-            due: BTreeMap::new(),
-            running_at_most: 0,
-            started: Vec::new(),
+            running_attempts: BTreeMap::new(),
+            max_running: 0,
+            started_requests: Vec::new(),
             given_up: Vec::new(),
         };
         router.advance(Duration::from_secs(1));
@@ -55,14 +55,15 @@
         for action in actions {
             match action {
                 NodeAction::StartAttempt(start) => {
-                    self.started.push(start.key);
-                    self.due.insert((self.now + RUN, start.attempt.0), start);
+                    self.started_requests.push(start.key);
+                    self.running_attempts
+                        .insert((self.now + SERVICE_TIME, start.attempt.0), start);
                 }
                 NodeAction::GiveUp(give_up) => self.given_up.push(give_up),
                 _ => {}
             }
         }
-        self.running_at_most = self.running_at_most.max(self.due.len());
+        self.max_running = self.max_running.max(self.running_attempts.len());
     }
 
     fn arrive(&mut self, key: u64, account: &str) {
@@ -91,7 +92,7 @@
         let end = self.now + by;
         while self.now < end {
             self.now += Duration::from_millis(1);
-            while let Some(entry) = self.due.first_entry() {
+            while let Some(entry) = self.running_attempts.first_entry() {
                 if entry.key().0 > self.now {
                     break;
                 }
@@ -101,7 +102,7 @@
                     attempt: start.attempt,
                     end: AttemptEnd::Finished {
                         charged_tokens: 10,
-                        first_byte: RUN,
+                        first_byte: SERVICE_TIME,
                     },
                     recorded: None,
                 });
@@ -110,7 +111,7 @@
         }
     }
 
-    fn grants(&self) -> u64 {
+    fn grant_count(&self) -> u64 {
         self.node.home_counters().map(|(_, c)| c.grants).sum()
     }
 }
@@ -151,9 +152,9 @@
     load(base, "base.ini", None).expect("the settings are valid")
 }
 
-/// The caller sees slow answers from the whole fleet: the router spins. A grant covers several
-/// short requests, so the waiting ones it covers are withdrawn; when that was not reported, the
-/// home granted a slot again and again for requests that were no longer there.
+/// Guards against slow answers from a router that loops. A grant covers several short requests, and
+/// the waiting requests it covers are withdrawn. When that was not reported, the home kept granting
+/// slots for requests that were no longer there.
 #[test]
 fn a_grant_that_covers_what_waits_is_not_granted_again() {
     let mut router = OneRouter::new();
@@ -161,35 +162,35 @@
         router.arrive(key, "large");
     }
     router.advance(Duration::from_secs(3));
-    assert_eq!(router.started.len(), 200);
-    assert!(router.grants() <= 200, "{} grants", router.grants());
+    assert_eq!(router.started_requests.len(), 200);
+    assert!(
+        router.grant_count() <= 200,
+        "{} grants",
+        router.grant_count()
+    );
 }
 
-/// A caller's requests wait although slots are free. Each free slot must be used while work waits,
-/// also when one grant covers several requests.
+/// Guards against requests that wait although slots are free. Each free slot must be used while
+/// requests wait, also when one grant covers several requests.
 #[test]
 fn every_slot_is_used_while_work_waits() {
     let mut router = OneRouter::new();
     for key in 0..400 {
         router.arrive(key, "large");
     }
-    let before = router.started.len();
+    let before = router.started_requests.len();
     router.advance(Duration::from_secs(1));
-    let in_a_second = 4 * 1_000 / RUN.as_millis() as usize;
-    let started = router.started.len() - before;
-    assert!(
-        started * 100 >= in_a_second * 95,
-        "{started} of {in_a_second} started"
-    );
+    let capacity_per_s = 4 * 1_000 / SERVICE_TIME.as_millis() as usize;
+    let started = router.started_requests.len() - before;
     assert!(
-        router.running_at_most <= 4,
-        "{} at once",
-        router.running_at_most
+        started * 100 >= capacity_per_s * 95,
+        "{started} of {capacity_per_s} started"
     );
+    assert!(router.max_running <= 4, "{} at once", router.max_running);
 }
 
-/// A small account waits behind a flood although both are entitled to the same share. With grants
-/// that cover many requests, the large one could keep every slot; it must get them in turn.
+/// Guards against a small account that waits behind a flood although both have the same share. With
+/// grants that cover many requests, the large account could keep every slot. Both must take turns.
 #[test]
 fn a_flood_does_not_keep_every_slot() {
     let mut router = OneRouter::new();
@@ -201,13 +202,17 @@
         router.arrive(key, "small");
     }
     router.advance(Duration::from_millis(700));
-    let small = router.started.iter().filter(|key| key.0 >= 1_000).count();
+    let small = router
+        .started_requests
+        .iter()
+        .filter(|key| key.0 >= 1_000)
+        .count();
     assert_eq!(small, 20);
 }
 
-/// A caller with a near deadline gets half an answer, or is told that its request may have run: the
-/// request waited until a slot was free, and what was left was less than any such request takes. It
-/// must be given up unstarted, with "not run" and a time to come back.
+/// Guards against a request that starts too late to end before its deadline, so that its caller
+/// gets half an answer or "may have run". Once the remaining time is shorter than any such request
+/// takes, it must be given up unstarted, with "not run" and a retry time.
 #[test]
 fn a_request_that_cannot_end_in_time_is_not_started() {
     let mut router = OneRouter::new();
@@ -215,15 +220,15 @@
         router.arrive(key, "large");
     }
     router.advance(Duration::from_secs(1));
-    router.arrive_with(100, "large", RUN / 4);
+    router.arrive_with(100, "large", SERVICE_TIME / 4);
     for key in 200..204 {
         router.arrive(key, "large");
     }
     router.advance(Duration::from_millis(15));
     router.arrive_with(101, "large", Duration::from_millis(12));
     router.advance(Duration::from_secs(1));
-    assert!(!router.started.contains(&RequestKey(100)));
-    assert!(!router.started.contains(&RequestKey(101)));
+    assert!(!router.started_requests.contains(&RequestKey(100)));
+    assert!(!router.started_requests.contains(&RequestKey(101)));
     assert_eq!(router.given_up.len(), 2);
     for give_up in &router.given_up {
         assert_eq!(give_up.outcome, Outcome::NotRun);
