--- a/crates/coordination/src/config_adoption.rs
+++ b/crates/coordination/src/config_adoption.rs
@@ -1,7 +1,7 @@
 //! Adoption of accepted configurations by a router, which never returns to a lower generation.
 //!
 //! Routers poll the head at a rate that the whole fleet shares, and tell each other the generation
-//! in force. A router that learns of a higher generation fetches it from the peer that told it, or
+//! in force. A router that learns of a higher generation fetches it from a peer that has it, or
 //! else from the store.
 
 mod fetch;
@@ -33,7 +33,7 @@
     current_generation: Option<Generation>,
     /// Highest generation known from the head or a peer.
     highest_generation: Option<Generation>,
-    /// Generations in force at the live peers, as far as they told.
+    /// Generations in force at the live peers, as far as known.
     peer_generations: BTreeMap<Member, Option<Generation>>,
     recent_items: VecDeque<ConfigItem<C>>,
     join: Join,
--- a/crates/coordination/src/config_adoption/fetch.rs
+++ b/crates/coordination/src/config_adoption/fetch.rs
@@ -40,7 +40,7 @@
     ///
     /// With 400 routers, reading each change from the table on each router would by itself exceed
     /// the table reads that configuration may use. After failures, every second attempt goes to the
-    /// store, as a peer that told its generation may be silent or gone.
+    /// store, as a peer that is ahead may be silent or gone.
     fn peer_to_ask(&self) -> Option<Member> {
         if self.failed_fetches % 2 == 1 {
             return None;
--- a/crates/coordination/src/member_changes.rs
+++ b/crates/coordination/src/member_changes.rs
@@ -53,8 +53,8 @@
         for id in ids {
             self.end(router, &id);
         }
-        let waited = self.demand.remove_router(router);
-        self.touched.extend(waited);
+        let waiting_accounts = self.demand.remove_router(router);
+        self.touched.extend(waiting_accounts);
         self.accounts.close_run(router);
         self.entries.remove(router);
     }
--- a/crates/coordination/src/membership.rs
+++ b/crates/coordination/src/membership.rs
@@ -156,7 +156,7 @@
         if self.has_left {
             return;
         }
-        self.detect_pause(now);
+        self.restart_timers_after_pause(now);
         match event {
             MembershipEvent::Tick => self.tick(now, actions),
             MembershipEvent::MessageReceived(message) => self.receive(now, message, actions),
--- a/crates/coordination/src/membership/member_table.rs
+++ b/crates/coordination/src/membership/member_table.rs
@@ -39,7 +39,7 @@
     record: MemberRecord,
     changed_at: Duration,
     suspicion: Option<Suspicion>,
-    /// Another table has this member as dead. The member is told, and refutes if it is alive.
+    /// Another host's table records this member as dead. The member is told, and refutes if alive.
     reported_dead: bool,
 }
 
--- a/crates/coordination/src/membership/receive.rs
+++ b/crates/coordination/src/membership/receive.rs
@@ -19,8 +19,9 @@
 use super::rejections::Rejection;
 use super::table_sync;
 
-/// Minimum time between two whole tables that this host sends. Without it, every host that finds a
-/// restarted one sends it a table in the same second.
+/// Minimum time between two tables sent in answer to digests. Each makes the receiver send its own
+/// table: without the minimum, every host that finds a restarted one sends it a table in the same
+/// second.
 const MIN_TABLE_INTERVAL: Duration = Duration::from_millis(200);
 
 impl Membership {
--- a/crates/coordination/src/membership/timers.rs
+++ b/crates/coordination/src/membership/timers.rs
@@ -14,7 +14,7 @@
 use super::messages::Update;
 
 /// Number of hosts that a host without live peers contacts at once.
-const JOIN_CONTACTS: usize = 2;
+const JOIN_CONTACT_COUNT: usize = 2;
 
 /// Time between contacts by a host without live peers.
 const JOIN_INTERVAL: Duration = Duration::from_millis(500);
@@ -36,7 +36,7 @@
     /// A paused process misses every answer and refutation. When it resumes, its overdue timers
     /// would make it declare members dead that were never silent, and disseminate that. So no timer
     /// about other members may run on across the pause: all of them are restarted.
-    pub(super) fn detect_pause(&mut self, now: Duration) {
+    pub(super) fn restart_timers_after_pause(&mut self, now: Duration) {
         let delay = now.saturating_sub(self.next_wake());
         if delay < millis(self.settings.pause_ms) {
             return;
@@ -108,7 +108,7 @@
         let is_alone = live == 0;
         let interval = millis(self.settings.rejoin_interval_ms);
         self.next_rejoin_at = now + if is_alone { JOIN_INTERVAL } else { interval };
-        let contact_count = if is_alone { JOIN_CONTACTS } else { 1 };
+        let contact_count = if is_alone { JOIN_CONTACT_COUNT } else { 1 };
         if self.random.index(live + 1) >= missing.len() * CONTACTS_PER_MISSING_HOST {
             return;
         }
