--- a/crates/coordination/tests/config_adoption.rs
+++ b/crates/coordination/tests/config_adoption.rs
@@ -86,7 +86,7 @@
 // restarts while its peers are cut off and reads of the store lag by two, so a plain read would put
 // generation 1 in force. The first read is exact, so the router knows of 3 and waits for it.
 #[test]
-fn a_stale_read_after_a_restart_does_not_revert_the_configuration() {
+fn a_stale_read_after_a_restart_does_not_turn_the_configuration_back() {
     let mut fleet = fleet_at(3);
     fleet.cut_pairs = vec![(0, 1), (0, 2)];
     fleet.restart(0);
@@ -119,7 +119,7 @@
 // Guards against a change delayed by a peer that announced a new generation and then does not
 // answer. After the timeout the store is asked.
 #[test]
-fn a_silent_peer_does_not_delay_a_change() {
+fn a_silent_peer_does_not_hold_a_change_up() {
     let mut fleet = fleet_at(1);
     fleet.accept_change();
     let peer = fleet.routers[1].member.clone();
@@ -142,7 +142,7 @@
 // host had generation 3; the first peer that answers lags at 1, the second has 3. The router must
 // not start before both have answered.
 #[test]
-fn a_lagging_peer_does_not_revert_a_restarted_router() {
+fn a_lagging_peer_does_not_turn_a_restarted_router_back() {
     for store_fate in [Fate::Refused, Fate::CallLost] {
         let mut fleet = fleet_at(1);
         fleet.accept_change();
--- a/crates/coordination/tests/config_fuzz.rs
+++ b/crates/coordination/tests/config_fuzz.rs
@@ -121,5 +121,5 @@
     })]
 
     #[test]
-    fn configurations_never_revert(sequential 1..150 => Fleet);
+    fn configurations_never_turn_back(sequential 1..150 => Fleet);
 }
--- a/crates/coordination/tests/membership_faults.rs
+++ b/crates/coordination/tests/membership_faults.rs
@@ -59,7 +59,7 @@
 // engines. It restarts without state before the others notice, so they still consider its old run
 // live. The higher incarnation replaces that run, and one table tells the router of all members.
 #[test]
-fn a_restarted_host_is_accepted_and_learns_all_members() {
+fn a_restarted_host_is_accepted_and_knows_all() {
     for seed in SEEDS {
         let mut network = Network::settled(20, Links::default(), seed);
         network.kill(5);
@@ -133,7 +133,7 @@
 // Guards against the removal of a member whose direct path to one other is broken. The direct probe
 // is not answered, but the indirect probes are, in time, so that no member is even suspected.
 #[test]
-fn a_broken_path_between_two_hosts_removes_neither() {
+fn a_broken_path_between_two_hosts_costs_neither() {
     for seed in SEEDS {
         let mut network = Network::settled(9, Links::default(), seed);
         network.cut_pairs.insert((1, 2));
@@ -150,7 +150,7 @@
     today = { 9 },
     larger = { 60 },
 )]
-fn no_host_is_lost_at_ten_percent_message_loss(count: usize) {
+fn no_host_is_lost_while_one_message_in_ten_is(count: usize) {
     let links = Links {
         loss_percent: 10,
         delay_us: 500..20_000,
@@ -184,7 +184,7 @@
     killed = { false },
     stopped = { true },
 )]
-fn a_host_whose_clock_went_back_is_told_that_it_is_outranked(planned_stop: bool) {
+fn a_host_whose_clock_went_back_is_told(planned_stop: bool) {
     let mut network = Network::settled(9, Links::default(), 77);
     let Incarnation(first) = network.nodes[3].incarnation;
     if planned_stop {
@@ -217,7 +217,7 @@
 // counts as leaving. The list marks the host as leaving before the host itself does and, as it
 // lags, still does so after the restart.
 #[test]
-fn a_leaving_hint_applies_only_to_the_run_it_was_given_for() {
+fn a_leaving_hint_holds_for_the_run_that_it_was_given_for() {
     let mut network = Network::settled(9, Links::default(), 79);
     let hint = |node| match node {
         4 => HostHint::Leaving,
