--- a/crates/coordination/src/coordinator.rs
+++ b/crates/coordination/src/coordinator.rs
@@ -75,7 +75,7 @@
         seed: u64,
     ) -> Self {
         let sweep_seed = seed.wrapping_add(1);
-        let config = NodeConfig::of_host(&member.host, configuration, seed.wrapping_add(2));
+        let config = NodeConfig::for_host(&member.host, configuration, seed.wrapping_add(2));
         let mut orders = Orders::new(settings.orders.clone());
         // Files may be out of date, so with an accepted configuration orders wait until it is read.
         if config.is_none() {
--- a/crates/protocol/src/membership.rs
+++ b/crates/protocol/src/membership.rs
@@ -7,7 +7,7 @@
 use serde::Serialize;
 
 use sedgeridge_coordination::membership::Body;
-use sedgeridge_coordination::membership::DIGEST_PARTS;
+use sedgeridge_coordination::membership::DIGEST_BUCKETS;
 use sedgeridge_coordination::membership::Health;
 use sedgeridge_coordination::membership::MemberRecord;
 use sedgeridge_coordination::membership::Message;
@@ -326,16 +326,16 @@
 
 fn digest_to_wire(digest: &TableDigest) -> WireDigest {
     WireDigest {
-        parts: digest.parts.to_vec(),
+        parts: digest.buckets.to_vec(),
         notices: digest.notices,
     }
 }
 
 fn digest_from_wire(digest: &WireDigest) -> Result<TableDigest, PeerCodecError> {
-    let parts: Result<[u32; DIGEST_PARTS], _> = digest.parts.as_slice().try_into();
-    let parts = parts.map_err(|_| PeerCodecError::WrongDigestLength(digest.parts.len()))?;
+    let buckets: Result<[u32; DIGEST_BUCKETS], _> = digest.parts.as_slice().try_into();
+    let buckets = buckets.map_err(|_| PeerCodecError::WrongDigestLength(digest.parts.len()))?;
     Ok(TableDigest {
-        parts: Box::new(parts),
+        buckets: Box::new(buckets),
         notices: digest.notices,
     })
 }
