--- a/crates/router/tests/host_list.rs
+++ b/crates/router/tests/host_list.rs
@@ -9,12 +9,12 @@
 use sedgeridge_protocol::operator::EndpointsPage;
 use sedgeridge_standins::configs::hosts::HostsConfig;
 use sedgeridge_standins::hosts;
-use sedgeridge_standins::server::Running;
+use sedgeridge_standins::server::RunningServer;
 use support::Router;
 use support::fake_engine;
 use support::wait_until;
 
-fn set_list(list: &Running, state: &str) {
+fn set_list(list: &RunningServer, state: &str) {
     let host = |name, state| {
         serde_json::json!({
             "name": name, "address": "127.0.0.1:9", "site": "local", "state": state
--- a/crates/soak/src/links.rs
+++ b/crates/soak/src/links.rs
@@ -10,7 +10,7 @@
 use sedgeridge_standins::relay;
 use sedgeridge_standins::relay::Relay;
 use sedgeridge_standins::relay_state::RelayOrder;
-use sedgeridge_standins::server::Running;
+use sedgeridge_standins::server::RunningServer;
 use serde::Serialize;
 
 use crate::schedule::LinkFault;
@@ -86,7 +86,7 @@
 /// # Errors
 ///
 /// It did not take the order.
-pub fn misbehave(server: &Running, fault: ServerFault, length: Duration) -> io::Result<()> {
+pub fn misbehave(server: &RunningServer, fault: ServerFault, length: Duration) -> io::Result<()> {
     let (fault, delay_ms) = match fault {
         ServerFault::Outage => (Fault::Outage, None),
         ServerFault::LostAnswers => (Fault::DropAnswer, None),
--- a/crates/soak/src/site.rs
+++ b/crates/soak/src/site.rs
@@ -21,7 +21,7 @@
 use sedgeridge_platform_standins::store::ENDPOINTS_TABLE;
 use sedgeridge_platform_standins::store::OPERATOR_TABLE;
 use sedgeridge_platform_standins::store::StoreRows;
-use sedgeridge_standins::server::Running;
+use sedgeridge_standins::server::RunningServer;
 
 use crate::links::Link;
 use crate::routers::DATA_CENTRES;
@@ -55,7 +55,7 @@
     /// What the endpoints ran.
     pub runs: RunLog,
     /// The store.
-    pub store: Running,
+    pub store: RunningServer,
     /// The store's rows.
     pub rows: StoreRows,
     /// The endpoints.
@@ -67,7 +67,7 @@
 #[derive(Debug)]
 pub struct SoakEndpoint {
     /// Its server.
-    pub server: Running,
+    pub server: RunningServer,
     /// The link from all routers.
     pub link: Link,
     listed: ListedId,
--- a/crates/standins/src/cli.rs
+++ b/crates/standins/src/cli.rs
@@ -25,7 +25,7 @@
 use crate::plain;
 use crate::relay;
 use crate::relay::Relay;
-use crate::server::Running;
+use crate::server::RunningServer;
 use crate::table;
 use crate::weights;
 
@@ -106,7 +106,7 @@
     fn addresses(&self) -> String;
 }
 
-impl Started for Running {
+impl Started for RunningServer {
     fn addresses(&self) -> String {
         self.address().to_string()
     }
--- a/crates/standins/src/engine.rs
+++ b/crates/standins/src/engine.rs
@@ -35,11 +35,11 @@
 use crate::engine_orders::EngineOrders;
 use crate::prefix_cache::Prefix;
 use crate::reply;
-use crate::reply::Piece;
+use crate::reply::BodyChunk;
 use crate::reply::Reply;
 use crate::server;
 use crate::server::Call;
-use crate::server::Running;
+use crate::server::RunningServer;
 use crate::server::Service;
 use crate::server::Shared;
 
@@ -52,7 +52,7 @@
 /// assert_ne!(engine.address().port(), 0);
 /// # Ok::<(), std::io::Error>(())
 /// ```
-pub fn spawn(config: EngineConfig) -> io::Result<Running> {
+pub fn spawn(config: EngineConfig) -> io::Result<RunningServer> {
     server::spawn(config.listen, move |shared| Engine::new(config, shared))
 }
 
@@ -316,7 +316,7 @@
     request: ChatRequest,
     mut usage: Usage,
     mut events: UnboundedReceiver<JobEvent>,
-    pieces: UnboundedSender<Piece>,
+    pieces: UnboundedSender<BodyChunk>,
 ) {
     let key = answer::request_key(&request);
     loop {
@@ -341,7 +341,7 @@
                 let end = chat_answer::end_event(&id, reason, usage);
                 // The caller may go at any time; there is nobody left to tell.
                 let _ = pieces.send(data(end));
-                let _ = pieces.send(Piece::End);
+                let _ = pieces.send(BodyChunk::End);
                 return;
             }
             None => return,
@@ -366,8 +366,8 @@
     reply::json(StatusCode::OK, &answer)
 }
 
-fn data(event: String) -> Piece {
-    Piece::Data(Bytes::from(event))
+fn data(event: String) -> BodyChunk {
+    BodyChunk::Data(Bytes::from(event))
 }
 
 fn job(request: &ChatRequest, call: &Call) -> Job {
--- a/crates/standins/src/hosts.rs
+++ b/crates/standins/src/hosts.rs
@@ -20,7 +20,7 @@
 use crate::reply::Reply;
 use crate::server;
 use crate::server::Call;
-use crate::server::Running;
+use crate::server::RunningServer;
 use crate::server::Service;
 use crate::server::Shared;
 
@@ -33,7 +33,7 @@
 /// assert_ne!(hosts.address().port(), 0);
 /// # Ok::<(), std::io::Error>(())
 /// ```
-pub fn spawn(config: HostsConfig) -> io::Result<Running> {
+pub fn spawn(config: HostsConfig) -> io::Result<RunningServer> {
     server::spawn(config.listen, move |shared| {
         Ok(Hosts {
             shared,
--- a/crates/standins/src/objects.rs
+++ b/crates/standins/src/objects.rs
@@ -20,7 +20,7 @@
 use crate::reply::Reply;
 use crate::server;
 use crate::server::Call;
-use crate::server::Running;
+use crate::server::RunningServer;
 use crate::server::Service;
 use crate::server::Shared;
 
@@ -35,7 +35,7 @@
 /// assert_ne!(objects.address().port(), 0);
 /// # Ok::<(), std::io::Error>(())
 /// ```
-pub fn spawn(config: TableConfig) -> io::Result<Running> {
+pub fn spawn(config: TableConfig) -> io::Result<RunningServer> {
     server::spawn(config.listen, move |shared| {
         Ok(Objects::new(&config, shared))
     })
--- a/crates/standins/src/plain.rs
+++ b/crates/standins/src/plain.rs
@@ -24,7 +24,7 @@
 use crate::reply::Reply;
 use crate::server;
 use crate::server::Call;
-use crate::server::Running;
+use crate::server::RunningServer;
 use crate::server::Service;
 use crate::server::Shared;
 
@@ -37,7 +37,7 @@
 /// assert_ne!(booking.address().port(), 0);
 /// # Ok::<(), std::io::Error>(())
 /// ```
-pub fn spawn(config: PlainConfig) -> io::Result<Running> {
+pub fn spawn(config: PlainConfig) -> io::Result<RunningServer> {
     server::spawn(config.listen, move |shared| Plain::new(&config, shared))
 }
 
--- a/crates/standins/src/relay.rs
+++ b/crates/standins/src/relay.rs
@@ -29,7 +29,7 @@
 use crate::reply::Reply;
 use crate::server;
 use crate::server::Call;
-use crate::server::Running;
+use crate::server::RunningServer;
 use crate::server::Service;
 use crate::shared_port;
 
@@ -44,12 +44,12 @@
 #[derive(Debug)]
 pub struct Relay {
     address: SocketAddr,
-    control: Running,
+    control: RunningServer,
     state: Arc<RelayState>,
 }
 
 /// Bytes and the time when they leave the relay.
-struct Piece {
+struct Chunk {
     due: Instant,
     bytes: Vec<u8>,
 }
@@ -91,7 +91,7 @@
     }
 
     /// The server that takes orders.
-    pub fn control(&self) -> &Running {
+    pub fn control(&self) -> &RunningServer {
         &self.control
     }
 }
@@ -109,7 +109,7 @@
     state: Arc<RelayState>,
 }
 
-fn spawn_control(listen: SocketAddr, state: Arc<RelayState>) -> io::Result<Running> {
+fn spawn_control(listen: SocketAddr, state: Arc<RelayState>) -> io::Result<RunningServer> {
     server::spawn(listen, move |_| Ok(Control { state }))
 }
 
@@ -185,7 +185,7 @@
     thread::Builder::new().spawn(move || write(&receiver, to, id, &writing))
 }
 
-fn read(mut from: TcpStream, pieces: &SyncSender<Piece>, state: &RelayState) {
+fn read(mut from: TcpStream, pieces: &SyncSender<Chunk>, state: &RelayState) {
     let mut buffer = [0; PIECE_BYTES];
     loop {
         // An error ends the connection like an orderly close does.
@@ -193,7 +193,7 @@
         if size == 0 {
             return;
         }
-        let piece = Piece {
+        let piece = Chunk {
             due: Instant::now() + state.delay(),
             bytes: buffer[..size].to_vec(),
         };
@@ -203,7 +203,7 @@
     }
 }
 
-fn write(pieces: &Receiver<Piece>, mut to: TcpStream, id: u64, state: &RelayState) {
+fn write(pieces: &Receiver<Chunk>, mut to: TcpStream, id: u64, state: &RelayState) {
     while let Ok(piece) = pieces.recv() {
         thread::sleep(piece.due.saturating_duration_since(Instant::now()));
         state.wait_while_blocked();
--- a/crates/standins/src/reply.rs
+++ b/crates/standins/src/reply.rs
@@ -27,7 +27,7 @@
 
 /// A part of a streamed body.
 #[derive(Debug)]
-pub enum Piece {
+pub enum BodyChunk {
     /// Bytes to send at once.
     Data(Bytes),
     /// The end of the body.
@@ -40,13 +40,13 @@
     /// A whole body.
     Whole(Option<Bytes>),
     /// A body that is made while it is sent.
-    Stream(PieceStream),
+    Stream(ChunkStream),
 }
 
 /// A body that is made while it is sent. Its sender sees when the caller has gone.
 #[derive(Debug)]
-pub struct PieceStream {
-    pieces: UnboundedReceiver<Piece>,
+pub struct ChunkStream {
+    pieces: UnboundedReceiver<BodyChunk>,
     break_after: Option<(u64, Rc<Link>)>,
 }
 
@@ -78,7 +78,7 @@
     }
 }
 
-impl PieceStream {
+impl ChunkStream {
     fn poll_piece(
         &mut self,
         context: &mut Context<'_>,
@@ -89,20 +89,20 @@
         }
         match self.pieces.poll_recv(context) {
             Poll::Pending => Poll::Pending,
-            Poll::Ready(Some(Piece::Data(bytes))) => {
+            Poll::Ready(Some(BodyChunk::Data(bytes))) => {
                 if let Some((left, _)) = &mut self.break_after {
                     *left -= 1;
                 }
                 Poll::Ready(Some(Ok(Frame::data(bytes))))
             }
-            Poll::Ready(Some(Piece::End) | None) => Poll::Ready(None),
+            Poll::Ready(Some(BodyChunk::End) | None) => Poll::Ready(None),
         }
     }
 }
 
 /// Makes a streamed answer; it breaks off with its connection after the given number of pieces.
-pub fn stream(pieces: UnboundedReceiver<Piece>, break_after: Option<(u64, Rc<Link>)>) -> Reply {
-    let mut reply = Response::new(ReplyBody::Stream(PieceStream {
+pub fn stream(pieces: UnboundedReceiver<BodyChunk>, break_after: Option<(u64, Rc<Link>)>) -> Reply {
+    let mut reply = Response::new(ReplyBody::Stream(ChunkStream {
         pieces,
         break_after,
     }));
--- a/crates/standins/src/server.rs
+++ b/crates/standins/src/server.rs
@@ -146,13 +146,13 @@
 
 /// A stand-in that runs on a thread of its own; it stops when this value is dropped.
 #[derive(Debug)]
-pub struct Running {
+pub struct RunningServer {
     address: SocketAddr,
     stop: Option<oneshot::Sender<()>>,
     thread: Option<JoinHandle<()>>,
 }
 
-impl Running {
+impl RunningServer {
     /// The address it listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
@@ -164,7 +164,7 @@
     }
 }
 
-impl Drop for Running {
+impl Drop for RunningServer {
     fn drop(&mut self) {
         drop(self.stop.take());
         if let Some(thread) = self.thread.take()
@@ -176,7 +176,7 @@
 }
 
 /// Starts a stand-in on a thread of its own. `build` runs on that thread.
-pub fn spawn<S, B>(listen: SocketAddr, build: B) -> io::Result<Running>
+pub fn spawn<S, B>(listen: SocketAddr, build: B) -> io::Result<RunningServer>
 where
     S: Service,
     B: FnOnce(Rc<Shared>) -> io::Result<S> + Send + 'static,
@@ -195,7 +195,7 @@
     let address = start
         .recv()
         .map_err(|_| io::Error::other("the stand-in ended before it was ready"))??;
-    Ok(Running {
+    Ok(RunningServer {
         address,
         stop: Some(stop),
         thread: Some(thread),
--- a/crates/standins/src/table.rs
+++ b/crates/standins/src/table.rs
@@ -19,7 +19,7 @@
 use crate::reply::Reply;
 use crate::server;
 use crate::server::Call;
-use crate::server::Running;
+use crate::server::RunningServer;
 use crate::server::Service;
 use crate::server::Shared;
 use crate::table_store::TableStore;
@@ -33,7 +33,7 @@
 /// assert_ne!(table.address().port(), 0);
 /// # Ok::<(), std::io::Error>(())
 /// ```
-pub fn spawn(config: TableConfig) -> io::Result<Running> {
+pub fn spawn(config: TableConfig) -> io::Result<RunningServer> {
     server::spawn(config.listen, move |shared| Ok(Table::new(&config, shared)))
 }
 
--- a/crates/standins/src/weights.rs
+++ b/crates/standins/src/weights.rs
@@ -17,11 +17,11 @@
 use crate::configs::weights::WeightsConfig;
 use crate::refusal::Refusal;
 use crate::reply;
-use crate::reply::Piece;
+use crate::reply::BodyChunk;
 use crate::reply::Reply;
 use crate::server;
 use crate::server::Call;
-use crate::server::Running;
+use crate::server::RunningServer;
 use crate::server::Service;
 use crate::server::Shared;
 
@@ -37,7 +37,7 @@
 /// assert_ne!(weights.address().port(), 0);
 /// # Ok::<(), std::io::Error>(())
 /// ```
-pub fn spawn(config: WeightsConfig) -> io::Result<Running> {
+pub fn spawn(config: WeightsConfig) -> io::Result<RunningServer> {
     server::spawn(config.listen, move |shared| {
         let rate = Rc::new(Rate {
             shared,
@@ -90,17 +90,17 @@
     }
 }
 
-async fn send(rate: Rc<Rate>, fill: u8, pieces: UnboundedSender<Piece>) {
+async fn send(rate: Rc<Rate>, fill: u8, pieces: UnboundedSender<BodyChunk>) {
     let mut left_bytes = rate.config.size_bytes;
     while left_bytes > 0 {
         let size_bytes = left_bytes.min(PIECE_BYTES);
         rate.pass(size_bytes).await;
         let piece = Bytes::from(vec![fill; size_bytes as usize]);
-        if pieces.send(Piece::Data(piece)).is_err() {
+        if pieces.send(BodyChunk::Data(piece)).is_err() {
             return;
         }
         left_bytes -= size_bytes;
     }
     // The caller may go at any time; there is nobody left to tell.
-    let _ = pieces.send(Piece::End);
+    let _ = pieces.send(BodyChunk::End);
 }
--- a/crates/standins/tests/common/mod.rs
+++ b/crates/standins/tests/common/mod.rs
@@ -16,7 +16,7 @@
 use sedgeridge_protocol::ledger::LedgerRecord;
 use sedgeridge_protocol::ledger::RunRecord;
 use sedgeridge_standins::configs::engine::EngineConfig;
-use sedgeridge_standins::server::Running;
+use sedgeridge_standins::server::RunningServer;
 
 pub type HttpAnswer = ureq::http::Response<ureq::Body>;
 
@@ -62,7 +62,7 @@
 
 pub fn ask(
     agent: &ureq::Agent,
-    engine: &Running,
+    engine: &RunningServer,
     request: &ChatRequest,
     headers: &[(&str, &str)],
 ) -> Result<HttpAnswer, ureq::Error> {
@@ -73,17 +73,17 @@
     call.send(serde_json::to_string(request).unwrap())
 }
 
-pub fn order(standin: &Running, body: &str) {
+pub fn order(standin: &RunningServer, body: &str) {
     let answer = post(&agent(), &standin.url("/control"), body).unwrap();
     assert_eq!(answer.status(), 200, "{body}");
 }
 
-pub fn load(engine: &Running) -> LoadReport {
+pub fn load(engine: &RunningServer) -> LoadReport {
     let mut answer = agent().get(engine.url("/load")).call().unwrap();
     serde_json::from_str(&answer.body_mut().read_to_string().unwrap()).unwrap()
 }
 
-pub fn ledger(standin: &Running) -> Vec<LedgerRecord> {
+pub fn ledger(standin: &RunningServer) -> Vec<LedgerRecord> {
     let mut answer = agent().get(standin.url("/ledger")).call().unwrap();
     let lines = answer.body_mut().read_to_string().unwrap();
     lines
@@ -92,7 +92,7 @@
         .collect()
 }
 
-pub fn runs(standin: &Running) -> Vec<RunRecord> {
+pub fn runs(standin: &RunningServer) -> Vec<RunRecord> {
     ledger(standin)
         .into_iter()
         .filter_map(|record| match record {
