--- a/crates/standins/src/answer.rs
+++ b/crates/standins/src/answer.rs
@@ -1,16 +1,17 @@
-//! Answers as pure functions of the request, so that any tool can check them byte for byte.
+//! Computes answers as pure functions of the request, so that any tool can check them byte for
+//! byte.
 
 use sedgeridge_protocol::chat::ChatMessage;
 use sedgeridge_protocol::chat::ChatRequest;
 
-/// Output limit of a request that states none.
+/// Output limit of a request without `max_tokens`.
 pub const DEFAULT_MAX_TOKENS: u32 = 128;
-/// Shortest answer, in percent of the limit.
-const SHORTEST_ANSWER_PERCENT: u64 = 25;
-/// Tokens that a plain service charges at least.
-const PLAIN_LEAST_TOKENS: u64 = 1;
-/// Spread of the charge of a plain service.
-const PLAIN_SPREAD_TOKENS: u64 = 16;
+/// Minimum answer length, in percent of the limit.
+const MIN_ANSWER_PERCENT: u64 = 25;
+/// Minimum charge of a plain service.
+const PLAIN_MIN_TOKENS: u64 = 1;
+/// Number of different charges of a plain service, counted up from the minimum.
+const PLAIN_CHARGE_RANGE_TOKENS: u64 = 16;
 
 const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
@@ -25,12 +26,13 @@
 pub struct StableHash(u64);
 
 impl StableHash {
-    /// Starts an empty hash.
+    /// Creates the hash of no fields.
     pub fn new() -> Self {
         Self(FNV_OFFSET)
     }
 
-    /// Adds one field; its length goes in too, so that fields cannot run into each other.
+    /// Adds one field. Its length is hashed too, so that moving bytes between fields changes the
+    /// hash.
     pub fn field(mut self, bytes: &[u8]) -> Self {
         for byte in (bytes.len() as u64).to_le_bytes().iter().chain(bytes) {
             self.0 = (self.0 ^ u64::from(*byte)).wrapping_mul(FNV_PRIME);
@@ -38,7 +40,7 @@
         self
     }
 
-    /// Ends the hash.
+    /// Returns the hash of all fields.
     pub fn finish(self) -> u64 {
         mix(self.0)
     }
@@ -58,7 +60,7 @@
     mixed ^ (mixed >> 31)
 }
 
-/// The key of a chat request: equal requests, streamed or not, have equal keys and answers.
+/// Returns the key of a chat request. Equal requests, streamed or not, have equal keys and answers.
 ///
 /// ```
 /// use sedgeridge_protocol::chat::ChatMessage;
@@ -82,7 +84,7 @@
     add_messages(start, &request.messages).finish()
 }
 
-/// The key of each prefix of a conversation, shortest first, with its length in tokens.
+/// Returns the key and the length in tokens of each prefix of a conversation, shortest first.
 pub fn prefix_keys(request: &ChatRequest) -> Vec<(u64, u64)> {
     let mut hash = StableHash::new().field(request.model.as_bytes());
     let mut length_tokens = 0;
@@ -97,7 +99,7 @@
         .collect()
 }
 
-/// Number of input tokens: the words of all messages.
+/// Number of input tokens: one for each word of all messages.
 pub fn input_tokens(request: &ChatRequest) -> u64 {
     request.messages.iter().map(message_tokens).sum()
 }
@@ -105,8 +107,8 @@
 /// Number of output tokens of the whole answer: 25% to 100% of the limit, at least one.
 pub fn output_tokens(request: &ChatRequest) -> u64 {
     let limit = u64::from(output_limit(request)).max(1);
-    let shortest = (limit * SHORTEST_ANSWER_PERCENT).div_ceil(100);
-    shortest + mix(request_key(request)) % (limit - shortest + 1)
+    let min_tokens = (limit * MIN_ANSWER_PERCENT).div_ceil(100);
+    min_tokens + mix(request_key(request)) % (limit - min_tokens + 1)
 }
 
 /// Text of one output token; it ends with one space.
@@ -127,7 +129,7 @@
     answer_text_from(request, 0)
 }
 
-/// The answer of a chat request without its first tokens, as given to a caller who resumes.
+/// The answer of a chat request from `first_token` on, as sent to a caller that resumes a stream.
 pub fn answer_text_from(request: &ChatRequest, first_token: u64) -> String {
     let key = request_key(request);
     (first_token..output_tokens(request))
@@ -144,7 +146,7 @@
     }
 }
 
-/// The key of a plain service's request.
+/// Returns the key of a request to a plain service.
 pub fn plain_key(path: &str, body: &[u8]) -> u64 {
     StableHash::new()
         .field(path.as_bytes())
@@ -166,7 +168,7 @@
 
 /// Service tokens that a plain service charges for the request.
 pub fn plain_charged_tokens(path: &str, body: &[u8]) -> u64 {
-    PLAIN_LEAST_TOKENS + mix(plain_key(path, body)) % PLAIN_SPREAD_TOKENS
+    PLAIN_MIN_TOKENS + mix(plain_key(path, body)) % PLAIN_CHARGE_RANGE_TOKENS
 }
 
 fn output_limit(request: &ChatRequest) -> u32 {
--- a/crates/standins/src/batch.rs
+++ b/crates/standins/src/batch.rs
@@ -1,7 +1,7 @@
-//! Continuous batching as a state machine: no sockets, no threads, the time is passed in.
+//! Continuous batching as a state machine without sockets or threads; callers pass in the time.
 //!
-//! Requests run together, each step yields one token of every request whose input is ready, and a
-//! waiting request joins as soon as another one leaves. There are no priorities.
+//! Running requests share each step, which yields one token for every request whose prefill is
+//! done. A waiting request starts as soon as a slot is free, in order of arrival.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -12,111 +12,111 @@
 /// Speed and size of a batch.
 #[derive(Debug, Clone, PartialEq)]
 pub struct BatchConfig {
-    /// Largest number of requests that run together.
+    /// Maximum number of running requests.
     pub slots: usize,
-    /// Time of one step.
+    /// Duration of one step.
     pub step: Duration,
-    /// Time for each input token that is not cached.
+    /// Prefill time of each input token that is not cached.
     pub prefill_per_token: Duration,
-    /// Size of the prefix cache.
+    /// Capacity of the prefix cache.
     pub cache_tokens: u64,
 }
 
-/// A request as the batch sees it.
+/// Input and output lengths of one request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Job {
-    /// Names the job.
+    /// Identifies the job in events and in [`Batch::cancel`].
     pub id: u64,
     /// Length of the input.
     pub input_tokens: u64,
     /// Prefixes of the input, shortest first.
     pub prefixes: Vec<Prefix>,
-    /// Position of the first token to make; those before it are input here.
+    /// Position of the first token to generate; earlier tokens of the answer are read as input.
     pub first_token: u64,
-    /// Position after the last token to make.
+    /// Position after the last token to generate.
     pub end_token: u64,
 }
 
-/// What happened in the batch.
+/// Progress of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BatchEvent {
-    /// The job left the waiting line.
+    /// The job left the queue and started.
     Started {
         /// The job.
         id: u64,
-        /// Input found in the prefix cache.
+        /// Input tokens found in the prefix cache.
         cached_tokens: u64,
     },
-    /// The job made a token.
+    /// The job generated a token.
     Token {
         /// The job.
         id: u64,
         /// Position of the token in the answer.
         position: u64,
     },
-    /// The job made its last token.
+    /// The job generated its last token.
     Finished {
         /// The job.
         id: u64,
     },
 }
 
-/// The running batch and its waiting line.
+/// The running jobs and the queue of waiting ones.
 #[derive(Debug)]
 pub struct Batch {
     config: BatchConfig,
     cache: PrefixCache,
     waiting: VecDeque<Job>,
-    running: Vec<Run>,
-    next_step: Option<Duration>,
+    running: Vec<RunningJob>,
+    next_step_at: Option<Duration>,
 }
 
 #[derive(Debug)]
-struct Run {
+struct RunningJob {
     job: Job,
-    ready_at: Duration,
-    position: u64,
+    prefilled_at: Duration,
+    next_position: u64,
 }
 
 impl Batch {
-    /// Makes an empty batch.
+    /// Creates an empty batch.
     pub fn new(config: BatchConfig) -> Self {
         Self {
             cache: PrefixCache::new(config.cache_tokens),
             waiting: VecDeque::new(),
             running: Vec::with_capacity(config.slots),
-            next_step: None,
+            next_step_at: None,
             config,
         }
     }
 
-    /// Adds a job at the end of the waiting line.
+    /// Queues a job.
     pub fn submit(&mut self, now: Duration, job: Job, events: &mut Vec<BatchEvent>) {
         self.advance(now, events);
         self.waiting.push_back(job);
-        self.admit(now, events);
+        self.start_waiting_jobs(now, events);
     }
 
-    /// Withdraws a job, waiting or running.
+    /// Removes a job, waiting or running.
     pub fn cancel(&mut self, now: Duration, id: u64, events: &mut Vec<BatchEvent>) {
         self.advance(now, events);
         self.waiting.retain(|job| job.id != id);
         self.running.retain(|run| run.job.id != id);
-        self.admit(now, events);
+        self.start_waiting_jobs(now, events);
     }
 
-    /// Makes all steps that are due.
+    /// Runs all steps that are due.
     pub fn advance(&mut self, now: Duration, events: &mut Vec<BatchEvent>) {
-        while let Some(at) = self.next_step.filter(|at| *at <= now) {
-            self.step(at, events);
-            self.next_step = Some(at + self.config.step);
-            self.admit(at, events);
+        while let Some(at) = self.next_step_at.filter(|at| *at <= now) {
+            self.run_step(at, events);
+            self.next_step_at = Some(at + self.config.step);
+            self.start_waiting_jobs(at, events);
         }
     }
 
-    /// When [`Batch::advance`] is due next.
+    /// Time of the next step, at which [`Batch::advance`] must be called; `None` when nothing runs.
     pub fn next_step(&self) -> Option<Duration> {
-        self.next_step
+        self.next_step_at
     }
 
     /// Number of running jobs.
@@ -129,23 +129,23 @@
         self.waiting.len()
     }
 
-    fn step(&mut self, at: Duration, events: &mut Vec<BatchEvent>) {
-        for run in self.running.iter_mut().filter(|run| run.ready_at <= at) {
+    fn run_step(&mut self, at: Duration, events: &mut Vec<BatchEvent>) {
+        for run in self.running.iter_mut().filter(|run| run.prefilled_at <= at) {
             let id = run.job.id;
-            if run.position < run.job.end_token {
-                let position = run.position;
+            if run.next_position < run.job.end_token {
+                let position = run.next_position;
                 events.push(BatchEvent::Token { id, position });
-                run.position += 1;
+                run.next_position += 1;
             }
-            if run.position >= run.job.end_token {
+            if run.next_position >= run.job.end_token {
                 events.push(BatchEvent::Finished { id });
             }
         }
         self.running
-            .retain(|run| run.ready_at > at || run.position < run.job.end_token);
+            .retain(|run| run.prefilled_at > at || run.next_position < run.job.end_token);
     }
 
-    fn admit(&mut self, now: Duration, events: &mut Vec<BatchEvent>) {
+    fn start_waiting_jobs(&mut self, now: Duration, events: &mut Vec<BatchEvent>) {
         while self.running.len() < self.config.slots {
             let Some(job) = self.waiting.pop_front() else {
                 break;
@@ -153,15 +153,15 @@
             self.start(now, job, events);
         }
         if self.running.is_empty() {
-            self.next_step = None;
-        } else if self.next_step.is_none() {
-            self.next_step = Some(now + self.config.step);
+            self.next_step_at = None;
+        } else if self.next_step_at.is_none() {
+            self.next_step_at = Some(now + self.config.step);
         }
     }
 
     fn start(&mut self, now: Duration, job: Job, events: &mut Vec<BatchEvent>) {
         let cached_tokens = self.cache.use_prompt(&job.prefixes);
-        // Tokens that the caller already holds are read again like input.
+        // Tokens that the caller already has are prefilled like input.
         let prefill_tokens = job.input_tokens.saturating_sub(cached_tokens) + job.first_token;
         let prefill = self
             .config
@@ -171,9 +171,9 @@
             id: job.id,
             cached_tokens,
         });
-        self.running.push(Run {
-            ready_at: now + prefill,
-            position: job.first_token,
+        self.running.push(RunningJob {
+            prefilled_at: now + prefill,
+            next_position: job.first_token,
             job,
         });
     }
--- a/crates/standins/src/chat_answer.rs
+++ b/crates/standins/src/chat_answer.rs
@@ -1,4 +1,4 @@
-//! The wire form of chat answers, whole and streamed.
+//! Builds the wire form of chat answers, whole and streamed.
 
 use serde::Serialize;
 
@@ -14,18 +14,18 @@
 
 use crate::answer;
 
-/// The event of one token.
+/// Builds the event of one token.
 pub fn token_event(id: &str, text: String) -> String {
     event(&chunk(id, Some(text), None, None))
 }
 
-/// The last event with the usage, and the end mark after it.
+/// Builds the last event, with the usage, and the end marker after it.
 pub fn end_event(id: &str, finish_reason: &str, usage: Usage) -> String {
     let last = chunk(id, None, Some(finish_reason.to_owned()), Some(usage));
     format!("{}data: {STREAM_END}\n\n", event(&last))
 }
 
-/// A whole answer from the given token on.
+/// Builds a whole answer that begins at the given token.
 pub fn whole(id: &str, request: &ChatRequest, first_token: u64, usage: Usage) -> ChatAnswer {
     ChatAnswer {
         id: id.to_owned(),
--- a/crates/standins/src/cli.rs
+++ b/crates/standins/src/cli.rs
@@ -29,7 +29,7 @@
 use crate::table;
 use crate::weights;
 
-/// Exit code after a command line that is not understood.
+/// Exit code after an invalid command line.
 const USAGE_EXIT_CODE: u8 = 2;
 
 const HELP: &str = "\
@@ -56,14 +56,14 @@
     Start(#[from] io::Error),
 }
 
-/// Runs the command line without the program's name until SIGTERM or SIGINT.
+/// Runs the stand-in that `arguments` (without the program name) select, until SIGTERM or SIGINT.
 pub fn run(mut arguments: Vec<OsString>) -> ExitCode {
     if arguments.is_empty() {
         eprint!("{HELP}");
         return ExitCode::from(USAGE_EXIT_CODE);
     }
     let subcommand = arguments.remove(0).to_string_lossy().into_owned();
-    let ran = match subcommand.as_str() {
+    let result = match subcommand.as_str() {
         "engine" => serve(arguments, engine::spawn, |config: &EngineConfig| {
             &config.endpoint.name
         }),
@@ -87,7 +87,7 @@
         "--version" => return print_version(),
         other => Err(UsageError::Unknown(other.to_owned()).into()),
     };
-    match ran {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(CliError::Usage(error)) => {
             eprintln!("sedgeridge-standins: {error}\nTry `sedgeridge-standins --help`.");
@@ -100,35 +100,35 @@
     }
 }
 
-/// A stand-in that was started.
-trait Started {
-    /// The start line from the address on.
+/// Handle of a running stand-in.
+trait StandinHandle {
+    /// Text of the start line that follows the name.
     fn addresses(&self) -> String;
 }
 
-impl Started for RunningServer {
+impl StandinHandle for RunningServer {
     fn addresses(&self) -> String {
         self.address().to_string()
     }
 }
 
-impl Started for Relay {
+impl StandinHandle for Relay {
     fn addresses(&self) -> String {
         format!("{} control {}", self.address(), self.control().address())
     }
 }
 
-fn serve<C: CommandLine, S: Started>(
+fn serve<C: CommandLine, S: StandinHandle>(
     arguments: Vec<OsString>,
     spawn: fn(C) -> io::Result<S>,
     name: fn(&C) -> &str,
 ) -> Result<(), CliError> {
-    let asks = |flag: &str| arguments.iter().any(|argument| argument == flag);
-    if asks("--help") || asks("-h") {
+    let has_flag = |flag: &str| arguments.iter().any(|argument| argument == flag);
+    if has_flag("--help") || has_flag("-h") {
         print(&C::help());
         return Ok(());
     }
-    if asks("--version") {
+    if has_flag("--version") {
         print_version();
         return Ok(());
     }
@@ -137,7 +137,7 @@
     let stop = stop_signal()?;
     let running = spawn(config)?;
     println!("listening {name} {}", running.addresses());
-    wait_for(stop)?;
+    wait_for_signal(stop)?;
     drop(running);
     Ok(())
 }
@@ -149,7 +149,7 @@
     Ok(receiver)
 }
 
-fn wait_for(mut stop: UnixStream) -> io::Result<()> {
+fn wait_for_signal(mut stop: UnixStream) -> io::Result<()> {
     stop.read_exact(&mut [0])
 }
 
--- a/crates/standins/src/configs/engine.rs
+++ b/crates/standins/src/configs/engine.rs
@@ -10,10 +10,10 @@
 use crate::configs::CommandLine;
 use crate::configs::ENDPOINT_OPTIONS;
 use crate::configs::UsageError;
-use crate::configs::above_zero;
-use crate::configs::any_port;
-use crate::configs::not_negative;
-use crate::configs::option;
+use crate::configs::any_loopback_port;
+use crate::configs::check_not_negative;
+use crate::configs::check_positive;
+use crate::configs::read_option;
 use crate::endpoint::EndpointConfig;
 
 /// Settings of an engine.
@@ -21,24 +21,24 @@
 pub struct EngineConfig {
     /// Address to listen on.
     pub listen: SocketAddr,
-    /// Name, slots and ledger.
+    /// Settings shared with plain services.
     pub endpoint: EndpointConfig,
-    /// Time of one step, which yields one token of each running request.
+    /// Duration of one step, which yields one token of each running request.
     pub token_ms: f64,
-    /// Time for each uncached input token.
+    /// Prefill time of each uncached input token.
     pub prefill_us_per_token: f64,
-    /// Size of the prefix cache.
+    /// Capacity of the prefix cache.
     pub prefix_cache_tokens: u64,
-    /// Longest waiting line; further requests are refused before they start.
+    /// Maximum number of waiting requests; further ones are refused before they start.
     pub max_waiting: usize,
-    /// Whether orders with an old fencing number are refused.
+    /// Whether orders with an outdated fencing number are refused.
     pub checks_fencing: bool,
 }
 
 impl Default for EngineConfig {
     fn default() -> Self {
         Self {
-            listen: any_port(),
+            listen: any_loopback_port(),
             endpoint: EndpointConfig {
                 name: "engine".to_owned(),
                 slots: 8,
@@ -55,7 +55,7 @@
 }
 
 impl EngineConfig {
-    /// Speed and size of the batch.
+    /// Settings of the batch.
     pub fn batch(&self) -> BatchConfig {
         BatchConfig {
             slots: self.endpoint.slots as usize,
@@ -82,16 +82,16 @@
     }
 
     fn read(&mut self, arguments: &mut Arguments) -> Result<(), UsageError> {
-        option(arguments, "--listen", &mut self.listen)?;
+        read_option(arguments, "--listen", &mut self.listen)?;
         self.endpoint.read(arguments)?;
-        option(arguments, "--token-ms", &mut self.token_ms)?;
+        read_option(arguments, "--token-ms", &mut self.token_ms)?;
         let prefill = &mut self.prefill_us_per_token;
-        option(arguments, "--prefill-us-per-token", prefill)?;
+        read_option(arguments, "--prefill-us-per-token", prefill)?;
         let cache = &mut self.prefix_cache_tokens;
-        option(arguments, "--prefix-cache-tokens", cache)?;
-        option(arguments, "--max-waiting", &mut self.max_waiting)?;
+        read_option(arguments, "--prefix-cache-tokens", cache)?;
+        read_option(arguments, "--max-waiting", &mut self.max_waiting)?;
         self.checks_fencing &= !arguments.contains("--ignore-fencing");
-        above_zero("--token-ms", self.token_ms)?;
-        not_negative("--prefill-us-per-token", self.prefill_us_per_token)
+        check_positive("--token-ms", self.token_ms)?;
+        check_not_negative("--prefill-us-per-token", self.prefill_us_per_token)
     }
 }
--- a/crates/standins/src/configs/hosts.rs
+++ b/crates/standins/src/configs/hosts.rs
@@ -7,8 +7,8 @@
 use crate::configs::COMMON_OPTIONS;
 use crate::configs::CommandLine;
 use crate::configs::UsageError;
-use crate::configs::any_port;
-use crate::configs::option;
+use crate::configs::any_loopback_port;
+use crate::configs::read_option;
 
 /// Settings of the host list.
 #[derive(Debug, Clone)]
@@ -17,14 +17,14 @@
     pub listen: SocketAddr,
     /// Name in the start line.
     pub name: String,
-    /// Lag of the list.
+    /// Age of the list that is served.
     pub lag_ms: u64,
 }
 
 impl Default for HostsConfig {
     fn default() -> Self {
         Self {
-            listen: any_port(),
+            listen: any_loopback_port(),
             name: "hosts".to_owned(),
             lag_ms: 0,
         }
@@ -41,8 +41,8 @@
     }
 
     fn read(&mut self, arguments: &mut Arguments) -> Result<(), UsageError> {
-        option(arguments, "--listen", &mut self.listen)?;
-        option(arguments, "--name", &mut self.name)?;
-        option(arguments, "--lag-ms", &mut self.lag_ms)
+        read_option(arguments, "--listen", &mut self.listen)?;
+        read_option(arguments, "--name", &mut self.name)?;
+        read_option(arguments, "--lag-ms", &mut self.lag_ms)
     }
 }
--- a/crates/standins/src/configs/mod.rs
+++ b/crates/standins/src/configs/mod.rs
@@ -18,7 +18,7 @@
 
 use crate::endpoint::EndpointConfig;
 
-/// Options that every stand-in has.
+/// Help text of the options that every stand-in has.
 pub const COMMON_OPTIONS: &str =
     "  --listen IP:PORT   address to listen on; port 0 takes a free one [default: 127.0.0.1:0]
   --name NAME        name in the start line and in records
@@ -26,29 +26,29 @@
   --version          print the version
 ";
 
-/// Options of engines and plain services.
+/// Help text of the options of engines and plain services.
 pub const ENDPOINT_OPTIONS: &str = "  --slots N          requests that run at the same time
   --report-lag-ms N  lag of load reports [default: 0]
   --ledger-file PATH file that keeps the ledger across a crash
 ";
 
-/// Why a command line is not understood.
+/// Why a command line is invalid.
 #[derive(Debug, Error)]
 pub enum UsageError {
-    /// An option has no value, or one that is no text.
+    /// An option has no value, or one that is not valid UTF-8.
     #[error("{0}")]
     Option(#[from] pico_args::Error),
-    /// An option has a bad value.
+    /// The value of an option cannot be parsed.
     #[error("{option}: `{value}` is not understood: {cause}")]
     Value {
         /// The option.
         option: &'static str,
-        /// What was given.
+        /// The given value.
         value: String,
-        /// What is wrong with it.
+        /// The parse error.
         cause: String,
     },
-    /// Something on the command line is not known.
+    /// An argument is unknown.
     #[error("unknown argument `{0}`")]
     Unknown(String),
     /// A value is out of range.
@@ -56,10 +56,10 @@
     Range {
         /// The option.
         option: &'static str,
-        /// What is allowed.
+        /// The allowed range.
         expected: &'static str,
     },
-    /// An option that must be given is not.
+    /// A required option is missing.
     #[error("{0} must be given")]
     Missing(&'static str),
 }
@@ -69,10 +69,10 @@
     /// Text of `--help`.
     fn help() -> String;
 
-    /// Takes the options that are known; those left out keep their default.
+    /// Reads the known options; absent ones keep their default.
     fn read(&mut self, arguments: &mut Arguments) -> Result<(), UsageError>;
 
-    /// Reads a whole command line.
+    /// Parses a whole command line; an unknown argument is an error.
     fn parse(arguments: Vec<OsString>) -> Result<Self, UsageError> {
         let mut config = Self::default();
         let mut arguments = Arguments::from_vec(arguments);
@@ -84,18 +84,18 @@
     }
 }
 
-/// Puts the value of an option into its place, if the option is given.
-pub fn option<T>(
+/// Stores the value of an option in `target` if the option is given.
+pub fn read_option<T>(
     arguments: &mut Arguments,
     name: &'static str,
-    place: &mut T,
+    target: &mut T,
 ) -> Result<(), UsageError>
 where
     T: FromStr,
     T::Err: Display,
 {
     match arguments.opt_value_from_str(name) {
-        Ok(Some(value)) => *place = value,
+        Ok(Some(value)) => *target = value,
         Ok(None) => {}
         Err(pico_args::Error::Utf8ArgumentParsingFailed { value, cause }) => {
             return Err(UsageError::Value {
@@ -109,42 +109,42 @@
     Ok(())
 }
 
-/// Checks that a number is a finite one above zero.
-pub fn above_zero(name: &'static str, value: f64) -> Result<(), UsageError> {
-    in_range(name, value.is_finite() && value > 0.0, "a number above 0")
+/// Checks that a number is finite and above zero.
+pub fn check_positive(name: &'static str, value: f64) -> Result<(), UsageError> {
+    check_range(name, value.is_finite() && value > 0.0, "a number above 0")
 }
 
-/// Checks that a number is a finite one and not below zero.
-pub fn not_negative(name: &'static str, value: f64) -> Result<(), UsageError> {
-    in_range(name, value.is_finite() && value >= 0.0, "0 or more")
+/// Checks that a number is finite and not negative.
+pub fn check_not_negative(name: &'static str, value: f64) -> Result<(), UsageError> {
+    check_range(name, value.is_finite() && value >= 0.0, "0 or more")
 }
 
-/// Refuses a value that is out of range.
-pub fn in_range(
+/// Returns an error that names the allowed range unless `is_valid`.
+pub fn check_range(
     option: &'static str,
-    holds: bool,
+    is_valid: bool,
     expected: &'static str,
 ) -> Result<(), UsageError> {
-    if holds {
+    if is_valid {
         Ok(())
     } else {
         Err(UsageError::Range { option, expected })
     }
 }
 
-/// The address of a stand-in that is given none: a free port on the loopback.
-pub fn any_port() -> SocketAddr {
+/// Default listening address: any free port on the loopback interface.
+pub fn any_loopback_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
 impl EndpointConfig {
-    /// Takes the options of [`ENDPOINT_OPTIONS`].
+    /// Reads the options of [`ENDPOINT_OPTIONS`].
     pub fn read(&mut self, arguments: &mut Arguments) -> Result<(), UsageError> {
-        option(arguments, "--name", &mut self.name)?;
-        option(arguments, "--slots", &mut self.slots)?;
-        option(arguments, "--report-lag-ms", &mut self.report_lag_ms)?;
+        read_option(arguments, "--name", &mut self.name)?;
+        read_option(arguments, "--slots", &mut self.slots)?;
+        read_option(arguments, "--report-lag-ms", &mut self.report_lag_ms)?;
         let ledger_file: Option<PathBuf> = arguments.opt_value_from_str("--ledger-file")?;
         self.ledger_file = ledger_file.or(self.ledger_file.take());
-        in_range("--slots", self.slots > 0, "1 or more")
+        check_range("--slots", self.slots > 0, "1 or more")
     }
 }
--- a/crates/standins/src/configs/plain.rs
+++ b/crates/standins/src/configs/plain.rs
@@ -9,9 +9,9 @@
 use crate::configs::CommandLine;
 use crate::configs::ENDPOINT_OPTIONS;
 use crate::configs::UsageError;
-use crate::configs::any_port;
-use crate::configs::not_negative;
-use crate::configs::option;
+use crate::configs::any_loopback_port;
+use crate::configs::check_not_negative;
+use crate::configs::read_option;
 use crate::endpoint::EndpointConfig;
 
 /// Settings of a plain service.
@@ -19,18 +19,18 @@
 pub struct PlainConfig {
     /// Address to listen on.
     pub listen: SocketAddr,
-    /// Name, slots and ledger.
+    /// Settings shared with engines.
     pub endpoint: EndpointConfig,
-    /// Time that each request takes on its slot.
+    /// Time for which each request occupies its slot.
     pub service_ms: f64,
-    /// Longest waiting line; further requests are refused before they start.
+    /// Maximum number of waiting requests; further ones are refused before they start.
     pub max_waiting: usize,
 }
 
 impl Default for PlainConfig {
     fn default() -> Self {
         Self {
-            listen: any_port(),
+            listen: any_loopback_port(),
             endpoint: EndpointConfig {
                 name: "plain".to_owned(),
                 slots: 8,
@@ -44,7 +44,7 @@
 }
 
 impl PlainConfig {
-    /// Time that each request takes on its slot.
+    /// Time for which each request occupies its slot.
     pub fn service_time(&self) -> Duration {
         Duration::from_secs_f64(self.service_ms / 1e3)
     }
@@ -61,10 +61,10 @@
     }
 
     fn read(&mut self, arguments: &mut Arguments) -> Result<(), UsageError> {
-        option(arguments, "--listen", &mut self.listen)?;
+        read_option(arguments, "--listen", &mut self.listen)?;
         self.endpoint.read(arguments)?;
-        option(arguments, "--service-ms", &mut self.service_ms)?;
-        option(arguments, "--max-waiting", &mut self.max_waiting)?;
-        not_negative("--service-ms", self.service_ms)
+        read_option(arguments, "--service-ms", &mut self.service_ms)?;
+        read_option(arguments, "--max-waiting", &mut self.max_waiting)?;
+        check_not_negative("--service-ms", self.service_ms)
     }
 }
--- a/crates/standins/src/configs/platform.rs
+++ b/crates/standins/src/configs/platform.rs
@@ -7,13 +7,13 @@
 use crate::configs::COMMON_OPTIONS;
 use crate::configs::CommandLine;
 use crate::configs::UsageError;
-use crate::configs::above_zero;
-use crate::configs::any_port;
-use crate::configs::option;
+use crate::configs::any_loopback_port;
+use crate::configs::check_positive;
+use crate::configs::read_option;
 
-/// Writes that the platform's services take each second.
+/// Default write limit, that of the platform's services.
 const WRITES_PER_S: f64 = 400.0;
-/// Reads that the platform's services take each second.
+/// Default read limit, that of the platform's services.
 const READS_PER_S: f64 = 2000.0;
 
 /// Settings of the table service and of the object store.
@@ -23,16 +23,16 @@
     pub listen: SocketAddr,
     /// Name in the start line.
     pub name: String,
-    /// Transactions or uploads taken each second.
+    /// Limit of transactions or uploads each second.
     pub writes_per_s: f64,
-    /// Reads taken each second.
+    /// Limit of reads each second.
     pub reads_per_s: f64,
 }
 
 impl Default for TableConfig {
     fn default() -> Self {
         Self {
-            listen: any_port(),
+            listen: any_loopback_port(),
             name: "platform".to_owned(),
             writes_per_s: WRITES_PER_S,
             reads_per_s: READS_PER_S,
@@ -51,11 +51,11 @@
     }
 
     fn read(&mut self, arguments: &mut Arguments) -> Result<(), UsageError> {
-        option(arguments, "--listen", &mut self.listen)?;
-        option(arguments, "--name", &mut self.name)?;
-        option(arguments, "--writes-per-s", &mut self.writes_per_s)?;
-        option(arguments, "--reads-per-s", &mut self.reads_per_s)?;
-        above_zero("--writes-per-s", self.writes_per_s)?;
-        above_zero("--reads-per-s", self.reads_per_s)
+        read_option(arguments, "--listen", &mut self.listen)?;
+        read_option(arguments, "--name", &mut self.name)?;
+        read_option(arguments, "--writes-per-s", &mut self.writes_per_s)?;
+        read_option(arguments, "--reads-per-s", &mut self.reads_per_s)?;
+        check_positive("--writes-per-s", self.writes_per_s)?;
+        check_positive("--reads-per-s", self.reads_per_s)
     }
 }
--- a/crates/standins/src/configs/relay.rs
+++ b/crates/standins/src/configs/relay.rs
@@ -7,9 +7,9 @@
 use crate::configs::COMMON_OPTIONS;
 use crate::configs::CommandLine;
 use crate::configs::UsageError;
-use crate::configs::any_port;
-use crate::configs::not_negative;
-use crate::configs::option;
+use crate::configs::any_loopback_port;
+use crate::configs::check_not_negative;
+use crate::configs::read_option;
 
 /// Settings of a relay.
 #[derive(Debug, Clone)]
@@ -18,21 +18,21 @@
     pub listen: SocketAddr,
     /// Name in the start line.
     pub name: String,
-    /// Where connections lead to.
+    /// Address that connections and datagrams are forwarded to; required.
     pub to: Option<SocketAddr>,
-    /// Address that takes orders on `/control`.
+    /// Address of the server that accepts orders on `/control`.
     pub control: SocketAddr,
-    /// Delay of each byte, one way.
+    /// One-way delay of each byte.
     pub delay_ms: f64,
 }
 
 impl Default for RelayConfig {
     fn default() -> Self {
         Self {
-            listen: any_port(),
+            listen: any_loopback_port(),
             name: "relay".to_owned(),
             to: None,
-            control: any_port(),
+            control: any_loopback_port(),
             delay_ms: 0.0,
         }
     }
@@ -50,16 +50,16 @@
     }
 
     fn read(&mut self, arguments: &mut Arguments) -> Result<(), UsageError> {
-        option(arguments, "--listen", &mut self.listen)?;
-        option(arguments, "--name", &mut self.name)?;
-        let mut to = self.to.unwrap_or_else(any_port);
-        option(arguments, "--to", &mut to)?;
+        read_option(arguments, "--listen", &mut self.listen)?;
+        read_option(arguments, "--name", &mut self.name)?;
+        let mut to = self.to.unwrap_or_else(any_loopback_port);
+        read_option(arguments, "--to", &mut to)?;
         self.to = (to.port() != 0).then_some(to);
-        option(arguments, "--control", &mut self.control)?;
-        option(arguments, "--delay-ms", &mut self.delay_ms)?;
+        read_option(arguments, "--control", &mut self.control)?;
+        read_option(arguments, "--delay-ms", &mut self.delay_ms)?;
         if self.to.is_none() {
             return Err(UsageError::Missing("--to IP:PORT"));
         }
-        not_negative("--delay-ms", self.delay_ms)
+        check_not_negative("--delay-ms", self.delay_ms)
     }
 }
--- a/crates/standins/src/configs/weights.rs
+++ b/crates/standins/src/configs/weights.rs
@@ -7,9 +7,9 @@
 use crate::configs::COMMON_OPTIONS;
 use crate::configs::CommandLine;
 use crate::configs::UsageError;
-use crate::configs::above_zero;
-use crate::configs::any_port;
-use crate::configs::option;
+use crate::configs::any_loopback_port;
+use crate::configs::check_positive;
+use crate::configs::read_option;
 
 /// Settings of the weight store.
 #[derive(Debug, Clone)]
@@ -18,7 +18,7 @@
     pub listen: SocketAddr,
     /// Name in the start line.
     pub name: String,
-    /// Size of each file of weights.
+    /// Size of each weight file.
     pub size_bytes: u64,
     /// Transfer rate that all downloads share.
     pub bytes_per_s: f64,
@@ -27,7 +27,7 @@
 impl Default for WeightsConfig {
     fn default() -> Self {
         Self {
-            listen: any_port(),
+            listen: any_loopback_port(),
             name: "weights".to_owned(),
             size_bytes: 1_000_000,
             bytes_per_s: 10_000_000.0,
@@ -46,10 +46,10 @@
     }
 
     fn read(&mut self, arguments: &mut Arguments) -> Result<(), UsageError> {
-        option(arguments, "--listen", &mut self.listen)?;
-        option(arguments, "--name", &mut self.name)?;
-        option(arguments, "--size-bytes", &mut self.size_bytes)?;
-        option(arguments, "--bytes-per-s", &mut self.bytes_per_s)?;
-        above_zero("--bytes-per-s", self.bytes_per_s)
+        read_option(arguments, "--listen", &mut self.listen)?;
+        read_option(arguments, "--name", &mut self.name)?;
+        read_option(arguments, "--size-bytes", &mut self.size_bytes)?;
+        read_option(arguments, "--bytes-per-s", &mut self.bytes_per_s)?;
+        check_positive("--bytes-per-s", self.bytes_per_s)
     }
 }
--- a/crates/standins/src/control.rs
+++ b/crates/standins/src/control.rs
@@ -1,4 +1,4 @@
-//! `/control`: the path on which a stand-in takes orders to misbehave.
+//! `/control`: the path on which tests order faults of a stand-in.
 
 use hyper::Method;
 use hyper::StatusCode;
@@ -11,23 +11,23 @@
 use crate::reply;
 use crate::reply::Reply;
 use crate::server::Call;
-use crate::server::Shared;
+use crate::server::SharedState;
 
-/// Path of orders to misbehave.
+/// Path of fault orders.
 pub const CONTROL_PATH: &str = "/control";
 
-/// Whether the path belongs to the test bench and is never hit by a fault.
+/// Whether the path belongs to the test harness, whose requests are exempt from faults.
 pub fn is_harness_path(path: &str) -> bool {
     matches!(path, CONTROL_PATH | LEDGER_PATH | LEDGER_RESET_PATH)
 }
 
-/// Takes orders with POST, lists them with GET, forgets them with DELETE.
-pub fn handle(shared: &Shared, call: &Call) -> Reply {
+/// Accepts fault orders with POST, lists them with GET, clears them with DELETE.
+pub fn handle(shared: &SharedState, call: &Call) -> Reply {
     match call.method {
         Method::GET => {}
         Method::DELETE => shared.faults.borrow_mut().clear(),
         Method::POST => {
-            if let Err(refusal) = take(shared, call) {
+            if let Err(refusal) = apply_body(shared, call) {
                 return reply::text(StatusCode::BAD_REQUEST, &refusal);
             }
         }
@@ -37,13 +37,13 @@
     reply::json(StatusCode::OK, &orders)
 }
 
-fn take(shared: &Shared, call: &Call) -> Result<(), String> {
+fn apply_body(shared: &SharedState, call: &Call) -> Result<(), String> {
     let orders = parse(&call.body)?;
     for order in &orders {
         order.check().map_err(|error| error.to_string())?;
     }
     for order in orders {
-        obey(shared, call, order);
+        apply(shared, call, order);
     }
     Ok(())
 }
@@ -58,7 +58,7 @@
     orders.map_err(|error| error.to_string())
 }
 
-fn obey(shared: &Shared, call: &Call, order: FaultOrder) {
+fn apply(shared: &SharedState, call: &Call, order: FaultOrder) {
     match order.fault {
         Fault::Clear => shared.faults.borrow_mut().clear(),
         Fault::Silence => {
--- a/crates/standins/src/endpoint.rs
+++ b/crates/standins/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! What engines and plain services have in common: ledger, load reports and run records.
+//! Parts that engines and plain services share: ledger, load reports and run records.
 
 use std::cell::RefCell;
 use std::io;
@@ -23,18 +23,18 @@
 use crate::reply;
 use crate::reply::Reply;
 use crate::server::Call;
-use crate::server::Shared;
+use crate::server::SharedState;
 
 /// Settings that engines and plain services share.
 #[derive(Debug, Clone)]
 pub struct EndpointConfig {
     /// Name of the endpoint.
     pub name: String,
-    /// Requests that run at the same time.
+    /// Maximum number of running requests.
     pub slots: u32,
-    /// Lag of load reports.
+    /// Age of load reports.
     pub report_lag_ms: u64,
-    /// File that keeps the ledger across a crash.
+    /// File that preserves the ledger across a crash.
     pub ledger_file: Option<PathBuf>,
 }
 
@@ -42,18 +42,18 @@
 #[derive(Debug)]
 pub struct EndpointCore {
     config: EndpointConfig,
-    shared: Rc<Shared>,
-    /// What the endpoint ran.
+    shared: Rc<SharedState>,
+    /// Runs and orders of the endpoint.
     pub ledger: RefCell<Ledger>,
-    load: RefCell<LoadHistory>,
+    load_history: RefCell<LoadHistory>,
 }
 
 impl EndpointCore {
-    /// Opens the ledger.
-    pub fn new(config: &EndpointConfig, shared: Rc<Shared>) -> io::Result<Self> {
+    /// Creates the core and opens its ledger.
+    pub fn new(config: &EndpointConfig, shared: Rc<SharedState>) -> io::Result<Self> {
         Ok(Self {
             ledger: RefCell::new(Ledger::open(config.ledger_file.as_deref())?),
-            load: RefCell::default(),
+            load_history: RefCell::default(),
             config: config.clone(),
             shared,
         })
@@ -74,36 +74,37 @@
         self.shared.instant(at)
     }
 
-    /// Whether orders with an old fencing number are refused now.
-    pub fn checks_fencing(&self, at_start: bool) -> bool {
+    /// Whether orders with an outdated fencing number are refused now. `configured` applies unless
+    /// a fault order overrides it.
+    pub fn checks_fencing(&self, configured: bool) -> bool {
         let mut faults = self.shared.faults.borrow_mut();
-        faults.checks_fencing(self.now(), at_start)
+        faults.checks_fencing(self.now(), configured)
     }
 
-    /// Notes the current load.
-    pub fn note_load(&self, running: usize, waiting: usize) {
+    /// Records the current load.
+    pub fn record_load(&self, running: usize, waiting: usize) {
         let now = self.now();
-        self.load.borrow_mut().note(now, running, waiting);
+        self.load_history.borrow_mut().record(now, running, waiting);
     }
 
-    /// Answers the load report.
+    /// Answers a request for the load report.
     pub fn load(&self) -> Reply {
         let now = self.now();
         let mut faults = self.shared.faults.borrow_mut();
-        let leaving = faults.standing(now, Fault::Leaving).is_some();
-        let frozen = faults.standing(now, Fault::FreezeLoad).is_some();
+        let leaving = faults.newest_order(now, Fault::Leaving).is_some();
+        let frozen = faults.newest_order(now, Fault::FreezeLoad).is_some();
         let lag_ms = faults
-            .standing(now, Fault::LagLoad)
+            .newest_order(now, Fault::LagLoad)
             .and_then(|order| order.delay_ms)
             .unwrap_or(self.config.report_lag_ms);
         let lag = Duration::from_millis(lag_ms);
-        let mut load = self.load.borrow_mut();
-        let mut report = load.report(now, lag, frozen, self.config.slots);
+        let mut load_history = self.load_history.borrow_mut();
+        let mut report = load_history.report(now, lag, frozen, self.config.slots);
         report.leaving = leaving;
         reply::json(StatusCode::OK, &report)
     }
 
-    /// Answers the calls on the ledger; `None` when the call is none of them.
+    /// Answers a call to a ledger path; `None` for other paths.
     pub fn ledger_call(&self, call: &Call) -> Option<Reply> {
         let answer = match (&call.method, call.path.as_str()) {
             (&Method::GET, LEDGER_PATH) => {
@@ -120,7 +121,7 @@
     }
 }
 
-/// A run record that starts now, with what the headers of the call tell.
+/// Creates the record of a run that starts now, with the identifiers in the headers of the call.
 pub fn run_record(endpoint: &str, call: &Call) -> RunRecord {
     let owned = |name| call.header(name).map(str::to_owned);
     let now_ms = unix_ms();
@@ -144,7 +145,7 @@
     }
 }
 
-/// Repeats the attempt id of the call in the answer.
+/// Copies the attempt id of the call into the answer.
 pub fn echo_attempt(call: &Call, answer: &mut Reply) {
     if let Some(id) = call.header(headers::ATTEMPT_ID) {
         let name = HeaderName::from_static(headers::ATTEMPT_ID);
@@ -152,7 +153,7 @@
     }
 }
 
-/// Answers a call that the stand-in does not know.
+/// Answers a call to an unknown path.
 pub fn unknown_path() -> Reply {
     reply::text(StatusCode::NOT_FOUND, "no such path")
 }
--- a/crates/standins/src/engine.rs
+++ b/crates/standins/src/engine.rs
@@ -41,7 +41,7 @@
 use crate::server::Call;
 use crate::server::RunningServer;
 use crate::server::Service;
-use crate::server::Shared;
+use crate::server::SharedState;
 
 /// Starts the stand-in.
 ///
@@ -67,14 +67,14 @@
     core: EndpointCore,
     orders: RefCell<EngineOrders>,
     state: RefCell<State>,
-    changed: Notify,
+    batch_changed: Notify,
 }
 
 #[derive(Debug)]
 struct State {
     batch: Batch,
     sessions: HashMap<u64, Session>,
-    next_job: u64,
+    next_job_id: u64,
 }
 
 /// One request from its arrival to its end.
@@ -85,7 +85,7 @@
     run_id: Option<u64>,
 }
 
-/// What the caller's side of a request hears.
+/// Progress of a job, as sent to the task that answers its caller.
 #[derive(Debug, Clone, Copy)]
 enum JobEvent {
     Token { position: u64 },
@@ -93,16 +93,16 @@
 }
 
 impl Engine {
-    fn new(config: EngineConfig, shared: Rc<Shared>) -> io::Result<Self> {
+    fn new(config: EngineConfig, shared: Rc<SharedState>) -> io::Result<Self> {
         let core = EndpointCore::new(&config.endpoint, shared)?;
         let inner = Rc::new(Inner {
             state: RefCell::new(State {
                 batch: Batch::new(config.batch()),
                 sessions: HashMap::new(),
-                next_job: 0,
+                next_job_id: 0,
             }),
             orders: RefCell::new(EngineOrders::new(config.checks_fencing)),
-            changed: Notify::new(),
+            batch_changed: Notify::new(),
             core,
             config,
         });
@@ -136,10 +136,10 @@
             let break_after = call
                 .plan
                 .drop_after_events
-                .map(|left| (left, Rc::clone(&call.link)));
-            let (sender, pieces) = unbounded_channel();
+                .map(|events| (events, Rc::clone(&call.link)));
+            let (sender, chunks) = unbounded_channel();
             spawn_local(send_stream(id, request, usage, events, sender));
-            reply::stream(pieces, break_after)
+            reply::stream(chunks, break_after)
         } else {
             whole_answer(&id, &request, usage, first_token, events).await
         };
@@ -183,11 +183,11 @@
 
     fn submit(self: &Rc<Self>, mut job: Job, record: RunRecord) -> UnboundedReceiver<JobEvent> {
         let (sender, receiver) = unbounded_channel();
-        let mut happened = Vec::new();
+        let mut batch_events = Vec::new();
         {
             let mut state = self.state.borrow_mut();
-            let id = state.next_job;
-            state.next_job += 1;
+            let id = state.next_job_id;
+            state.next_job_id += 1;
             job.id = id;
             let session = Session {
                 events: sender.clone(),
@@ -195,45 +195,48 @@
                 run_id: None,
             };
             state.sessions.insert(id, session);
-            state.batch.submit(self.core.now(), job, &mut happened);
-            spawn_local(withdraw_when_gone(Rc::clone(self), id, sender));
+            state.batch.submit(self.core.now(), job, &mut batch_events);
+            spawn_local(cancel_on_disconnect(Rc::clone(self), id, sender));
         }
-        self.publish(&happened);
+        self.publish(&batch_events);
         receiver
     }
 
-    /// Withdraws a job whose caller has gone; a finished one is left as it is.
-    fn withdraw(&self, id: u64) {
-        let mut happened = Vec::new();
+    /// Cancels a job whose caller has disconnected; does nothing if it has finished.
+    fn cancel_job(&self, id: u64) {
+        let mut batch_events = Vec::new();
         {
             let mut state = self.state.borrow_mut();
-            state.batch.cancel(self.core.now(), id, &mut happened);
+            state.batch.cancel(self.core.now(), id, &mut batch_events);
         }
-        self.publish(&happened);
+        self.publish(&batch_events);
         if let Some(session) = self.state.borrow_mut().sessions.remove(&id)
             && let Some(run_id) = session.run_id
         {
-            let made = session.record.output_tokens;
+            let output_tokens = session.record.output_tokens;
             let mut ledger = self.core.ledger.borrow_mut();
-            ledger.end(run_id, RunOutcome::Cancelled, made);
+            ledger.end(run_id, RunOutcome::Cancelled, output_tokens);
         }
     }
 
     fn advance(&self) {
-        let mut happened = Vec::new();
+        let mut batch_events = Vec::new();
         let now = self.core.now();
-        self.state.borrow_mut().batch.advance(now, &mut happened);
-        self.publish(&happened);
+        self.state
+            .borrow_mut()
+            .batch
+            .advance(now, &mut batch_events);
+        self.publish(&batch_events);
     }
 
-    fn publish(&self, happened: &[BatchEvent]) {
+    fn publish(&self, batch_events: &[BatchEvent]) {
         let mut state = self.state.borrow_mut();
-        for event in happened {
+        for event in batch_events {
             state.publish(*event, &self.core);
         }
         self.core
-            .note_load(state.batch.running(), state.batch.waiting());
-        self.changed.notify_one();
+            .record_load(state.batch.running(), state.batch.waiting());
+        self.batch_changed.notify_one();
     }
 }
 
@@ -247,7 +250,7 @@
             }
             BatchEvent::Token { id, position } => {
                 if let Some(session) = self.sessions.get_mut(&id) {
-                    session.make_token(position, core);
+                    session.record_token(position, core);
                 }
             }
             BatchEvent::Finished { id } => {
@@ -267,28 +270,28 @@
         self.run_id = Some(run_id);
     }
 
-    fn make_token(&mut self, position: u64, core: &EndpointCore) {
+    fn record_token(&mut self, position: u64, core: &EndpointCore) {
         self.record.output_tokens += 1;
         if let Some(run_id) = self.run_id {
-            let made = self.record.output_tokens;
-            core.ledger.borrow_mut().progress(run_id, made);
+            let output_tokens = self.record.output_tokens;
+            core.ledger.borrow_mut().progress(run_id, output_tokens);
         }
-        self.tell(JobEvent::Token { position });
+        self.send_event(JobEvent::Token { position });
     }
 
     fn finish(self, core: &EndpointCore) {
-        let made = self.record.output_tokens;
+        let output_tokens = self.record.output_tokens;
         if let Some(run_id) = self.run_id {
             let mut ledger = core.ledger.borrow_mut();
-            ledger.end(run_id, RunOutcome::Finished, made);
+            ledger.end(run_id, RunOutcome::Finished, output_tokens);
         }
-        self.tell(JobEvent::Finished {
+        self.send_event(JobEvent::Finished {
             cached_tokens: self.record.cached_tokens,
         });
     }
 
-    fn tell(&self, event: JobEvent) {
-        // A caller who has gone is noticed by `withdraw_when_gone`.
+    fn send_event(&self, event: JobEvent) {
+        // Fails when the caller has disconnected; `cancel_on_disconnect` handles that.
         let _ = self.events.send(event);
     }
 }
@@ -297,7 +300,7 @@
     loop {
         let next = inner.state.borrow().batch.next_step();
         match next {
-            None => inner.changed.notified().await,
+            None => inner.batch_changed.notified().await,
             Some(at) => {
                 tokio::time::sleep_until(inner.core.instant(at)).await;
                 inner.advance();
@@ -306,9 +309,9 @@
     }
 }
 
-async fn withdraw_when_gone(inner: Rc<Inner>, id: u64, sender: UnboundedSender<JobEvent>) {
+async fn cancel_on_disconnect(inner: Rc<Inner>, id: u64, sender: UnboundedSender<JobEvent>) {
     sender.closed().await;
-    inner.withdraw(id);
+    inner.cancel_job(id);
 }
 
 async fn send_stream(
@@ -316,20 +319,20 @@
     request: ChatRequest,
     mut usage: Usage,
     mut events: UnboundedReceiver<JobEvent>,
-    pieces: UnboundedSender<BodyChunk>,
+    chunks: UnboundedSender<BodyChunk>,
 ) {
     let key = answer::request_key(&request);
     loop {
         let event = tokio::select! {
             event = events.recv() => event,
-            // Ends this task, which drops the receiver and so withdraws the job.
-            () = pieces.closed() => return,
+            // Returning drops the event receiver, which cancels the job.
+            () = chunks.closed() => return,
         };
         match event {
             Some(JobEvent::Token { position }) => {
                 let text = answer::answer_token(key, position);
-                if pieces
-                    .send(data(chat_answer::token_event(&id, text)))
+                if chunks
+                    .send(data_chunk(chat_answer::token_event(&id, text)))
                     .is_err()
                 {
                     return;
@@ -339,9 +342,9 @@
                 usage.cached_tokens = cached_tokens;
                 let reason = answer::finish_reason(&request);
                 let end = chat_answer::end_event(&id, reason, usage);
-                // The caller may go at any time; there is nobody left to tell.
-                let _ = pieces.send(data(end));
-                let _ = pieces.send(BodyChunk::End);
+                // Sending fails only after the caller has disconnected.
+                let _ = chunks.send(data_chunk(end));
+                let _ = chunks.send(BodyChunk::End);
                 return;
             }
             None => return,
@@ -366,13 +369,13 @@
     reply::json(StatusCode::OK, &answer)
 }
 
-fn data(event: String) -> BodyChunk {
+fn data_chunk(event: String) -> BodyChunk {
     BodyChunk::Data(Bytes::from(event))
 }
 
 fn job(request: &ChatRequest, call: &Call) -> Job {
     let end_token = answer::output_tokens(request);
-    let held = call.header_number(headers::RESUME_AFTER_TOKENS);
+    let received_tokens = call.header_number(headers::RESUME_AFTER_TOKENS);
     Job {
         id: 0,
         input_tokens: answer::input_tokens(request),
@@ -380,7 +383,7 @@
             .into_iter()
             .map(|(key, length_tokens)| Prefix { key, length_tokens })
             .collect(),
-        first_token: held.unwrap_or(0).min(end_token),
+        first_token: received_tokens.unwrap_or(0).min(end_token),
         end_token,
     }
 }
--- a/crates/standins/src/engine_orders.rs
+++ b/crates/standins/src/engine_orders.rs
@@ -1,4 +1,4 @@
-//! Orders to an engine, with fencing numbers honoured or ignored.
+//! Applies orders to an engine; outdated fencing numbers are refused or ignored.
 
 use hyper::Method;
 use hyper::StatusCode;
@@ -15,7 +15,7 @@
 use crate::reply::Reply;
 use crate::server::Call;
 
-/// What an engine has taken from its orders.
+/// State of an engine that results from its orders.
 #[derive(Debug)]
 pub struct EngineOrders {
     checks_fencing: bool,
@@ -23,7 +23,8 @@
 }
 
 impl EngineOrders {
-    /// Starts without orders. `checks_fencing` tells whether old fencing numbers are refused.
+    /// Creates the state before any order. `checks_fencing` tells whether orders with an outdated
+    /// fencing number are refused.
     pub fn new(checks_fencing: bool) -> Self {
         Self {
             checks_fencing,
@@ -31,12 +32,12 @@
         }
     }
 
-    /// Whether the model was unloaded.
+    /// Whether an order unloaded the model.
     pub fn is_unloaded(&self, model: &str) -> bool {
         self.state.unloaded.iter().any(|name| name == model)
     }
 
-    /// Takes an order with POST, answers the state with GET.
+    /// Accepts an order with POST, returns the state with GET.
     pub fn handle(&mut self, core: &EndpointCore, call: &Call) -> Reply {
         match call.method {
             Method::GET => reply::json(StatusCode::OK, &self.state),
@@ -60,14 +61,14 @@
             highest_fencing,
         });
         if accepted {
-            self.obey(order);
+            self.apply(order);
             reply::json(StatusCode::OK, &self.state)
         } else {
             reply::json(StatusCode::CONFLICT, &self.state)
         }
     }
 
-    fn obey(&mut self, order: EngineOrder) {
+    fn apply(&mut self, order: EngineOrder) {
         let state = &mut self.state;
         state.highest_fencing = state.highest_fencing.max(order.fencing);
         match order.kind {
--- a/crates/standins/src/faults.rs
+++ b/crates/standins/src/faults.rs
@@ -1,4 +1,4 @@
-//! Misbehaviour on order: what a stand-in is told to do wrong, and when.
+//! Fault injection: orders that make a stand-in fail, and which requests they affect.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 
 use crate::answer::mix;
 
-/// A way to misbehave.
+/// A kind of fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Fault {
@@ -18,36 +18,36 @@
     Delay,
     /// Do the work, then wait before the answer.
     Late,
-    /// Do the work, then close the connection without the answer, or within it.
+    /// Do the work, then close the connection before or during the answer.
     DropAnswer,
-    /// Answer 503 without a word on whether the request ran.
+    /// Answer 503 without saying whether the request ran.
     Outage,
     /// Close the connection as soon as a request has been read.
     Close,
-    /// Go silent on the connections that are open now; new ones work.
+    /// Stop all traffic of the open connections without closing them; new ones work.
     Silence,
-    /// Close the connections that are open now.
+    /// Close the open connections.
     Cut,
-    /// End the process when the body of a request contains the poison.
+    /// Exit the process when the body of a request contains the poison text.
     Crash,
-    /// Answer reads from a state of some time ago.
+    /// Answer reads from an earlier state.
     StaleReads,
-    /// Report as leaving.
+    /// Report the endpoint as leaving.
     Leaving,
-    /// Repeat the current load report.
+    /// Repeat the figures of the first load report after the order.
     FreezeLoad,
-    /// Report load with this lag.
+    /// Report the load of some time ago.
     LagLoad,
-    /// Obey orders with an old fencing number.
+    /// Accept orders with an outdated fencing number.
     IgnoreFencing,
-    /// Refuse orders with an old fencing number.
+    /// Refuse orders with an outdated fencing number.
     HonourFencing,
-    /// Forget all orders to misbehave.
+    /// Remove all fault orders.
     Clear,
 }
 
 impl Fault {
-    /// All of them.
+    /// All faults.
     pub const ALL: [Self; 15] = [
         Self::Delay,
         Self::Late,
@@ -67,40 +67,40 @@
     ];
 }
 
-/// An order to misbehave, as `POST /control` takes it.
+/// An order to inject a fault, the body of `POST /control`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FaultOrder {
-    /// The misbehaviour.
+    /// The fault.
     pub fault: Fault,
-    /// Wait, age or lag of the faults that have one.
+    /// Wait of `Delay` and `Late`, age of `StaleReads`, lag of `LagLoad`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub delay_ms: Option<u64>,
     /// Text that makes a request crash the process.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub poison: Option<String>,
-    /// Events of a stream that still go out before its connection is closed.
+    /// Events of a stream that are sent before its connection is closed.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub after_events: Option<u64>,
-    /// Number of requests that it hits; all when absent.
+    /// Number of requests that it affects; unlimited when absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub count: Option<u64>,
-    /// Share of requests that it hits, from 0 to 1.
+    /// Share of requests that it affects, from 0 to 1; all when absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub probability: Option<f64>,
-    /// Seed of the draw for `probability`.
+    /// Seed of the random numbers for `probability`.
     #[serde(default)]
     pub seed: u64,
-    /// How long it lasts; until cleared when absent.
+    /// Time until it expires; it lasts until cleared when absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub duration_ms: Option<u64>,
-    /// Only requests whose path starts with this are hit.
+    /// Path prefix of the requests that it affects.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub path: Option<String>,
 }
 
 impl FaultOrder {
-    /// An order without limits.
+    /// Creates an order without limits.
     pub fn new(fault: Fault) -> Self {
         Self {
             fault,
@@ -115,13 +115,13 @@
         }
     }
 
-    /// Checks that the order has what its fault needs.
+    /// Checks that the order has the fields its fault needs and a valid probability.
     pub fn check(&self) -> Result<(), OrderError> {
-        let timed = matches!(
+        let needs_delay = matches!(
             self.fault,
             Fault::Delay | Fault::Late | Fault::StaleReads | Fault::LagLoad
         );
-        if timed && self.delay_ms.is_none() {
+        if needs_delay && self.delay_ms.is_none() {
             return Err(OrderError::Missing { field: "delay_ms" });
         }
         if self.fault == Fault::Crash && self.poison.as_deref().unwrap_or("").is_empty() {
@@ -136,7 +136,7 @@
     }
 }
 
-/// Why an order to misbehave is not understood.
+/// Why a fault order is invalid.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum OrderError {
     /// A field is missing.
@@ -145,31 +145,31 @@
         /// The field.
         field: &'static str,
     },
-    /// The probability is no probability.
+    /// The probability is out of range.
     #[error("`probability` must lie between 0 and 1")]
     Probability,
 }
 
-/// What goes wrong with one request.
+/// Faults to inject into one request.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Plan {
+pub struct FaultPlan {
     /// Answer 503.
     pub outage: bool,
-    /// Close the connection instead of the work.
+    /// Close the connection without doing the work.
     pub close: bool,
-    /// End the process.
+    /// Exit the process.
     pub crash: bool,
     /// Wait before the work.
-    pub delay: Duration,
+    pub start_delay: Duration,
     /// Wait after the work.
-    pub late: Duration,
+    pub answer_delay: Duration,
     /// Close the connection after this many events of the answer.
     pub drop_after_events: Option<u64>,
     /// Age of the state that reads are answered from.
-    pub stale: Duration,
+    pub read_age: Duration,
 }
 
-/// The orders in force.
+/// The fault orders in force.
 #[derive(Debug, Default)]
 pub struct Faults {
     active: Vec<ActiveFault>,
@@ -178,30 +178,30 @@
 #[derive(Debug)]
 struct ActiveFault {
     order: FaultOrder,
-    until: Option<Duration>,
-    left: Option<u64>,
-    draws: u64,
+    expires_at: Option<Duration>,
+    remaining_requests: Option<u64>,
+    draw_count: u64,
 }
 
 impl Faults {
-    /// Takes an order that lasts; the caller has checked it.
+    /// Puts an order in force. The caller has checked it with [`FaultOrder::check`].
     pub fn add(&mut self, now: Duration, order: FaultOrder) {
         self.active.push(ActiveFault {
-            until: order
+            expires_at: order
                 .duration_ms
-                .map(|length_ms| now + Duration::from_millis(length_ms)),
-            left: order.count,
-            draws: 0,
+                .map(|duration_ms| now + Duration::from_millis(duration_ms)),
+            remaining_requests: order.count,
+            draw_count: 0,
             order,
         });
     }
 
-    /// Forgets all orders.
+    /// Removes all orders.
     pub fn clear(&mut self) {
         self.active.clear();
     }
 
-    /// Orders in force.
+    /// Returns the orders in force.
     pub fn orders(&mut self, now: Duration) -> Vec<FaultOrder> {
         self.expire(now);
         self.active
@@ -210,20 +210,20 @@
             .collect()
     }
 
-    /// Decides what goes wrong with a request.
-    pub fn plan(&mut self, now: Duration, path: &str, body: &[u8]) -> Plan {
+    /// Decides which faults to inject into a request and counts it against the orders that apply.
+    pub fn plan(&mut self, now: Duration, path: &str, body: &[u8]) -> FaultPlan {
         self.expire(now);
-        let mut plan = Plan::default();
+        let mut plan = FaultPlan::default();
         for active in &mut self.active {
-            if active.hits(path, body) {
+            if active.applies_to(path, body) {
                 active.order.apply(&mut plan);
             }
         }
         plan
     }
 
-    /// The newest order of a standing fault, one that does not depend on the request.
-    pub fn standing(&mut self, now: Duration, fault: Fault) -> Option<&FaultOrder> {
+    /// Returns the newest order of a fault that does not depend on the request.
+    pub fn newest_order(&mut self, now: Duration, fault: Fault) -> Option<&FaultOrder> {
         self.expire(now);
         self.active
             .iter()
@@ -231,8 +231,9 @@
             .rfind(|order| order.fault == fault)
     }
 
-    /// Whether fencing numbers are checked, given the setting of the start.
-    pub fn checks_fencing(&mut self, now: Duration, at_start: bool) -> bool {
+    /// Whether fencing numbers are checked: as the newest order about them says, else as
+    /// configured.
+    pub fn checks_fencing(&mut self, now: Duration, configured: bool) -> bool {
         self.expire(now);
         self.active
             .iter()
@@ -242,62 +243,63 @@
                 Fault::HonourFencing => Some(true),
                 _ => None,
             })
-            .unwrap_or(at_start)
+            .unwrap_or(configured)
     }
 
     fn expire(&mut self, now: Duration) {
         self.active.retain(|active| {
-            active.until.is_none_or(|until| now < until) && active.left != Some(0)
+            active.expires_at.is_none_or(|expires_at| now < expires_at)
+                && active.remaining_requests != Some(0)
         });
     }
 }
 
 impl ActiveFault {
-    fn hits(&mut self, path: &str, body: &[u8]) -> bool {
-        if !self.order.concerns(path, body) {
+    fn applies_to(&mut self, path: &str, body: &[u8]) -> bool {
+        if !self.order.matches_request(path, body) {
             return false;
         }
         if let Some(probability) = self.order.probability {
-            let draw = mix(self.order.seed ^ mix(self.draws));
-            self.draws += 1;
+            let draw = mix(self.order.seed ^ mix(self.draw_count));
+            self.draw_count += 1;
             if (draw >> 11) as f64 / (1_u64 << 53) as f64 >= probability {
                 return false;
             }
         }
-        if let Some(left) = &mut self.left {
-            if *left == 0 {
+        if let Some(remaining) = &mut self.remaining_requests {
+            if *remaining == 0 {
                 return false;
             }
-            *left -= 1;
+            *remaining -= 1;
         }
         true
     }
 }
 
 impl FaultOrder {
-    fn concerns(&self, path: &str, body: &[u8]) -> bool {
-        let on_path = match &self.path {
+    fn matches_request(&self, path: &str, body: &[u8]) -> bool {
+        let matches_path = match &self.path {
             Some(prefix) => path.starts_with(prefix.as_str()),
-            // A poll for load must not use up the count of a fault that is meant for requests.
+            // Load polls must not use up the count of a fault that is meant for requests.
             None => path != LOAD_PATH || matches!(self.fault, Fault::Outage | Fault::Close),
         };
-        on_path
+        matches_path
             && match (self.fault, &self.poison) {
                 (Fault::Crash, Some(poison)) => contains(body, poison.as_bytes()),
                 _ => true,
             }
     }
 
-    fn apply(&self, plan: &mut Plan) {
+    fn apply(&self, plan: &mut FaultPlan) {
         let wait = Duration::from_millis(self.delay_ms.unwrap_or(0));
         match self.fault {
-            Fault::Delay => plan.delay += wait,
-            Fault::Late => plan.late += wait,
+            Fault::Delay => plan.start_delay += wait,
+            Fault::Late => plan.answer_delay += wait,
             Fault::DropAnswer => plan.drop_after_events = Some(self.after_events.unwrap_or(0)),
             Fault::Outage => plan.outage = true,
             Fault::Close => plan.close = true,
             Fault::Crash => plan.crash = true,
-            Fault::StaleReads => plan.stale = plan.stale.max(wait),
+            Fault::StaleReads => plan.read_age = plan.read_age.max(wait),
             Fault::Silence
             | Fault::Cut
             | Fault::Leaving
--- a/crates/standins/src/hosts.rs
+++ b/crates/standins/src/hosts.rs
@@ -22,7 +22,7 @@
 use crate::server::Call;
 use crate::server::RunningServer;
 use crate::server::Service;
-use crate::server::Shared;
+use crate::server::SharedState;
 
 /// Starts the stand-in.
 ///
@@ -45,19 +45,19 @@
 
 #[derive(Debug)]
 struct Hosts {
-    shared: Rc<Shared>,
+    shared: Rc<SharedState>,
     config: HostsConfig,
     lists: RefCell<VecDeque<DatedList>>,
 }
 
-/// The list from the given time on.
+/// A host list and the time of its order.
 #[derive(Debug)]
 struct DatedList {
     since: Duration,
     hosts: Vec<Host>,
 }
 
-/// The order that replaces the list.
+/// The body of a control order that replaces the list.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct HostsOrder {
@@ -77,11 +77,11 @@
     }
 
     fn list(&self, lag: Duration) -> Reply {
-        let seen = self.shared.now().saturating_sub(lag);
+        let as_of = self.shared.now().saturating_sub(lag);
         let lists = self.lists.borrow();
         let hosts = lists
             .iter()
-            .rfind(|list| list.since <= seen)
+            .rfind(|list| list.since <= as_of)
             .map(|list| list.hosts.clone())
             .unwrap_or_default();
         let age_ms = u64::try_from(lag.as_millis()).unwrap_or(u64::MAX);
@@ -92,7 +92,7 @@
 impl Service for Hosts {
     async fn call(&self, call: &Call) -> Reply {
         match (&call.method, call.path.as_str()) {
-            (&Method::GET, HOSTS_PATH) => self.list(self.lag().max(call.plan.stale)),
+            (&Method::GET, HOSTS_PATH) => self.list(self.lag().max(call.plan.read_age)),
             _ => Refusal::NotFound.into(),
         }
     }
--- a/crates/standins/src/ledger.rs
+++ b/crates/standins/src/ledger.rs
@@ -1,4 +1,4 @@
-//! The history of what an endpoint ran, for checks that do not trust the router's word.
+//! Records what an endpoint ran, so that checks need not rely on what the router reports.
 
 use std::collections::HashMap;
 use std::fs::File;
@@ -21,19 +21,19 @@
         .map_or(0.0, |since| since.as_secs_f64() * 1000.0)
 }
 
-/// A history in memory, also written to a file when one is given, so that it outlasts a crash.
+/// Run and order records in memory, also written to a file if one is given, to survive a crash.
 #[derive(Debug, Default)]
 pub struct Ledger {
     records: Vec<LedgerRecord>,
     next_run_id: u64,
-    /// Positions of the runs in progress.
-    open: HashMap<u64, usize>,
+    /// Index in `records` of each run in progress, by run id.
+    running_index: HashMap<u64, usize>,
     file: Option<File>,
 }
 
 impl Ledger {
-    /// Opens a ledger. Records of an earlier process in the same file come first; its unfinished
-    /// runs count as crashed.
+    /// Opens a ledger. It begins with the records of earlier processes in the same file; their
+    /// unfinished runs become crashed.
     pub fn open(path: Option<&Path>) -> io::Result<Self> {
         let Some(path) = path else {
             return Ok(Self::default());
@@ -52,7 +52,7 @@
         Ok(ledger)
     }
 
-    /// Records the start of a run under a new run id, which it returns.
+    /// Records the start of a run and returns its new run id.
     pub fn start(&mut self, mut run: RunRecord) -> u64 {
         run.run_id = self.next_run_id;
         self.next_run_id += 1;
@@ -61,7 +61,7 @@
         run_id
     }
 
-    /// Records the end of a run; a run that has ended already stays as it is.
+    /// Records the end of a run; does nothing if the run has already ended.
     pub fn end(&mut self, run_id: u64, outcome: RunOutcome, output_tokens: u64) {
         let Some(run) = self.running(run_id) else {
             return;
@@ -70,11 +70,11 @@
         run.output_tokens = output_tokens;
         run.ended_at_ms = Some(unix_ms());
         let ended = LedgerRecord::Run(run.clone());
-        self.open.remove(&run_id);
+        self.running_index.remove(&run_id);
         self.write(&ended);
     }
 
-    /// Notes how many tokens a run has made so far.
+    /// Updates the number of tokens that a run has generated, in memory only.
     pub fn progress(&mut self, run_id: u64, output_tokens: u64) {
         if let Some(run) = self.running(run_id) {
             run.output_tokens = output_tokens;
@@ -88,7 +88,7 @@
 
     /// Records every run in progress as crashed.
     pub fn crash(&mut self) {
-        let mut run_ids: Vec<u64> = self.open.keys().copied().collect();
+        let mut run_ids: Vec<u64> = self.running_index.keys().copied().collect();
         run_ids.sort_unstable();
         for run_id in run_ids {
             let output_tokens = self.running(run_id).map_or(0, |run| run.output_tokens);
@@ -96,13 +96,13 @@
         }
     }
 
-    /// Forgets all that has ended; runs in progress stay.
+    /// Removes all records except runs in progress and empties the file.
     pub fn reset(&mut self) -> io::Result<()> {
-        let kept = std::mem::take(&mut self.records);
-        self.open.clear();
-        for record in kept {
+        let records = std::mem::take(&mut self.records);
+        self.running_index.clear();
+        for record in records {
             if matches!(&record, LedgerRecord::Run(run) if run.outcome == RunOutcome::Running) {
-                self.keep(record);
+                self.insert(record);
             }
         }
         match &self.file {
@@ -111,7 +111,7 @@
         }
     }
 
-    /// All records in the order of their start.
+    /// All records, ordered by their start.
     pub fn records(&self) -> &[LedgerRecord] {
         &self.records
     }
@@ -122,17 +122,17 @@
     }
 
     fn running(&mut self, run_id: u64) -> Option<&mut RunRecord> {
-        match self.records.get_mut(*self.open.get(&run_id)?) {
+        match self.records.get_mut(*self.running_index.get(&run_id)?) {
             Some(LedgerRecord::Run(run)) => Some(run),
             _ => None,
         }
     }
 
-    fn keep(&mut self, record: LedgerRecord) {
+    fn insert(&mut self, record: LedgerRecord) {
         if let LedgerRecord::Run(run) = &record
             && run.outcome == RunOutcome::Running
         {
-            self.open.insert(run.run_id, self.records.len());
+            self.running_index.insert(run.run_id, self.records.len());
         }
         self.records.push(record);
     }
@@ -143,17 +143,17 @@
             if let Some(earlier) = self.running(run.run_id) {
                 *earlier = run.clone();
                 if run.outcome != RunOutcome::Running {
-                    self.open.remove(&run.run_id);
+                    self.running_index.remove(&run.run_id);
                 }
                 return;
             }
         }
-        self.keep(record);
+        self.insert(record);
     }
 
     fn push(&mut self, record: LedgerRecord) {
         self.write(&record);
-        self.keep(record);
+        self.insert(record);
     }
 
     fn write(&mut self, record: &LedgerRecord) {
--- a/crates/standins/src/link.rs
+++ b/crates/standins/src/link.rs
@@ -1,4 +1,4 @@
-//! One open connection, which can be told to go silent or to close.
+//! Control over an open connection: fault orders can silence or close it.
 
 use std::cell::Cell;
 use std::io;
@@ -13,31 +13,31 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
-/// What may be done to an open connection from outside.
+/// Handle that silences or closes an open connection.
 #[derive(Debug, Default)]
 pub struct Link {
-    silent: Cell<bool>,
-    closing: Notify,
+    is_silent: Cell<bool>,
+    close_requested: Notify,
 }
 
 impl Link {
-    /// Stops all traffic for good; the connection stays open.
+    /// Stops all traffic permanently; the connection stays open.
     pub fn silence(&self) {
-        self.silent.set(true);
+        self.is_silent.set(true);
     }
 
-    /// Closes the connection without a further byte.
+    /// Closes the connection without sending further bytes.
     pub fn close(&self) {
-        self.closing.notify_one();
+        self.close_requested.notify_one();
     }
 
     /// Waits for [`Link::close`].
     pub async fn closed(&self) {
-        self.closing.notified().await;
+        self.close_requested.notified().await;
     }
 }
 
-/// The byte stream of a [`Link`].
+/// The byte stream of a connection that a [`Link`] controls.
 #[derive(Debug)]
 pub struct LinkStream {
     tcp: TcpStream,
@@ -45,7 +45,7 @@
 }
 
 impl LinkStream {
-    /// Puts a connection under the control of a link.
+    /// Wraps a connection so that `link` controls it.
     pub fn new(tcp: TcpStream, link: Rc<Link>) -> Self {
         Self { tcp, link }
     }
@@ -57,13 +57,13 @@
         context: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        if self.link.silent.get() {
+        if self.link.is_silent.get() {
             return Poll::Pending;
         }
-        let filled = buffer.filled().len();
+        let filled_before = buffer.filled().len();
         let polled = Pin::new(&mut self.tcp).poll_read(context, buffer);
-        if self.link.silent.get() {
-            buffer.set_filled(filled);
+        if self.link.is_silent.get() {
+            buffer.set_filled(filled_before);
             return Poll::Pending;
         }
         polled
@@ -76,7 +76,7 @@
         context: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
-        if self.link.silent.get() {
+        if self.link.is_silent.get() {
             return Poll::Ready(Ok(bytes.len()));
         }
         Pin::new(&mut self.tcp).poll_write(context, bytes)
@@ -87,7 +87,7 @@
     }
 
     fn poll_shutdown(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
-        if self.link.silent.get() {
+        if self.link.is_silent.get() {
             return Poll::Pending;
         }
         Pin::new(&mut self.tcp).poll_shutdown(context)
--- a/crates/standins/src/load_history.rs
+++ b/crates/standins/src/load_history.rs
@@ -1,54 +1,54 @@
-//! Load reports with a lag.
+//! Keeps past load figures for load reports that lag or freeze.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use sedgeridge_protocol::engine::LoadReport;
 
-/// How long past figures are kept; no lag can be longer.
-const KEPT: Duration = Duration::from_secs(60);
+/// Retention of past figures; no lag can be longer.
+const RETENTION: Duration = Duration::from_secs(60);
 
 /// Past load figures of an endpoint.
 #[derive(Debug, Default)]
 pub struct LoadHistory {
-    changes: VecDeque<Change>,
-    frozen: Option<Change>,
+    changes: VecDeque<LoadChange>,
+    frozen: Option<LoadChange>,
 }
 
 #[derive(Debug, Clone, Copy, Default)]
-struct Change {
+struct LoadChange {
     at: Duration,
     running: u32,
     waiting: u32,
 }
 
 impl LoadHistory {
-    /// Notes the current figures.
-    pub fn note(&mut self, at: Duration, running: usize, waiting: usize) {
-        self.changes.push_back(Change {
+    /// Records the current figures.
+    pub fn record(&mut self, at: Duration, running: usize, waiting: usize) {
+        self.changes.push_back(LoadChange {
             at,
             running: u32::try_from(running).unwrap_or(u32::MAX),
             waiting: u32::try_from(waiting).unwrap_or(u32::MAX),
         });
-        // One change older than the limit stays: it tells the figures at the limit.
-        while self.changes.len() > 1 && self.changes[1].at + KEPT < at {
+        // One change older than the retention stays: it holds the figures at the limit.
+        while self.changes.len() > 1 && self.changes[1].at + RETENTION < at {
             self.changes.pop_front();
         }
     }
 
-    /// The report as of `lag` ago, or the same one as before while frozen.
+    /// Returns the figures of `lag` ago; while frozen, those of the first frozen report.
     pub fn report(&mut self, now: Duration, lag: Duration, frozen: bool, slots: u32) -> LoadReport {
-        let seen = now.saturating_sub(lag);
-        let current = self.as_of(seen);
+        let as_of = now.saturating_sub(lag);
+        let current = self.as_of(as_of);
         let change = if frozen {
-            *self.frozen.get_or_insert(Change {
-                at: seen,
+            *self.frozen.get_or_insert(LoadChange {
+                at: as_of,
                 ..current
             })
         } else {
             self.frozen = None;
-            Change {
-                at: seen,
+            LoadChange {
+                at: as_of,
                 ..current
             }
         };
@@ -61,7 +61,7 @@
         }
     }
 
-    fn as_of(&self, at: Duration) -> Change {
+    fn as_of(&self, at: Duration) -> LoadChange {
         self.changes
             .iter()
             .rfind(|change| change.at <= at)
--- a/crates/standins/src/main.rs
+++ b/crates/standins/src/main.rs
@@ -1,4 +1,4 @@
-//! Starts one stand-in; see `sedgeridge-standins --help`.
+//! Runs one stand-in; see `sedgeridge-standins --help`.
 
 use std::env;
 use std::process::ExitCode;
--- a/crates/standins/src/objects.rs
+++ b/crates/standins/src/objects.rs
@@ -22,7 +22,7 @@
 use crate::server::Call;
 use crate::server::RunningServer;
 use crate::server::Service;
-use crate::server::Shared;
+use crate::server::SharedState;
 
 const PREFIX_QUERY: &str = "prefix=";
 
@@ -43,14 +43,14 @@
 
 #[derive(Debug)]
 struct Objects {
-    shared: Rc<Shared>,
+    shared: Rc<SharedState>,
     objects: RefCell<BTreeMap<String, Bytes>>,
     writes: RefCell<RateLimit>,
     reads: RefCell<RateLimit>,
 }
 
 impl Objects {
-    fn new(config: &TableConfig, shared: Rc<Shared>) -> Self {
+    fn new(config: &TableConfig, shared: Rc<SharedState>) -> Self {
         Self {
             shared,
             objects: RefCell::default(),
--- a/crates/standins/src/plain.rs
+++ b/crates/standins/src/plain.rs
@@ -26,7 +26,7 @@
 use crate::server::Call;
 use crate::server::RunningServer;
 use crate::server::Service;
-use crate::server::Shared;
+use crate::server::SharedState;
 
 /// Starts the stand-in.
 ///
@@ -51,20 +51,20 @@
     waiting: Cell<usize>,
 }
 
-/// Counts a request as running or waiting until it is dropped.
-struct Counted<'a> {
+/// Counts a request as running or waiting until this guard is dropped.
+struct CountGuard<'a> {
     plain: &'a Plain,
     counter: &'a Cell<usize>,
 }
 
-/// A run whose caller may go at any time.
+/// A run in progress, recorded as cancelled if dropped, as when its caller disconnects.
 struct OpenRun<'a> {
     core: &'a EndpointCore,
     run_id: u64,
 }
 
 impl Plain {
-    fn new(config: &PlainConfig, shared: Rc<Shared>) -> io::Result<Self> {
+    fn new(config: &PlainConfig, shared: Rc<SharedState>) -> io::Result<Self> {
         Ok(Self {
             core: EndpointCore::new(&config.endpoint, shared)?,
             service_time: config.service_time(),
@@ -84,7 +84,7 @@
         let permit = self.slots.acquire().await;
         drop(waiting);
         let _running = self.count(&self.running);
-        // The side effect happens here; a caller who goes later does not undo it.
+        // The side effect happens here; a caller that disconnects later does not undo it.
         let run = self.start(call, arrived_at_ms);
         tokio::time::sleep(self.service_time).await;
         let charged_tokens = answer::plain_charged_tokens(&call.path, &call.body);
@@ -97,17 +97,18 @@
         answer
     }
 
-    fn count<'a>(&'a self, counter: &'a Cell<usize>) -> Counted<'a> {
+    fn count<'a>(&'a self, counter: &'a Cell<usize>) -> CountGuard<'a> {
         counter.set(counter.get() + 1);
-        self.note_load();
-        Counted {
+        self.record_load();
+        CountGuard {
             plain: self,
             counter,
         }
     }
 
-    fn note_load(&self) {
-        self.core.note_load(self.running.get(), self.waiting.get());
+    fn record_load(&self) {
+        self.core
+            .record_load(self.running.get(), self.waiting.get());
     }
 
     fn start(&self, call: &Call, arrived_at_ms: f64) -> OpenRun<'_> {
@@ -132,16 +133,16 @@
 
 impl Drop for OpenRun<'_> {
     fn drop(&mut self) {
-        // Does nothing after `finish`: a run ends once.
+        // Does nothing after `finish`, because a run ends only once.
         let mut ledger = self.core.ledger.borrow_mut();
         ledger.end(self.run_id, RunOutcome::Cancelled, 0);
     }
 }
 
-impl Drop for Counted<'_> {
+impl Drop for CountGuard<'_> {
     fn drop(&mut self) {
         self.counter.set(self.counter.get() - 1);
-        self.plain.note_load();
+        self.plain.record_load();
     }
 }
 
@@ -157,7 +158,8 @@
     }
 
     fn crash(&self, call: &Call) {
-        // The run stays open in the ledger until the next line ends it as crashed.
+        // `forget` skips the drop, which would record the run as cancelled; `Ledger::crash` then
+        // records it as crashed.
         std::mem::forget(self.start(call, unix_ms()));
         self.core.ledger.borrow_mut().crash();
     }
--- a/crates/standins/src/prefix_cache.rs
+++ b/crates/standins/src/prefix_cache.rs
@@ -1,4 +1,4 @@
-//! A bounded cache of prompt prefixes that forgets the least recently used first.
+//! A bounded cache of prompt prefixes that evicts the least recently used first.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -12,14 +12,14 @@
     pub length_tokens: u64,
 }
 
-/// Prefixes held in limited memory, measured in tokens.
+/// An LRU cache of prefixes whose capacity is measured in tokens.
 #[derive(Debug)]
 pub struct PrefixCache {
     capacity_tokens: u64,
     held_tokens: u64,
-    uses: u64,
+    use_count: u64,
     entries: HashMap<u64, Entry>,
-    by_use: BTreeMap<u64, u64>,
+    keys_by_last_use: BTreeMap<u64, u64>,
 }
 
 #[derive(Debug)]
@@ -29,48 +29,51 @@
 }
 
 impl PrefixCache {
-    /// Makes an empty cache.
+    /// Creates an empty cache.
     pub fn new(capacity_tokens: u64) -> Self {
         Self {
             capacity_tokens,
             held_tokens: 0,
-            uses: 0,
+            use_count: 0,
             entries: HashMap::new(),
-            by_use: BTreeMap::new(),
+            keys_by_last_use: BTreeMap::new(),
         }
     }
 
-    /// Returns the length of the longest cached prefix, and caches all prefixes of the prompt.
-    /// They are given shortest first.
+    /// Returns the length of the longest cached prefix and caches all prefixes of the prompt, which
+    /// are given shortest first.
     pub fn use_prompt(&mut self, prefixes: &[Prefix]) -> u64 {
         let cached = prefixes
             .iter()
             .take_while(|prefix| self.entries.contains_key(&prefix.key))
             .last()
             .map_or(0, |prefix| prefix.length_tokens);
-        // The longest goes in first, so that the shortest, which most prompts share, is the last
-        // one to be evicted.
+        // Touched from the longest to the shortest, so that the shortest, which most prompts share,
+        // is evicted last.
         for index in (0..prefixes.len()).rev() {
-            let before = index
+            let shorter_tokens = index
                 .checked_sub(1)
                 .map_or(0, |i| prefixes[i].length_tokens);
-            self.touch(prefixes[index].key, prefixes[index].length_tokens - before);
+            self.touch(
+                prefixes[index].key,
+                prefixes[index].length_tokens - shorter_tokens,
+            );
         }
         self.evict();
         cached
     }
 
-    /// Tokens held now.
+    /// Number of tokens in the cache.
     pub fn held_tokens(&self) -> u64 {
         self.held_tokens
     }
 
     fn touch(&mut self, key: u64, own_tokens: u64) {
-        self.uses += 1;
-        let last_use = self.uses;
+        self.use_count += 1;
+        let last_use = self.use_count;
         match self.entries.get_mut(&key) {
             Some(entry) => {
-                self.by_use.remove(&entry.last_use);
+                self.keys_by_last_use.remove(&entry.last_use);
                 entry.last_use = last_use;
             }
             None => {
@@ -82,12 +85,12 @@
                 self.entries.insert(key, entry);
             }
         }
-        self.by_use.insert(last_use, key);
+        self.keys_by_last_use.insert(last_use, key);
     }
 
     fn evict(&mut self) {
         while self.held_tokens > self.capacity_tokens {
-            let Some((_, key)) = self.by_use.pop_first() else {
+            let Some((_, key)) = self.keys_by_last_use.pop_first() else {
                 return;
             };
             if let Some(entry) = self.entries.remove(&key) {
--- a/crates/standins/src/refusal.rs
+++ b/crates/standins/src/refusal.rs
@@ -1,4 +1,4 @@
-//! Why a platform service refuses a call.
+//! Refusals of calls by the platform services.
 
 use std::cell::RefCell;
 
@@ -9,19 +9,19 @@
 use crate::reply;
 use crate::reply::Reply;
 use crate::server::Call;
-use crate::server::Shared;
+use crate::server::SharedState;
 
-/// A refused call.
+/// Why a call is refused.
 #[derive(Debug)]
 pub enum Refusal {
-    /// The body is not what the call takes.
+    /// The body is not valid JSON for the call.
     Malformed(serde_json::Error),
     /// The rate limit is reached.
     RateLimited {
-        /// When to come back.
+        /// Time after which to retry.
         retry_after_s: u64,
     },
-    /// Nothing is there.
+    /// The path or object does not exist.
     NotFound,
 }
 
@@ -35,15 +35,15 @@
     }
 }
 
-/// Reads the JSON body of a call.
+/// Parses the JSON body of a call.
 pub fn parse<T: DeserializeOwned>(call: &Call) -> Result<T, Refusal> {
     serde_json::from_slice(&call.body).map_err(Refusal::Malformed)
 }
 
-/// Takes a permit of the rate limit.
-pub fn permit(limit: &RefCell<RateLimit>, shared: &Shared) -> Result<(), Refusal> {
+/// Takes a permit or refuses the call.
+pub fn permit(limit: &RefCell<RateLimit>, shared: &SharedState) -> Result<(), Refusal> {
     let mut limit = limit.borrow_mut();
-    if limit.take(shared.now()) {
+    if limit.try_take(shared.now()) {
         Ok(())
     } else {
         Err(Refusal::RateLimited {
--- a/crates/standins/src/relay.rs
+++ b/crates/standins/src/relay.rs
@@ -1,7 +1,8 @@
-//! `relay`: a relay that stands for a network link and can delay, cut, block or silence it.
+//! `relay`: a TCP and UDP relay that simulates a network link and can delay, cut, block or silence
+//! it.
 //!
-//! It uses threads and not the runtime of the other stand-ins, because link delays of half a
-//! millisecond are below the resolution of that runtime's timers.
+//! It uses threads instead of the async runtime of the other stand-ins, because link delays of half
+//! a millisecond are below the resolution of that runtime's timers.
 
 use std::io;
 use std::io::Read;
@@ -33,14 +34,15 @@
 use crate::server::Service;
 use crate::shared_port;
 
-/// Pieces on their way in one direction of a connection; more is left to the sender's TCP.
-const PIECES_ON_THE_WAY: usize = 256;
-/// Largest piece that is passed on at once.
-const PIECE_BYTES: usize = 16 * 1024;
-/// Pause after a failed accept, so that a lack of descriptors does not turn into a busy loop.
+/// Maximum number of chunks in flight in one direction of a connection. When it is reached, the
+/// relay stops reading and TCP slows the sender down.
+const MAX_CHUNKS_IN_FLIGHT: usize = 256;
+/// Maximum size of a chunk.
+const MAX_CHUNK_BYTES: usize = 16 * 1024;
+/// Pause after a failed accept, so that running out of file descriptors does not cause a busy loop.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
 
-/// A relay that runs; it stops when this value is dropped.
+/// A running relay, which stops when this value is dropped.
 #[derive(Debug)]
 pub struct Relay {
     address: SocketAddr,
@@ -48,7 +50,7 @@
     state: Arc<RelayState>,
 }
 
-/// Bytes and the time when they leave the relay.
+/// Bytes and the time at which the relay forwards them.
 struct Chunk {
     due: Instant,
     bytes: Vec<u8>,
@@ -90,7 +92,7 @@
         self.address
     }
 
-    /// The server that takes orders.
+    /// The server that accepts orders.
     pub fn control(&self) -> &RunningServer {
         &self.control
     }
@@ -99,7 +101,7 @@
 impl Drop for Relay {
     fn drop(&mut self) {
         self.state.stop();
-        // Wakes the thread that accepts; when it fails, that thread ends with the process.
+        // Wakes the accepting thread; if this fails, that thread ends with the process.
         let _ = TcpStream::connect(self.address);
     }
 }
@@ -121,7 +123,7 @@
     fn control(&self, body: &[u8]) -> Option<Reply> {
         let answer = match serde_json::from_slice::<RelayOrder>(body) {
             Ok(order) => {
-                self.state.obey(&order);
+                self.state.apply(&order);
                 reply::text(StatusCode::OK, "done")
             }
             Err(error) => Refusal::Malformed(error).into(),
@@ -137,9 +139,9 @@
             return;
         }
         match accepted {
-            Ok((near, _)) if !state.refuses() => {
+            Ok((client, _)) if !state.is_cut() => {
                 let state = Arc::clone(state);
-                thread::spawn(move || relay(near, to, &state));
+                thread::spawn(move || relay(client, to, &state));
             }
             // Dropping the stream closes it.
             Ok(_) => {}
@@ -148,22 +150,22 @@
     }
 }
 
-fn relay(near: TcpStream, to: SocketAddr, state: &Arc<RelayState>) {
-    let Ok(far) = TcpStream::connect(to) else {
+fn relay(client: TcpStream, to: SocketAddr, state: &Arc<RelayState>) {
+    let Ok(upstream) = TcpStream::connect(to) else {
         return;
     };
-    if let Err(error) = start_pumps(near, far, state) {
+    if let Err(error) = start_pumps(client, upstream, state) {
         eprintln!("relay: {error}");
     }
 }
 
-fn start_pumps(near: TcpStream, far: TcpStream, state: &Arc<RelayState>) -> io::Result<()> {
-    near.set_nodelay(true)?;
-    far.set_nodelay(true)?;
-    let id = state.register(near.try_clone()?, far.try_clone()?);
-    let forth = start_pump(near.try_clone()?, far.try_clone()?, id, state)?;
-    let back = start_pump(far, near, id, state)?;
-    for writer in [forth, back] {
+fn start_pumps(client: TcpStream, upstream: TcpStream, state: &Arc<RelayState>) -> io::Result<()> {
+    client.set_nodelay(true)?;
+    upstream.set_nodelay(true)?;
+    let id = state.register(client.try_clone()?, upstream.try_clone()?);
+    let to_upstream = start_pump(client.try_clone()?, upstream.try_clone()?, id, state)?;
+    let to_client = start_pump(upstream, client, id, state)?;
+    for writer in [to_upstream, to_client] {
         if writer.join().is_err() {
             eprintln!("relay: a connection ended by a panic");
         }
@@ -178,39 +180,39 @@
     id: u64,
     state: &Arc<RelayState>,
 ) -> io::Result<thread::JoinHandle<()>> {
-    let (sender, receiver) = sync_channel(PIECES_ON_THE_WAY);
+    let (sender, receiver) = sync_channel(MAX_CHUNKS_IN_FLIGHT);
     let reading = Arc::clone(state);
     let writing = Arc::clone(state);
     thread::Builder::new().spawn(move || read(from, &sender, &reading))?;
     thread::Builder::new().spawn(move || write(&receiver, to, id, &writing))
 }
 
-fn read(mut from: TcpStream, pieces: &SyncSender<Chunk>, state: &RelayState) {
-    let mut buffer = [0; PIECE_BYTES];
+fn read(mut from: TcpStream, chunks: &SyncSender<Chunk>, state: &RelayState) {
+    let mut buffer = [0; MAX_CHUNK_BYTES];
     loop {
-        // An error ends the connection like an orderly close does.
+        // A read error ends the connection like an orderly close.
         let size = from.read(&mut buffer).unwrap_or(0);
         if size == 0 {
             return;
         }
-        let piece = Chunk {
+        let chunk = Chunk {
             due: Instant::now() + state.delay(),
             bytes: buffer[..size].to_vec(),
         };
-        if pieces.send(piece).is_err() {
+        if chunks.send(chunk).is_err() {
             return;
         }
     }
 }
 
-fn write(pieces: &Receiver<Chunk>, mut to: TcpStream, id: u64, state: &RelayState) {
-    while let Ok(piece) = pieces.recv() {
-        thread::sleep(piece.due.saturating_duration_since(Instant::now()));
+fn write(chunks: &Receiver<Chunk>, mut to: TcpStream, id: u64, state: &RelayState) {
+    while let Ok(chunk) = chunks.recv() {
+        thread::sleep(chunk.due.saturating_duration_since(Instant::now()));
         state.wait_while_blocked();
         if state.is_silent(id) {
             continue;
         }
-        if to.write_all(&piece.bytes).is_err() {
+        if to.write_all(&chunk.bytes).is_err() {
             break;
         }
     }
@@ -218,6 +220,6 @@
     if state.is_silent(id) {
         state.wait_for_stop();
     }
-    // Fails only when the connection is gone already.
+    // Fails only if the connection is already closed.
     let _ = to.shutdown(Shutdown::Both);
 }
--- a/crates/standins/src/relay_datagrams.rs
+++ b/crates/standins/src/relay_datagrams.rs
@@ -1,7 +1,7 @@
-//! The datagram side of a relay: datagrams to the same port go the same way as connections.
+//! Relays datagrams that arrive on the port of a relay to the same target as connections.
 //!
-//! Datagrams travel one way. A receiver that answers sends to the address that it knows of its
-//! peer, which is another relay's.
+//! Datagrams are forwarded in one direction only. A receiver sends its answers to the address that
+//! it knows for its peer, which belongs to another relay.
 
 use std::io;
 use std::net::SocketAddr;
@@ -16,24 +16,24 @@
 
 use crate::relay_state::RelayState;
 
-/// Datagrams on their way; more are dropped, as a full link drops them.
-const DATAGRAMS_ON_THE_WAY: usize = 1024;
-/// Largest datagram.
-const DATAGRAM_BYTES: usize = 64 * 1024;
-/// How often a waiting reader looks whether the relay stops.
-const STOP_POLL: Duration = Duration::from_millis(200);
+/// Maximum number of datagrams in flight; further ones are dropped, as a congested link does.
+const MAX_DATAGRAMS_IN_FLIGHT: usize = 1024;
+/// Maximum size of a datagram.
+const MAX_DATAGRAM_BYTES: usize = 64 * 1024;
+/// Interval at which a waiting reader checks whether the relay stops.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// A datagram and the time when it leaves the relay.
+/// A datagram and the time at which the relay forwards it.
 struct Datagram {
     due: Instant,
     bytes: Vec<u8>,
 }
 
-/// Starts the threads that pass datagrams on.
+/// Starts the threads that forward datagrams.
 pub fn spawn(socket: UdpSocket, to: SocketAddr, state: &Arc<RelayState>) -> io::Result<()> {
-    socket.set_read_timeout(Some(STOP_POLL))?;
+    socket.set_read_timeout(Some(STOP_POLL_INTERVAL))?;
     let sending = socket.try_clone()?;
-    let (sender, receiver) = sync_channel(DATAGRAMS_ON_THE_WAY);
+    let (sender, receiver) = sync_channel(MAX_DATAGRAMS_IN_FLIGHT);
     let reading = Arc::clone(state);
     thread::Builder::new()
         .name("relay-datagrams".into())
@@ -45,19 +45,19 @@
 }
 
 fn read(socket: &UdpSocket, datagrams: &SyncSender<Datagram>, state: &RelayState) {
-    let mut buffer = vec![0; DATAGRAM_BYTES];
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     while !state.is_stopping() {
         let Ok((size, _)) = socket.recv_from(&mut buffer) else {
             continue;
         };
-        if state.loses_datagrams() {
+        if state.drops_datagrams() {
             continue;
         }
         let datagram = Datagram {
             due: Instant::now() + state.delay(),
             bytes: buffer[..size].to_vec(),
         };
-        // A full ring loses the datagram.
+        // A full queue drops the datagram.
         let _ = datagrams.try_send(datagram);
     }
 }
@@ -65,7 +65,7 @@
 fn write(datagrams: &Receiver<Datagram>, socket: &UdpSocket, to: SocketAddr) {
     while let Ok(datagram) = datagrams.recv() {
         thread::sleep(datagram.due.saturating_duration_since(Instant::now()));
-        // A target that is down loses the datagram.
+        // The datagram is lost if the target is down.
         let _ = socket.send_to(&datagram.bytes, to);
     }
 }
--- a/crates/standins/src/relay_state.rs
+++ b/crates/standins/src/relay_state.rs
@@ -1,4 +1,4 @@
-//! What a relay has been ordered to do with its connections.
+//! Orders in force and open connections of a relay.
 
 use std::collections::HashMap;
 use std::net::Shutdown;
@@ -12,26 +12,26 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-/// An order to a relay, as its `POST /control` takes it.
+/// An order to a relay, the body of `POST /control`.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "link", rename_all = "snake_case", deny_unknown_fields)]
 pub enum RelayOrder {
-    /// Delay each byte from now on, one way.
+    /// Delay each byte that arrives from now on, in each direction.
     Delay {
-        /// The delay.
+        /// The one-way delay.
         delay_ms: f64,
     },
-    /// Close all connections and new ones at once, and lose datagrams, until healed.
+    /// Close all open connections, close new ones at once, and drop datagrams, until healed.
     Cut,
-    /// Hold all bytes back, and lose datagrams, until healed.
+    /// Hold back all bytes and drop datagrams, until healed.
     Block,
-    /// Swallow all bytes of the connections that are open now; new ones work.
+    /// Discard all bytes of the open connections without closing them; new ones work.
     Silence,
     /// End a cut or a block. Silent connections stay silent.
     Heal,
 }
 
-/// Orders in force and open connections.
+/// State that the threads of a relay share.
 #[derive(Debug)]
 pub struct RelayState {
     inner: Mutex<Inner>,
@@ -41,77 +41,77 @@
 #[derive(Debug, Default)]
 struct Inner {
     delay: Duration,
-    cut: bool,
-    blocked: bool,
-    stopping: bool,
-    next_id: u64,
+    is_cut: bool,
+    is_blocked: bool,
+    is_stopping: bool,
+    next_connection_id: u64,
     connections: HashMap<u64, Connection>,
 }
 
 #[derive(Debug)]
 struct Connection {
-    near: TcpStream,
-    far: TcpStream,
-    silent: bool,
+    client: TcpStream,
+    upstream: TcpStream,
+    is_silent: bool,
 }
 
 impl RelayState {
-    /// Starts with a delay and no other order.
+    /// Creates the state with a delay and no other order in force.
     pub fn new(delay_ms: f64) -> Self {
         Self {
             inner: Mutex::new(Inner {
-                delay: delay(delay_ms),
+                delay: delay_from_ms(delay_ms),
                 ..Inner::default()
             }),
             changed: Condvar::new(),
         }
     }
 
-    /// Obeys an order.
-    pub fn obey(&self, order: &RelayOrder) {
+    /// Applies an order.
+    pub fn apply(&self, order: &RelayOrder) {
         let mut inner = self.lock();
         match order {
-            RelayOrder::Delay { delay_ms } => inner.delay = delay(*delay_ms),
+            RelayOrder::Delay { delay_ms } => inner.delay = delay_from_ms(*delay_ms),
             RelayOrder::Cut => {
-                inner.cut = true;
+                inner.is_cut = true;
                 inner.close_all();
             }
-            RelayOrder::Block => inner.blocked = true,
+            RelayOrder::Block => inner.is_blocked = true,
             RelayOrder::Silence => {
                 for connection in inner.connections.values_mut() {
-                    connection.silent = true;
+                    connection.is_silent = true;
                 }
             }
             RelayOrder::Heal => {
-                inner.cut = false;
-                inner.blocked = false;
+                inner.is_cut = false;
+                inner.is_blocked = false;
             }
         }
         self.changed.notify_all();
     }
 
-    /// Ends all connections and waits.
+    /// Stops the relay: closes all connections and wakes all waiting threads.
     pub fn stop(&self) {
         let mut inner = self.lock();
-        inner.stopping = true;
+        inner.is_stopping = true;
         inner.close_all();
         self.changed.notify_all();
     }
 
-    /// Whether the relay stops.
+    /// Whether the relay is stopping.
     pub fn is_stopping(&self) -> bool {
-        self.lock().stopping
+        self.lock().is_stopping
     }
 
-    /// Whether new connections are closed at once.
-    pub fn refuses(&self) -> bool {
-        self.lock().cut
+    /// Whether a cut is in force, in which new connections are closed at once.
+    pub fn is_cut(&self) -> bool {
+        self.lock().is_cut
     }
 
-    /// Whether datagrams that arrive now are lost.
-    pub fn loses_datagrams(&self) -> bool {
+    /// Whether datagrams that arrive now are dropped.
+    pub fn drops_datagrams(&self) -> bool {
         let inner = self.lock();
-        inner.cut || inner.blocked
+        inner.is_cut || inner.is_blocked
     }
 
     /// The delay of bytes that arrive now.
@@ -119,44 +119,47 @@
         self.lock().delay
     }
 
-    /// Takes note of a connection and names it.
-    pub fn register(&self, near: TcpStream, far: TcpStream) -> u64 {
+    /// Registers a connection and returns its id.
+    pub fn register(&self, client: TcpStream, upstream: TcpStream) -> u64 {
         let mut inner = self.lock();
-        let id = inner.next_id;
-        inner.next_id += 1;
+        let id = inner.next_connection_id;
+        inner.next_connection_id += 1;
         let connection = Connection {
-            near,
-            far,
-            silent: false,
+            client,
+            upstream,
+            is_silent: false,
         };
         inner.connections.insert(id, connection);
         id
     }
 
-    /// Forgets a connection that has ended.
+    /// Removes a connection that has ended.
     pub fn forget(&self, id: u64) {
         self.lock().connections.remove(&id);
     }
 
-    /// Whether the connection was told to go silent.
+    /// Whether an order silenced the connection.
     pub fn is_silent(&self, id: u64) -> bool {
         let inner = self.lock();
-        inner.connections.get(&id).is_some_and(|open| open.silent)
+        inner
+            .connections
+            .get(&id)
+            .is_some_and(|open| open.is_silent)
     }
 
     /// Waits until no block is in force.
     pub fn wait_while_blocked(&self) {
-        self.wait_while(|inner| inner.blocked && !inner.stopping);
+        self.wait_while(|inner| inner.is_blocked && !inner.is_stopping);
     }
 
     /// Waits until the relay stops.
     pub fn wait_for_stop(&self) {
-        self.wait_while(|inner| !inner.stopping);
+        self.wait_while(|inner| !inner.is_stopping);
     }
 
-    fn wait_while(&self, holds: impl Fn(&Inner) -> bool) {
+    fn wait_while(&self, condition: impl Fn(&Inner) -> bool) {
         let mut inner = self.lock();
-        while holds(&inner) {
+        while condition(&inner) {
             inner = self
                 .changed
                 .wait(inner)
@@ -165,7 +168,8 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, Inner> {
-        // Every change is a single step, so that a panic elsewhere leaves nothing half done.
+        // Every change is a single step, so a panic while the lock is held leaves a consistent
+        // state.
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
@@ -173,13 +177,13 @@
 impl Inner {
     fn close_all(&self) {
         for connection in self.connections.values() {
-            // Fails only when the connection is gone already.
-            let _ = connection.near.shutdown(Shutdown::Both);
-            let _ = connection.far.shutdown(Shutdown::Both);
+            // Fails only if the connection is already closed.
+            let _ = connection.client.shutdown(Shutdown::Both);
+            let _ = connection.upstream.shutdown(Shutdown::Both);
         }
     }
 }
 
-fn delay(delay_ms: f64) -> Duration {
+fn delay_from_ms(delay_ms: f64) -> Duration {
     Duration::try_from_secs_f64(delay_ms / 1e3).unwrap_or(Duration::ZERO)
 }
--- a/crates/standins/src/reply.rs
+++ b/crates/standins/src/reply.rs
@@ -1,4 +1,4 @@
-//! Answers of a stand-in: whole ones and streams.
+//! Builds the HTTP answers of a stand-in, whole and streamed.
 
 use std::convert::Infallible;
 use std::pin::Pin;
@@ -39,14 +39,15 @@
 pub enum ReplyBody {
     /// A whole body.
     Whole(Option<Bytes>),
-    /// A body that is made while it is sent.
+    /// A body that is generated while it is sent.
     Stream(ChunkStream),
 }
 
-/// A body that is made while it is sent. Its sender sees when the caller has gone.
+/// A body that is generated while it is sent. The sender of its chunks can detect that the caller
+/// has disconnected.
 #[derive(Debug)]
 pub struct ChunkStream {
-    pieces: UnboundedReceiver<BodyChunk>,
+    chunks: UnboundedReceiver<BodyChunk>,
     break_after: Option<(u64, Rc<Link>)>,
 }
 
@@ -60,7 +61,7 @@
     ) -> Poll<Option<Result<Frame<Bytes>, Infallible>>> {
         match self.get_mut() {
             Self::Whole(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
-            Self::Stream(stream) => stream.poll_piece(context),
+            Self::Stream(stream) => stream.poll_chunk(context),
         }
     }
 
@@ -79,7 +80,7 @@
 }
 
 impl ChunkStream {
-    fn poll_piece(
+    fn poll_chunk(
         &mut self,
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Infallible>>> {
@@ -87,11 +88,11 @@
             link.close();
             return Poll::Pending;
         }
-        match self.pieces.poll_recv(context) {
+        match self.chunks.poll_recv(context) {
             Poll::Pending => Poll::Pending,
             Poll::Ready(Some(BodyChunk::Data(bytes))) => {
-                if let Some((left, _)) = &mut self.break_after {
-                    *left -= 1;
+                if let Some((remaining, _)) = &mut self.break_after {
+                    *remaining -= 1;
                 }
                 Poll::Ready(Some(Ok(Frame::data(bytes))))
             }
@@ -100,17 +101,17 @@
     }
 }
 
-/// Makes a streamed answer; it breaks off with its connection after the given number of pieces.
-pub fn stream(pieces: UnboundedReceiver<BodyChunk>, break_after: Option<(u64, Rc<Link>)>) -> Reply {
+/// Builds a streamed answer; `break_after` closes the connection after a number of chunks.
+pub fn stream(chunks: UnboundedReceiver<BodyChunk>, break_after: Option<(u64, Rc<Link>)>) -> Reply {
     let mut reply = Response::new(ReplyBody::Stream(ChunkStream {
-        pieces,
+        chunks,
         break_after,
     }));
     set(&mut reply, CONTENT_TYPE, "text/event-stream");
     reply
 }
 
-/// Makes a whole answer.
+/// Builds a whole answer.
 pub fn whole(status: StatusCode, content_type: &str, bytes: impl Into<Bytes>) -> Reply {
     let bytes = bytes.into();
     let body = (!bytes.is_empty()).then_some(bytes);
@@ -120,7 +121,7 @@
     reply
 }
 
-/// Makes a JSON answer.
+/// Builds a JSON answer.
 pub fn json(status: StatusCode, value: &impl Serialize) -> Reply {
     match serde_json::to_vec(value) {
         Ok(bytes) => whole(status, "application/json", bytes),
@@ -128,12 +129,12 @@
     }
 }
 
-/// Makes a plain text answer.
+/// Builds a plain text answer.
 pub fn text(status: StatusCode, text: &str) -> Reply {
     whole(status, "text/plain", format!("{text}\n"))
 }
 
-/// Refuses a request before it was started.
+/// Refuses a request that has not started.
 pub fn not_started(reason: &str) -> Reply {
     let mut reply = text(StatusCode::SERVICE_UNAVAILABLE, reason);
     set(
@@ -151,7 +152,7 @@
     reply
 }
 
-/// Sets a header; a value that no header can carry is left out.
+/// Sets a header; a value that is not valid in a header is skipped.
 pub fn set(reply: &mut Reply, name: HeaderName, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
         reply.headers_mut().insert(name, value);
--- a/crates/standins/src/server.rs
+++ b/crates/standins/src/server.rs
@@ -1,8 +1,8 @@
-//! The HTTP server that all stand-ins share, with the orders to misbehave built in.
+//! The HTTP server of all stand-ins, with fault injection.
 //!
-//! It runs on one thread. hyper takes the place of tiny_http here: tiny_http can neither close a
-//! connection on order nor tell that a caller has gone, and a burst of new connections leaves some
-//! of them without a thread.
+//! It runs on one thread. It uses hyper instead of tiny_http, because tiny_http can neither close a
+//! connection on order nor detect that a caller has disconnected, and in a burst of new connections
+//! it leaves some of them without a thread.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -37,17 +37,17 @@
 
 use crate::control;
 use crate::control::CONTROL_PATH;
+use crate::faults::FaultPlan;
 use crate::faults::Faults;
-use crate::faults::Plan;
 use crate::link::Link;
 use crate::link::LinkStream;
 use crate::reply;
 use crate::reply::Reply;
 use crate::reply::ReplyBody;
 
-/// Exit code of a process that crashes on order.
+/// Exit code of a process that a `crash` order ends.
 pub const CRASH_EXIT_CODE: i32 = 70;
-/// Pause after a failed accept, so that a lack of descriptors does not turn into a busy loop.
+/// Pause after a failed accept, so that running out of file descriptors does not cause a busy loop.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
 
 /// One call to a stand-in.
@@ -63,55 +63,55 @@
     pub headers: HeaderMap,
     /// The whole body.
     pub body: Bytes,
-    /// The connection.
+    /// Handle of the connection that the call came on.
     pub link: Rc<Link>,
-    /// What goes wrong with this call.
-    pub plan: Plan,
+    /// Faults to inject into this call.
+    pub plan: FaultPlan,
 }
 
 impl Call {
-    /// The text of a header, if there is one.
+    /// The text of a header; `None` if it is absent or not visible ASCII.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name)?.to_str().ok()
     }
 
-    /// The number in a header, if there is one.
+    /// The number in a header; `None` if it is absent or not a number.
     pub fn header_number(&self, name: &str) -> Option<u64> {
         self.header(name)?.trim().parse().ok()
     }
 }
 
-/// What a stand-in does with a call.
+/// The behaviour of a stand-in.
 pub trait Service: 'static {
     /// Answers a call.
     fn call(&self, call: &Call) -> impl Future<Output = Reply>;
 
-    /// Takes an order of its own from `POST /control`; `None` leaves it to the common ones.
+    /// Handles a body sent to `/control`; `None` passes the call on to the common fault orders.
     fn control(&self, _body: &[u8]) -> Option<Reply> {
         None
     }
 
-    /// Records the crash that this call causes; the process ends right after.
+    /// Records the crash that this call causes; the process exits right afterwards.
     fn crash(&self, _call: &Call) {}
 }
 
-/// What all parts of one stand-in share.
+/// State that all parts of one stand-in share.
 #[derive(Debug)]
-pub struct Shared {
+pub struct SharedState {
     started_at: Instant,
-    /// Orders to misbehave.
+    /// Fault orders in force.
     pub faults: RefCell<Faults>,
     links: RefCell<Vec<Weak<Link>>>,
-    crashed: Cell<bool>,
+    is_crashing: Cell<bool>,
 }
 
-impl Shared {
+impl SharedState {
     fn new() -> Self {
         Self {
             started_at: Instant::now(),
             faults: RefCell::default(),
             links: RefCell::default(),
-            crashed: Cell::new(false),
+            is_crashing: Cell::new(false),
         }
     }
 
@@ -125,7 +125,7 @@
         tokio::time::Instant::from_std(self.started_at + at)
     }
 
-    /// Open connections but the given one.
+    /// Returns the open connections except the given one.
     pub fn other_links(&self, own: &Rc<Link>) -> Vec<Rc<Link>> {
         self.links
             .borrow()
@@ -144,7 +144,7 @@
     }
 }
 
-/// A stand-in that runs on a thread of its own; it stops when this value is dropped.
+/// A stand-in that runs on its own thread and stops when this value is dropped.
 #[derive(Debug)]
 pub struct RunningServer {
     address: SocketAddr,
@@ -158,7 +158,7 @@
         self.address
     }
 
-    /// A URL on it.
+    /// Returns the URL of a path on it.
     pub fn url(&self, path: &str) -> String {
         format!("http://{}{path}", self.address)
     }
@@ -170,16 +170,16 @@
         if let Some(thread) = self.thread.take()
             && thread.join().is_err()
         {
-            eprintln!("a stand-in ended by a panic");
+            eprintln!("the thread of a stand-in panicked");
         }
     }
 }
 
-/// Starts a stand-in on a thread of its own. `build` runs on that thread.
+/// Starts a stand-in on its own thread, which also runs `build`.
 pub fn spawn<S, B>(listen: SocketAddr, build: B) -> io::Result<RunningServer>
 where
     S: Service,
-    B: FnOnce(Rc<Shared>) -> io::Result<S> + Send + 'static,
+    B: FnOnce(Rc<SharedState>) -> io::Result<S> + Send + 'static,
 {
     let (stop, stopped) = oneshot::channel();
     let (started, start) = mpsc::channel();
@@ -188,7 +188,7 @@
         .spawn(move || {
             let failed = started.clone();
             if let Err(error) = block_on(serve_until(stopped, listen, build, started)) {
-                // Reaches the starter if it still waits; afterwards there is no such error.
+                // `spawn` still waits for this; there are no errors after the start.
                 let _ = failed.send(Err(error));
             }
         })?;
@@ -210,16 +210,16 @@
 ) -> io::Result<()>
 where
     S: Service,
-    B: FnOnce(Rc<Shared>) -> io::Result<S>,
+    B: FnOnce(Rc<SharedState>) -> io::Result<S>,
 {
     let listener = TcpListener::bind(listen).await?;
     let address = listener.local_addr()?;
-    let shared = Rc::new(Shared::new());
+    let shared = Rc::new(SharedState::new());
     let service = Rc::new(build(Rc::clone(&shared))?);
     let accepting = spawn_local(accept(listener, shared, service));
-    // The starter waits for exactly this.
+    // `spawn` waits for this message.
     let _ = started.send(Ok(address));
-    // Ends with an error when the handle is dropped, which is the signal.
+    // Dropping the handle drops the sender, which ends this wait with an error.
     let _ = stopped.await;
     accepting.abort();
     Ok(())
@@ -232,7 +232,7 @@
     LocalSet::new().block_on(&runtime, task)
 }
 
-async fn accept<S: Service>(listener: TcpListener, shared: Rc<Shared>, service: Rc<S>) {
+async fn accept<S: Service>(listener: TcpListener, shared: Rc<SharedState>, service: Rc<S>) {
     loop {
         let Ok((tcp, _)) = listener.accept().await else {
             tokio::time::sleep(ACCEPT_PAUSE).await;
@@ -242,8 +242,8 @@
     }
 }
 
-async fn serve<S: Service>(tcp: TcpStream, shared: Rc<Shared>, service: Rc<S>) {
-    // Without this each event would wait for the acknowledgement of the one before.
+async fn serve<S: Service>(tcp: TcpStream, shared: Rc<SharedState>, service: Rc<S>) {
+    // With Nagle's algorithm each event would wait for the acknowledgement of the previous one.
     if tcp.set_nodelay(true).is_err() {
         return;
     }
@@ -257,14 +257,14 @@
     });
     let connection = http1::Builder::new().serve_connection(stream, answer);
     tokio::select! {
-        // A connection ends by its caller as a rule; there is nobody to tell.
+        // Usually the caller ends the connection, so an error has no recipient.
         _ = connection => {}
         () = link.closed() => {}
     }
 }
 
 async fn respond<S: Service>(
-    shared: Rc<Shared>,
+    shared: Rc<SharedState>,
     service: Rc<S>,
     link: Rc<Link>,
     request: Request<Incoming>,
@@ -280,7 +280,7 @@
         headers: parts.headers,
         body: body.to_bytes(),
         link,
-        plan: Plan::default(),
+        plan: FaultPlan::default(),
     };
     if call.path == CONTROL_PATH {
         return service
@@ -293,38 +293,38 @@
             .borrow_mut()
             .plan(shared.now(), &call.path, &call.body);
     }
-    misbehave(&shared, &*service, &call).await
+    respond_with_faults(&shared, &*service, &call).await
 }
 
-async fn misbehave<S: Service>(shared: &Shared, service: &S, call: &Call) -> Reply {
+async fn respond_with_faults<S: Service>(shared: &SharedState, service: &S, call: &Call) -> Reply {
     let plan = &call.plan;
     if plan.close {
-        return close(call).await;
+        return close_connection(call).await;
     }
     if plan.outage {
         return reply::text(StatusCode::SERVICE_UNAVAILABLE, "outage");
     }
-    wait(plan.delay).await;
-    if plan.crash && !shared.crashed.replace(true) {
+    sleep_for(plan.start_delay).await;
+    if plan.crash && !shared.is_crashing.replace(true) {
         service.crash(call);
         std::process::exit(CRASH_EXIT_CODE);
     }
     let answer = service.call(call).await;
-    wait(plan.late).await;
+    sleep_for(plan.answer_delay).await;
     let is_whole = matches!(answer.body(), ReplyBody::Whole(_));
     match plan.drop_after_events {
-        Some(after_events) if is_whole || after_events == 0 => close(call).await,
+        Some(after_events) if is_whole || after_events == 0 => close_connection(call).await,
         _ => answer,
     }
 }
 
-async fn wait(time: Duration) {
+async fn sleep_for(time: Duration) {
     if !time.is_zero() {
         tokio::time::sleep(time).await;
     }
 }
 
-async fn close(call: &Call) -> Reply {
+async fn close_connection(call: &Call) -> Reply {
     call.link.close();
     pending().await
 }
--- a/crates/standins/src/shared_port.rs
+++ b/crates/standins/src/shared_port.rs
@@ -1,4 +1,4 @@
-//! Draws a port for connections and datagrams alike.
+//! Binds one port for both connections and datagrams.
 
 use std::io;
 use std::io::ErrorKind;
@@ -6,15 +6,16 @@
 use std::net::TcpListener;
 use std::net::UdpSocket;
 
-/// Ports that are drawn before the want of one is an error. A port that is free for connections is
-/// taken for datagrams in about one draw of a hundred beside some hundred processes.
-const MOST_DRAWS: u32 = 64;
+/// Maximum number of ports tried. With some hundred other processes, about one in a hundred ports
+/// that are free for connections is taken for datagrams.
+const MAX_BIND_ATTEMPTS: u32 = 64;
 
 /// Binds a listener and a datagram socket to the same address. With port 0 both get a port that is
 /// free for both.
 ///
-/// The kernel draws a port that is free for connections only. Another process may have it for
-/// datagrams; the relay then failed with "address in use", once in some hundred starts.
+/// For port 0 the kernel picks a port that is free for connections only. Another process may use it
+/// for datagrams. Without further attempts the relay failed with "address in use", once in some
+/// hundred starts.
 ///
 /// # Errors
 ///
@@ -26,17 +27,17 @@
 /// # Ok::<(), std::io::Error>(())
 /// ```
 pub fn bind(address: SocketAddr) -> io::Result<(TcpListener, UdpSocket)> {
-    let mut draws = 1;
+    let mut attempts = 1;
     loop {
         let listener = TcpListener::bind(address)?;
         match UdpSocket::bind(listener.local_addr()?) {
             Ok(socket) => return Ok((listener, socket)),
             Err(error) => {
-                let is_drawn = address.port() == 0 && error.kind() == ErrorKind::AddrInUse;
-                if !is_drawn || draws >= MOST_DRAWS {
+                let is_kernel_pick = address.port() == 0 && error.kind() == ErrorKind::AddrInUse;
+                if !is_kernel_pick || attempts >= MAX_BIND_ATTEMPTS {
                     return Err(error);
                 }
-                draws += 1;
+                attempts += 1;
             }
         }
     }
--- a/crates/standins/src/table.rs
+++ b/crates/standins/src/table.rs
@@ -21,7 +21,7 @@
 use crate::server::Call;
 use crate::server::RunningServer;
 use crate::server::Service;
-use crate::server::Shared;
+use crate::server::SharedState;
 use crate::table_store::TableStore;
 
 /// Starts the stand-in.
@@ -39,14 +39,14 @@
 
 #[derive(Debug)]
 struct Table {
-    shared: Rc<Shared>,
+    shared: Rc<SharedState>,
     store: RefCell<TableStore>,
     writes: RefCell<RateLimit>,
     reads: RefCell<RateLimit>,
 }
 
 impl Table {
-    fn new(config: &TableConfig, shared: Rc<Shared>) -> Self {
+    fn new(config: &TableConfig, shared: Rc<SharedState>) -> Self {
         Self {
             shared,
             store: RefCell::default(),
@@ -67,10 +67,10 @@
         let read = parse(call)?;
         permit(&self.reads, &self.shared)?;
         let store = self.store.borrow();
-        let answer = if call.plan.stale.is_zero() {
+        let answer = if call.plan.read_age.is_zero() {
             store.read(&read)
         } else {
-            let at = self.shared.now().saturating_sub(call.plan.stale);
+            let at = self.shared.now().saturating_sub(call.plan.read_age);
             store.read_as_of(at, &read)
         };
         Ok(reply::json(StatusCode::OK, &answer))
--- a/crates/standins/src/table_store.rs
+++ b/crates/standins/src/table_store.rs
@@ -11,31 +11,31 @@
 use sedgeridge_protocol::table::TransactRequest;
 use sedgeridge_protocol::table::VersionCheck;
 
-/// How long earlier rows are kept for stale reads.
-const HISTORY: Duration = Duration::from_secs(60);
+/// Retention of earlier rows for stale reads.
+const HISTORY_RETENTION: Duration = Duration::from_secs(60);
 
-/// All rows, with the earlier ones of the last minute.
+/// The current rows, and the rows replaced within the retention.
 #[derive(Debug, Default)]
 pub struct TableStore {
     rows: BTreeMap<String, Row>,
     version: u64,
-    replaced: VecDeque<Replaced>,
+    history: VecDeque<ReplacedRow>,
 }
 
-/// A row as it was before a write.
+/// A row as it was before a write, and the time of the write.
 #[derive(Debug)]
-struct Replaced {
+struct ReplacedRow {
     at: Duration,
     before: Row,
 }
 
 impl TableStore {
-    /// Runs a transaction: every condition is checked, then every write is made, or none is.
+    /// Runs a transaction: makes all writes if every version check passes, else none.
     pub fn transact(&mut self, now: Duration, transact: TransactRequest) -> TransactAnswer {
         let rows: Vec<Row> = transact
             .checks
             .iter()
-            .filter_map(|check| self.mismatch(check))
+            .filter_map(|check| self.conflicting_row(check))
             .collect();
         if !rows.is_empty() {
             return TransactAnswer::Conflict { rows };
@@ -44,7 +44,7 @@
         for write in transact.writes {
             self.write(now, write.key, write.value);
         }
-        self.forget(now);
+        self.prune_history(now);
         TransactAnswer::Committed {
             version: self.version,
         }
@@ -55,10 +55,10 @@
         select(&self.rows, read)
     }
 
-    /// Reads the rows as they stood at an earlier time.
+    /// Reads the rows as they were at an earlier time.
     pub fn read_as_of(&self, at: Duration, read: &ReadRequest) -> ReadAnswer {
         let mut rows = self.rows.clone();
-        for replaced in self.replaced.iter().rev() {
+        for replaced in self.history.iter().rev() {
             if replaced.at <= at {
                 break;
             }
@@ -72,7 +72,7 @@
         select(&rows, read)
     }
 
-    fn mismatch(&self, check: &VersionCheck) -> Option<Row> {
+    fn conflicting_row(&self, check: &VersionCheck) -> Option<Row> {
         let row = self.row(&check.key);
         (row.version != check.version).then_some(row)
     }
@@ -87,7 +87,7 @@
 
     fn write(&mut self, now: Duration, key: String, value: Option<String>) {
         let before = self.row(&key);
-        self.replaced.push_back(Replaced { at: now, before });
+        self.history.push_back(ReplacedRow { at: now, before });
         match value {
             None => {
                 self.rows.remove(&key);
@@ -103,10 +103,10 @@
         }
     }
 
-    fn forget(&mut self, now: Duration) {
-        let is_old = |replaced: &Replaced| replaced.at + HISTORY < now;
-        while self.replaced.front().is_some_and(is_old) {
-            self.replaced.pop_front();
+    fn prune_history(&mut self, now: Duration) {
+        let is_old = |replaced: &ReplacedRow| replaced.at + HISTORY_RETENTION < now;
+        while self.history.front().is_some_and(is_old) {
+            self.history.pop_front();
         }
     }
 }
--- a/crates/standins/src/weights.rs
+++ b/crates/standins/src/weights.rs
@@ -23,10 +23,10 @@
 use crate::server::Call;
 use crate::server::RunningServer;
 use crate::server::Service;
-use crate::server::Shared;
+use crate::server::SharedState;
 
-/// Largest piece that is sent at once.
-const PIECE_BYTES: u64 = 64 * 1024;
+/// Maximum size of a chunk.
+const MAX_CHUNK_BYTES: u64 = 64 * 1024;
 
 /// Starts the stand-in.
 ///
@@ -39,10 +39,10 @@
 /// ```
 pub fn spawn(config: WeightsConfig) -> io::Result<RunningServer> {
     server::spawn(config.listen, move |shared| {
-        let rate = Rc::new(Rate {
+        let rate = Rc::new(SharedRate {
             shared,
             config,
-            taken_until: Cell::default(),
+            reserved_until: Cell::default(),
         });
         Ok(Weights { rate })
     })
@@ -50,23 +50,23 @@
 
 #[derive(Debug)]
 struct Weights {
-    rate: Rc<Rate>,
+    rate: Rc<SharedRate>,
 }
 
 /// The transfer rate that all downloads share.
 #[derive(Debug)]
-struct Rate {
-    shared: Rc<Shared>,
+struct SharedRate {
+    shared: Rc<SharedState>,
     config: WeightsConfig,
-    taken_until: Cell<Duration>,
+    reserved_until: Cell<Duration>,
 }
 
-impl Rate {
-    /// Waits until the bytes fit into the rate.
-    async fn pass(&self, size_bytes: u64) {
-        let start = self.taken_until.get().max(self.shared.now());
+impl SharedRate {
+    /// Reserves the time that the bytes take at the rate, and waits for its end.
+    async fn wait_for_bytes(&self, size_bytes: u64) {
+        let start = self.reserved_until.get().max(self.shared.now());
         let until = start + Duration::from_secs_f64(size_bytes as f64 / self.config.bytes_per_s);
-        self.taken_until.set(until);
+        self.reserved_until.set(until);
         tokio::time::sleep_until(self.shared.instant(until)).await;
     }
 }
@@ -76,31 +76,31 @@
         let name = call.path.strip_prefix(WEIGHTS_PATH);
         match (&call.method, name) {
             (&Method::GET, Some(name)) if name.len() > 1 => {
-                let fill = StableHash::new().field(name.as_bytes()).finish() as u8;
-                let (sender, pieces) = unbounded_channel();
-                spawn_local(send(Rc::clone(&self.rate), fill, sender));
+                let fill_byte = StableHash::new().field(name.as_bytes()).finish() as u8;
+                let (sender, chunks) = unbounded_channel();
+                spawn_local(send(Rc::clone(&self.rate), fill_byte, sender));
                 let break_after = call
                     .plan
                     .drop_after_events
-                    .map(|left| (left, Rc::clone(&call.link)));
-                reply::stream(pieces, break_after)
+                    .map(|chunks| (chunks, Rc::clone(&call.link)));
+                reply::stream(chunks, break_after)
             }
             _ => Refusal::NotFound.into(),
         }
     }
 }
 
-async fn send(rate: Rc<Rate>, fill: u8, pieces: UnboundedSender<BodyChunk>) {
-    let mut left_bytes = rate.config.size_bytes;
-    while left_bytes > 0 {
-        let size_bytes = left_bytes.min(PIECE_BYTES);
-        rate.pass(size_bytes).await;
-        let piece = Bytes::from(vec![fill; size_bytes as usize]);
-        if pieces.send(BodyChunk::Data(piece)).is_err() {
+async fn send(rate: Rc<SharedRate>, fill_byte: u8, chunks: UnboundedSender<BodyChunk>) {
+    let mut remaining_bytes = rate.config.size_bytes;
+    while remaining_bytes > 0 {
+        let size_bytes = remaining_bytes.min(MAX_CHUNK_BYTES);
+        rate.wait_for_bytes(size_bytes).await;
+        let chunk = Bytes::from(vec![fill_byte; size_bytes as usize]);
+        if chunks.send(BodyChunk::Data(chunk)).is_err() {
             return;
         }
-        left_bytes -= size_bytes;
+        remaining_bytes -= size_bytes;
     }
-    // The caller may go at any time; there is nobody left to tell.
-    let _ = pieces.send(BodyChunk::End);
+    // Sending fails only after the caller has disconnected.
+    let _ = chunks.send(BodyChunk::End);
 }
--- a/crates/standins/tests/answers.rs
+++ b/crates/standins/tests/answers.rs
@@ -1,4 +1,4 @@
-//! Answers are pure functions of the request.
+//! Lengths and texts of answers, which are pure functions of the request.
 
 use sedgeridge_protocol::chat::ChatMessage;
 use sedgeridge_protocol::chat::ChatRequest;
@@ -33,9 +33,9 @@
     one = { Some(1), 1 },
     zero = { Some(0), 1 },
 )]
-fn odd_limits_still_give_an_answer(max_tokens: Option<u32>, most: u64) {
+fn odd_limits_still_give_an_answer(max_tokens: Option<u32>, max_length: u64) {
     let length = answer::output_tokens(&request("hello", max_tokens));
-    assert!((1..=most).contains(&length), "{length}");
+    assert!((1..=max_length).contains(&length), "{length}");
 }
 
 #[test]
--- a/crates/standins/tests/batching.rs
+++ b/crates/standins/tests/batching.rs
@@ -1,4 +1,4 @@
-//! Continuous batching and the prefix cache, on a clock that the test moves.
+//! Continuous batching and the prefix cache, with simulated time.
 
 use std::time::Duration;
 
@@ -35,7 +35,7 @@
     }
 }
 
-fn started(events: &[BatchEvent]) -> Vec<u64> {
+fn started_ids(events: &[BatchEvent]) -> Vec<u64> {
     events
         .iter()
         .filter_map(|event| match event {
@@ -52,7 +52,7 @@
     for id in 0..4 {
         batch.submit(ms(0), job(id, 1, 2), &mut events);
     }
-    assert_eq!(started(&events), [0, 1]);
+    assert_eq!(started_ids(&events), [0, 1]);
     assert_eq!((batch.running(), batch.waiting()), (2, 2));
     events.clear();
     batch.advance(ms(10), &mut events);
@@ -61,7 +61,7 @@
     events.clear();
     batch.advance(ms(20), &mut events);
     assert!(events.contains(&BatchEvent::Finished { id: 0 }));
-    assert_eq!(started(&events), [2, 3]);
+    assert_eq!(started_ids(&events), [2, 3]);
 }
 
 #[test]
@@ -104,7 +104,7 @@
     batch.submit(ms(0), job(2, 1, 100), &mut events);
     batch.cancel(ms(5), 1, &mut events);
     batch.cancel(ms(5), 0, &mut events);
-    assert_eq!(started(&events), [0, 2]);
+    assert_eq!(started_ids(&events), [0, 2]);
     batch.cancel(ms(5), 2, &mut events);
     assert_eq!(batch.next_step(), None);
 }
--- a/crates/standins/tests/command_line.rs
+++ b/crates/standins/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! The command line of the binary.
+//! Command line of the binary: errors, help and signals.
 
 use std::io::BufRead;
 use std::io::BufReader;
@@ -44,11 +44,11 @@
     no_target = { "relay", "--to" },
     negative_delay = { "relay --to 127.0.0.1:9 --delay-ms -1", "--delay-ms" },
 )]
-fn a_bad_command_line_ends_with_code_2(arguments: &str, named: &str) {
+fn a_bad_command_line_ends_with_code_2(arguments: &str, expected_text: &str) {
     let output = run(arguments);
     assert_eq!(output.status.code(), Some(2), "{arguments}");
     let error = String::from_utf8(output.stderr).unwrap();
-    assert!(error.contains(named), "{error}");
+    assert!(error.contains(expected_text), "{error}");
     assert!(output.stdout.is_empty());
 }
 
--- a/crates/standins/tests/common/mod.rs
+++ b/crates/standins/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Small helpers of the tests that talk to stand-ins over HTTP.
+//! Helpers for tests that call stand-ins over HTTP.
 
 #![allow(dead_code, reason = "each test file uses its own part")]
 
@@ -20,12 +20,12 @@
 
 pub type HttpAnswer = ureq::http::Response<ureq::Body>;
 
-/// How long a test waits for something that must come.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Timeout for events that must happen.
+const EVENT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// An agent that gives error statuses as answers, and gives up after the patience of the test.
+/// An agent that returns error statuses as answers and times out after [`EVENT_TIMEOUT`].
 pub fn agent() -> ureq::Agent {
-    agent_with_timeout(PATIENCE)
+    agent_with_timeout(EVENT_TIMEOUT)
 }
 
 pub fn agent_with_timeout(timeout: Duration) -> ureq::Agent {
@@ -102,26 +102,29 @@
         .collect()
 }
 
-/// Waits until the condition holds; fails the test when it does not come to hold.
-pub fn eventually(what: &str, holds: impl Fn() -> bool) {
+/// Waits until the condition holds; fails the test after [`EVENT_TIMEOUT`].
+pub fn eventually(description: &str, condition: impl Fn() -> bool) {
     let start = Instant::now();
-    while !holds() {
-        assert!(start.elapsed() < PATIENCE, "never: {what}");
+    while !condition() {
+        assert!(
+            start.elapsed() < EVENT_TIMEOUT,
+            "timed out waiting for: {description}"
+        );
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// A streamed answer read so far.
+/// The part of a streamed answer that has been read.
 #[derive(Debug, Default)]
 pub struct Streamed {
     pub text: String,
     pub tokens: u64,
-    pub last: Option<ChatChunk>,
+    pub last_chunk: Option<ChatChunk>,
     pub complete: bool,
 }
 
 /// Reads events until the end, an error, or the given number of tokens.
-pub fn read_stream(answer: HttpAnswer, most_tokens: u64) -> Streamed {
+pub fn read_stream(answer: HttpAnswer, max_tokens_read: u64) -> Streamed {
     let mut streamed = Streamed::default();
     let reader = BufReader::new(answer.into_body().into_reader());
     for line in reader.lines() {
@@ -138,8 +141,8 @@
             streamed.text.push_str(content);
             streamed.tokens += 1;
         }
-        streamed.last = Some(chunk);
-        if streamed.tokens >= most_tokens {
+        streamed.last_chunk = Some(chunk);
+        if streamed.tokens >= max_tokens_read {
             break;
         }
     }
--- a/crates/standins/tests/engine.rs
+++ b/crates/standins/tests/engine.rs
@@ -1,4 +1,4 @@
-//! The engine over HTTP.
+//! The engine, called over HTTP.
 
 mod common;
 
@@ -34,7 +34,7 @@
     assert!(streamed.complete);
     assert_eq!(streamed.text, answer::answer_text(&request));
     assert_eq!(streamed.tokens, answer::output_tokens(&request));
-    let last = streamed.last.unwrap();
+    let last = streamed.last_chunk.unwrap();
     assert_eq!(last.id, "a-1");
     assert_eq!(last.usage.unwrap().completion_tokens, streamed.tokens);
 }
@@ -71,9 +71,9 @@
 
 #[test]
 fn a_closed_connection_cancels_running_and_waiting_requests() {
-    // The caller closes two connections: one whose stream has begun, one still in the waiting
-    // line. The engine ends the first run as cancelled and never starts the second, because a
-    // run that nobody reads would hold a slot for nothing.
+    // The caller closes two connections: one whose stream has begun and one whose request is still
+    // queued. The engine must cancel the first run and never start the second; otherwise a run
+    // without a reader occupies a slot.
     let config = EngineConfig {
         token_ms: 5.0,
         ..fast_engine()
--- a/crates/standins/tests/misbehaviour.rs
+++ b/crates/standins/tests/misbehaviour.rs
@@ -1,4 +1,4 @@
-//! Each misbehaviour that can be ordered.
+//! Effects of each fault that can be ordered.
 
 mod common;
 
@@ -46,8 +46,8 @@
 
 #[test]
 fn a_lost_answer_leaves_the_write_in_effect() {
-    // The caller sees its connection close without an answer. The table has made the write before
-    // that, so that a blind repeat meets a conflict and a read shows the caller's own value.
+    // The connection closes without an answer after the table has made the write. A blind retry
+    // therefore meets a conflict, and a read shows the caller's own value.
     let table = table::spawn(TableConfig::default()).unwrap();
     order(&table, r#"{"fault":"drop_answer","count":1}"#);
     assert!(post(&agent(), &table.url("/v1/transact"), WRITE).is_err());
@@ -84,8 +84,8 @@
     late_answers_have_run = { "late", 1 },
 )]
 fn a_slow_answer(fault: &str, expected_runs: usize) {
-    // The caller gives up before the answer comes. With `delay` the work has not begun by then;
-    // with `late` it has, and only the answer is held back.
+    // The caller times out before the answer. With `delay` the work has not begun by then; with
+    // `late` it is done and only the answer is held back.
     let config = PlainConfig {
         service_ms: 0.0,
         ..PlainConfig::default()
@@ -101,8 +101,8 @@
 
 #[test]
 fn silence_holds_the_open_connections_only() {
-    // A caller's pooled connection stays open but nothing comes through it any more, so that only
-    // a timeout tells. A fresh connection works at once.
+    // A pooled connection stays open but carries no more bytes, so only a timeout reveals the
+    // fault. A new connection works at once.
     let table = table::spawn(TableConfig::default()).unwrap();
     let pooled = agent();
     let mut first = post(&pooled, &table.url("/v1/read"), READ).unwrap();
@@ -190,18 +190,18 @@
 #[test]
 fn fencing_can_be_ignored_and_honoured_on_order() {
     let engine = engine::spawn(fast_engine()).unwrap();
-    let give = |fencing: u64| {
+    let send_order = |fencing: u64| {
         let body = format!(r#"{{"fencing":{fencing},"kind":"role","target":"prefill"}}"#);
         post(&agent(), &engine.url("/orders"), &body)
             .unwrap()
             .status()
             .as_u16()
     };
-    assert_eq!([give(2), give(1)], [200, 409]);
+    assert_eq!([send_order(2), send_order(1)], [200, 409]);
     order(&engine, r#"{"fault":"ignore_fencing"}"#);
-    assert_eq!(give(1), 200);
+    assert_eq!(send_order(1), 200);
     order(&engine, r#"{"fault":"honour_fencing"}"#);
-    assert_eq!(give(1), 409);
+    assert_eq!(send_order(1), 409);
 }
 
 #[yare::parameterized(
@@ -270,13 +270,13 @@
     assert!(!drops(&mut faults, "/v1/transact"));
 }
 
-/// A file in the build's own directory, removed again when dropped.
+/// A file in the temporary directory of the build, removed when dropped.
 struct ScratchFile(PathBuf);
 
 impl ScratchFile {
     fn new(name: &str) -> Self {
         let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
-        // Left over from a run that was stopped.
+        // An interrupted test run may have left the file.
         let _ = std::fs::remove_file(&path);
         Self(path)
     }
@@ -290,9 +290,9 @@
 
 #[test]
 fn a_poison_request_ends_the_process_and_the_ledger_tells() {
-    // One request carries the poison and the process ends with code 70; its caller and another
-    // one in progress lose their connections. Both runs stand in the ledger file as crashed, so
-    // that a check does not take them for requests that never ran.
+    // One request contains the poison text and the process exits with code 70. Its caller and that
+    // of another request in progress lose their connections. The ledger file must list both runs as
+    // crashed; otherwise a check takes them for requests that never ran.
     let file = ScratchFile::new("poison.jsonl");
     let mut process = Command::new(env!("CARGO_BIN_EXE_sedgeridge-standins"))
         .args(["engine", "--token-ms", "1", "--ledger-file"])
--- a/crates/standins/tests/plain.rs
+++ b/crates/standins/tests/plain.rs
@@ -1,4 +1,4 @@
-//! The plain service over HTTP.
+//! The plain service, called over HTTP.
 
 mod common;
 
@@ -51,14 +51,14 @@
 
 #[test]
 fn work_that_a_caller_left_is_still_on_the_ledger() {
-    // The caller gives up while the service works. The charge has begun, so that the ledger keeps
-    // the run; a check that counted only finished runs would miss a doubled charge.
+    // The caller times out while the service works. The charge has begun, so the ledger keeps the
+    // run; a check that counts only finished runs would miss a double charge.
     let booking = plain::spawn(config(1, 60_000.0)).unwrap();
     thread::scope(|scope| {
         let url = booking.url("/deposits");
         scope.spawn(move || {
-            let patience = std::time::Duration::from_millis(300);
-            assert!(post(&agent_with_timeout(patience), &url, "charge").is_err());
+            let timeout = std::time::Duration::from_millis(300);
+            assert!(post(&agent_with_timeout(timeout), &url, "charge").is_err());
         });
     });
     eventually("the slot is free", || load(&booking).running == 0);
--- a/crates/standins/tests/platform.rs
+++ b/crates/standins/tests/platform.rs
@@ -81,7 +81,7 @@
     let mut answer = agent().get(store.url("/v1/weights/desk")).call().unwrap();
     let bytes = answer.body_mut().read_to_vec().unwrap();
     assert_eq!(bytes.len(), 200_000);
-    // A lower bound only: the rate must hold, however busy the machine is.
+    // A lower bound only, which holds on a busy machine too.
     assert!(start.elapsed().as_millis() >= 195);
     assert_eq!(get(&store.url("/v1/weights/")).0, 404);
 }
--- a/crates/standins/tests/shared_port.rs
+++ b/crates/standins/tests/shared_port.rs
@@ -1,13 +1,13 @@
-//! Ports for connections and datagrams alike.
+//! Binding one port for both connections and datagrams.
 
 use std::net::SocketAddr;
 use std::net::UdpSocket;
 
 use sedgeridge_standins::shared_port;
 
-/// Whoever starts a relay is told "address in use" although ports are free: the port that was drawn
-/// for connections is taken for datagrams by another process. Here 2,000 ports are taken so; of 400
-/// draws some 30 meet one of them.
+/// Guards against a relay that fails to start with "address in use" although ports are free,
+/// because another process uses the port picked for connections for datagrams. The test takes 2,000
+/// ports for datagrams; some 30 of 400 binds meet one of them.
 #[test]
 fn a_port_that_is_taken_for_datagrams_is_not_drawn() {
     let any: SocketAddr = ([127, 0, 0, 1], 0).into();
--- a/crates/standins/tests/table.rs
+++ b/crates/standins/tests/table.rs
@@ -1,4 +1,4 @@
-//! The table service: transactions, reads, limits.
+//! Transactions, reads and rate limits of the table service.
 
 mod common;
 
@@ -116,12 +116,12 @@
 #[test]
 fn random_transactions_agree_with_a_plain_map() {
     let mut store = TableStore::default();
-    let mut oracle: BTreeMap<String, (u64, String)> = BTreeMap::new();
+    let mut expected_rows: BTreeMap<String, (u64, String)> = BTreeMap::new();
     let mut version = 0;
     for round in 0..5000_u64 {
         let draw = mix(round);
         let key = format!("k{}", draw % 8);
-        let current = oracle.get(&key).map_or(0, |(version, _)| *version);
+        let current = expected_rows.get(&key).map_or(0, |(version, _)| *version);
         let expected = if draw & 0x100 == 0 {
             current
         } else {
@@ -132,14 +132,17 @@
             NOW,
             transact(&[(&key, expected)], &[(&key, value.as_deref())]),
         );
-        let holds = expected == current;
-        assert_eq!(matches!(answer, TransactAnswer::Committed { .. }), holds);
-        if holds {
+        let check_passes = expected == current;
+        assert_eq!(
+            matches!(answer, TransactAnswer::Committed { .. }),
+            check_passes
+        );
+        if check_passes {
             version += 1;
             assert_eq!(answer, TransactAnswer::Committed { version });
             match value {
-                Some(value) => oracle.insert(key, (version, value)),
-                None => oracle.remove(&key),
+                Some(value) => expected_rows.insert(key, (version, value)),
+                None => expected_rows.remove(&key),
             };
         }
     }
@@ -148,14 +151,14 @@
         .into_iter()
         .map(|row| (row.key, (row.version, row.value.unwrap())))
         .collect();
-    assert_eq!(seen, oracle);
+    assert_eq!(seen, expected_rows);
 }
 
 #[test]
 fn the_rate_limit_lets_through_its_rate_and_a_small_burst() {
     let mut limit = RateLimit::new(100.0);
     let passed = (0..10_000_u64)
-        .filter(|tick| limit.take(Duration::from_millis(*tick)))
+        .filter(|tick| limit.try_take(Duration::from_millis(*tick)))
         .count();
     assert!((1000..=1011).contains(&passed), "{passed}");
 }
