--- a/crates/soak/src/callers.rs
+++ b/crates/soak/src/callers.rs
@@ -1,4 +1,5 @@
-//! Callers: they keep open connections, check each answer, and go elsewhere when a connection ends.
+//! Simulated callers, which keep connections open, check each answer, and pick another router when
+//! a connection ends.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -27,54 +28,54 @@
 use tokio::time::timeout;
 
 use crate::records::Outcome;
-use crate::records::Record;
+use crate::records::RequestRecord;
 use crate::site::HOST;
 use crate::site::TIMEOUT;
 use crate::site::key;
 use crate::site::path;
 
-/// Time after which a request without a final answer hangs: its own time and room for a busy
-/// machine.
-const HUNG_AFTER: Duration = Duration::from_millis(4_000);
-/// Pause of a caller whose connection could not be opened or was refused.
+/// Time after which a request without a final answer counts as hung: the request timeout and a
+/// margin for a busy machine.
+const HANG_TIMEOUT: Duration = Duration::from_millis(4_000);
+/// Pause of a caller after a failed connection attempt or a request that was not served.
 const RETRY_PAUSE: Duration = Duration::from_millis(60);
-/// Shortest and longest pause between two requests of a caller.
-const PAUSE_MS: (u64, u64) = (10, 70);
-/// Requests in a hundred that present a revoked key.
+/// Bounds of the pause between two requests of a caller.
+const REQUEST_PAUSE_MS: (u64, u64) = (10, 70);
+/// Share of requests that present a revoked key.
 const REVOKED_PERCENT: u64 = 4;
-/// Every so many requests of a caller have a long body, as long as the longest usual prompt: a router's
-/// memory follows the longest bodies, not the mean ones.
-const LONG_BODY_EVERY: u64 = 8;
+/// One in this many requests of a caller has a long body, as long as the longest usual prompt,
+/// because the memory of a router depends on the longest bodies rather than on average ones.
+const LONG_BODY_INTERVAL: u64 = 8;
 const LONG_BODY_BYTES: usize = 64 * 1024;
-/// Time after which callers use a new key.
-const KEY_SPREAD: Duration = Duration::from_secs(2);
+/// Time from a key change until callers use the new key.
+const KEY_ADOPTION_DELAY: Duration = Duration::from_secs(2);
 
-/// What all callers share with those who steer the run.
+/// State that callers share with the task that controls the run.
 #[derive(Debug)]
-pub struct Shared<C> {
-    /// Tells the time since the start of the run.
+pub struct SharedState<C> {
+    /// Clock that starts with the run.
     pub clock: C,
-    /// Where callers connect, by router.
+    /// Address that callers connect to, by router.
     pub addresses: Vec<SocketAddr>,
-    /// Process of each router; 0 while none runs.
-    pub processes: RefCell<Vec<u32>>,
-    /// Whether the balancer takes each router for ready.
+    /// Process id of each router; 0 while it does not run.
+    pub process_ids: RefCell<Vec<u32>>,
+    /// Whether the load balancer considers each router ready.
     pub ready: RefCell<Vec<bool>>,
-    /// Newest generation of keys, and since when.
-    pub key: Cell<(u64, Duration)>,
-    /// Whether callers should go on.
-    pub goes_on: Cell<bool>,
-    /// What they saw.
-    pub records: RefCell<Vec<Record>>,
+    /// Newest key generation and the time of the change to it.
+    pub newest_key: Cell<(u64, Duration)>,
+    /// Whether callers continue to send requests.
+    pub keep_sending: Cell<bool>,
+    /// Finished requests of all callers.
+    pub records: RefCell<Vec<RequestRecord>>,
 }
 
-impl<C: Clock> Shared<C> {
-    /// Returns the time since the start.
+impl<C: Clock> SharedState<C> {
+    /// Returns the time since the start of the run.
     pub fn now(&self) -> Duration {
         self.clock.now()
     }
 
-    fn draw_router(&self, random: &mut SeededRandom) -> usize {
+    fn pick_router(&self, random: &mut SeededRandom) -> usize {
         let ready = self.ready.borrow();
         let ready: Vec<_> = (0..ready.len()).filter(|router| ready[*router]).collect();
         match ready.is_empty() {
@@ -88,23 +89,23 @@
 struct Connection {
     sender: EndpointConnection,
     router: usize,
-    process: u32,
+    process_id: u32,
     opened_at: Duration,
 }
 
-/// Runs one caller until the run ends.
-pub async fn run<C: Clock>(shared: Rc<Shared<C>>, number: u64, seed: u64) {
+/// Runs one caller until `keep_sending` becomes false.
+pub async fn run<C: Clock>(shared: Rc<SharedState<C>>, number: u64, seed: u64) {
     let mut random = SeededRandom::new(seed ^ number.wrapping_mul(0x9e37_79b9_7f4a_7c15));
     let mut connection = None;
     let mut requests = 0;
-    while shared.goes_on.get() {
+    while shared.keep_sending.get() {
         let Some(open) = ensure_open(&shared, &mut random, &mut connection).await else {
             sleep(RETRY_PAUSE).await;
             continue;
         };
         requests += 1;
         let id = format!("{number}-{requests}");
-        let record = ask(&shared, &mut random, open, id, body(requests)).await;
+        let record = send_request(&shared, &mut random, open, id, body(requests)).await;
         if !matches!(record.outcome, Outcome::Answered { .. }) {
             connection = None;
         }
@@ -112,14 +113,15 @@
             sleep(RETRY_PAUSE).await;
         }
         shared.records.borrow_mut().push(record);
-        let (low, high) = PAUSE_MS;
+        let (low, high) = REQUEST_PAUSE_MS;
         sleep(Duration::from_millis(low + random.below(high - low))).await;
     }
 }
 
-/// Keeps the open connection while it can be used, as callers do until its process is gone.
+/// Returns the open connection if it is still usable, otherwise opens one to a router that is
+/// ready.
 async fn ensure_open<'a, C: Clock>(
-    shared: &Shared<C>,
+    shared: &SharedState<C>,
     random: &mut SeededRandom,
     connection: &'a mut Option<Connection>,
 ) -> Option<&'a mut Connection> {
@@ -129,14 +131,14 @@
         *connection = None;
     }
     if connection.is_none() {
-        let router = shared.draw_router(random);
-        let process = shared.processes.borrow()[router];
+        let router = shared.pick_router(random);
+        let process_id = shared.process_ids.borrow()[router];
         let opened_at = shared.now();
         let sender = open_connection(shared.addresses[router]).await.ok()?;
         *connection = Some(Connection {
             sender,
             router,
-            process,
+            process_id,
             opened_at,
         });
     }
@@ -144,29 +146,29 @@
 }
 
 fn body(request: u64) -> Bytes {
-    match request % LONG_BODY_EVERY {
+    match request % LONG_BODY_INTERVAL {
         0 => Bytes::from(vec![b'x'; LONG_BODY_BYTES]),
         _ => Bytes::from_static(b"body"),
     }
 }
 
-async fn ask<C: Clock>(
-    shared: &Shared<C>,
+async fn send_request<C: Clock>(
+    shared: &SharedState<C>,
     random: &mut SeededRandom,
     connection: &mut Connection,
     id: String,
     body: Bytes,
-) -> Record {
+) -> RequestRecord {
     let kinds = [
         RouteKind::Idempotent,
         RouteKind::AtMostOnce,
         RouteKind::Stream,
     ];
     let kind = kinds[random.below(3) as usize];
-    let (newest, since) = shared.key.get();
+    let (newest, changed_at) = shared.newest_key.get();
     let is_revoked = newest >= 3 && random.below(100) < REVOKED_PERCENT;
-    let is_spread = shared.now().saturating_sub(since) >= KEY_SPREAD;
-    let generation = match (is_revoked, is_spread) {
+    let is_adopted = shared.now().saturating_sub(changed_at) >= KEY_ADOPTION_DELAY;
+    let generation = match (is_revoked, is_adopted) {
         (true, _) => newest - 2,
         (false, true) => newest,
         (false, false) => newest - 1,
@@ -181,23 +183,25 @@
     let sent_at = shared.now();
     let outcome = match build_request(&head, Full::from(body)) {
         Ok(request) => {
-            let answered = exchange(&mut connection.sender, request, &id, kind);
-            timeout(HUNG_AFTER, answered).await.unwrap_or(Outcome::Hung)
+            let pending_answer = exchange(&mut connection.sender, request, &id, kind);
+            timeout(HANG_TIMEOUT, pending_answer)
+                .await
+                .unwrap_or(Outcome::Hung)
         }
         Err(_) => Outcome::Failed {
             was_sent: false,
             wrong: None,
         },
     };
-    Record {
+    RequestRecord {
         id,
         kind,
         router: connection.router,
-        process: connection.process,
+        process_id: connection.process_id,
         connected_at: connection.opened_at,
         sent_at,
         ended_at: shared.now(),
-        key: generation,
+        key_generation: generation,
         is_revoked,
         outcome,
     }
@@ -243,38 +247,40 @@
         return (false, None);
     };
     let body = body.to_bytes();
-    let is_right = body == whole_answer(id).as_bytes();
-    let wrong = (!is_right).then(|| format!("{} bytes that are not its answer", body.len()));
+    let is_correct = body == whole_answer(id).as_bytes();
+    let wrong =
+        (!is_correct).then(|| format!("{} bytes that differ from the expected answer", body.len()));
     (true, wrong)
 }
 
-/// Reads events as they come: a stream that breaks off must be right up to there.
+/// Reads and checks events as they arrive. The received part of an interrupted stream must be
+/// correct.
 async fn read_stream(answer: Response<Incoming>, id: &str) -> (bool, Option<String>) {
     let mut body = answer.into_body();
     let mut text = String::new();
-    let mut next = 0;
+    let mut next_event = 0;
     loop {
         let frame = match body.frame().await {
             None => break,
-            Some(Err(_)) => return (false, check_events(&mut text, &mut next, id)),
+            Some(Err(_)) => return (false, check_events(&mut text, &mut next_event, id)),
             Some(Ok(frame)) => frame,
         };
         if let Ok(bytes) = frame.into_data() {
             text.push_str(&String::from_utf8_lossy(&bytes));
         }
-        if let Some(wrong) = check_events(&mut text, &mut next, id) {
+        if let Some(wrong) = check_events(&mut text, &mut next_event, id) {
             return (true, Some(wrong));
         }
     }
-    let is_complete = next == STREAM_EVENTS && text.is_empty();
+    let is_complete = next_event == STREAM_EVENTS && text.is_empty();
     (
         true,
-        (!is_complete).then(|| format!("ended whole after {next} events")),
+        (!is_complete).then(|| format!("ended without an error after {next_event} events")),
     )
 }
 
-/// Takes whole events off the text; tells what is wrong with one.
-fn check_events(text: &mut String, next: &mut u64, id: &str) -> Option<String> {
+/// Removes complete events from the text and returns a description of the first wrong one.
+fn check_events(text: &mut String, next_event: &mut u64, id: &str) -> Option<String> {
     while let Some(end) = text.find("\n\n") {
         let event: String = text.drain(..end + 2).collect();
         let fields: HashMap<_, _> = event
@@ -285,10 +291,10 @@
             .get("id")
             .and_then(|number| number.parse::<u64>().ok());
         let data = fields.get("data").copied().unwrap_or_default();
-        if number != Some(*next) || data != event_data(id, *next) {
-            return Some(format!("{event:?} instead of event {next}"));
+        if number != Some(*next_event) || data != event_data(id, *next_event) {
+            return Some(format!("{event:?} instead of event {next_event}"));
         }
-        *next += 1;
+        *next_event += 1;
     }
     None
 }
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,5 +1,5 @@
-//! A randomized soak of real routers: faults from outside, and checks of what callers and endpoints
-//! see. docs/SOAK.md says what it checks and how to run it.
+//! A randomized soak test of real router processes: it injects faults from outside and checks what
+//! callers and endpoints observe. docs/SOAK.md says what it checks and how to run it.
 
 pub mod callers;
 pub mod links;
--- a/crates/soak/src/links.rs
+++ b/crates/soak/src/links.rs
@@ -1,4 +1,4 @@
-//! Links and servers that misbehave on order.
+//! Injects faults into network links and servers.
 
 use std::io;
 use std::net::SocketAddr;
@@ -16,12 +16,12 @@
 use crate::schedule::LinkFault;
 use crate::schedule::ServerFault;
 
-/// Path on which relays and servers take orders.
+/// Path on which relays and servers accept fault orders.
 const CONTROL_PATH: &str = "/control";
-/// Events that a stream with a lost answer still delivers.
+/// Number of events that a stream delivers before its answer is lost.
 const EVENTS_BEFORE_LOSS: u64 = 5;
 
-/// A link between two programs.
+/// A simulated network link between two programs.
 #[derive(Debug)]
 pub struct Link {
     relay: Relay,
@@ -43,18 +43,18 @@
         })
     }
 
-    /// Returns the address of this end.
+    /// Returns the address to connect to.
     pub fn address(&self) -> SocketAddr {
         self.relay.address()
     }
 
-    /// Lets a fault begin.
+    /// Starts a fault.
     ///
     /// # Errors
     ///
-    /// The link did not take the order.
-    pub fn begin(&self, fault: LinkFault) -> io::Result<()> {
-        self.order(match fault {
+    /// The relay did not accept the order.
+    pub fn start_fault(&self, fault: LinkFault) -> io::Result<()> {
+        self.send_order(match fault {
             LinkFault::Delay(delay_ms) => RelayOrder::Delay {
                 delay_ms: delay_ms as f64,
             },
@@ -68,25 +68,29 @@
     ///
     /// # Errors
     ///
-    /// The link did not take the order.
-    pub fn end(&self, fault: LinkFault) -> io::Result<()> {
-        self.order(match fault {
+    /// The relay did not accept the order.
+    pub fn end_fault(&self, fault: LinkFault) -> io::Result<()> {
+        self.send_order(match fault {
             LinkFault::Delay(_) => RelayOrder::Delay { delay_ms: 0.0 },
             LinkFault::Reset | LinkFault::Hold | LinkFault::Silence => RelayOrder::Heal,
         })
     }
 
-    fn order(&self, order: RelayOrder) -> io::Result<()> {
+    fn send_order(&self, order: RelayOrder) -> io::Result<()> {
         post(&self.relay.control().url(CONTROL_PATH), &order)
     }
 }
 
-/// Lets a server misbehave for a while.
+/// Injects a fault into a server for a limited time.
 ///
 /// # Errors
 ///
-/// It did not take the order.
-pub fn misbehave(server: &RunningServer, fault: ServerFault, length: Duration) -> io::Result<()> {
+/// The server did not accept the order.
+pub fn inject_fault(
+    server: &RunningServer,
+    fault: ServerFault,
+    duration: Duration,
+) -> io::Result<()> {
     let (fault, delay_ms) = match fault {
         ServerFault::Outage => (Fault::Outage, None),
         ServerFault::LostAnswers => (Fault::DropAnswer, None),
@@ -97,7 +101,7 @@
     let order = FaultOrder {
         delay_ms,
         after_events: (fault == Fault::DropAnswer).then_some(EVENTS_BEFORE_LOSS),
-        duration_ms: Some(length.as_millis() as u64),
+        duration_ms: Some(duration.as_millis() as u64),
         ..FaultOrder::new(fault)
     };
     post(&server.url(CONTROL_PATH), &order)
@@ -105,6 +109,6 @@
 
 fn post(url: &str, order: &impl Serialize) -> io::Result<()> {
     let body = serde_json::to_string(order)?;
-    let sent = ureq::post(url).send(body);
-    sent.map(drop).map_err(io::Error::other)
+    let response = ureq::post(url).send(body);
+    response.map(drop).map_err(io::Error::other)
 }
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -1,4 +1,4 @@
-//! `sedgeridge-soak`: soaks routers under random faults.
+//! `sedgeridge-soak`: command line of the soak test.
 
 use std::fs;
 use std::path::PathBuf;
@@ -27,10 +27,10 @@
 exit codes: 0 all promises kept, 1 one broken, 2 bad command line, 3 a run failed by itself
 ";
 
-struct Plan {
-    first: RunConfig,
-    seeds: u64,
-    logs: PathBuf,
+struct SoakOptions {
+    first_run: RunConfig,
+    seed_count: u64,
+    logs_dir: PathBuf,
 }
 
 fn main() -> ExitCode {
@@ -40,7 +40,7 @@
         return ExitCode::SUCCESS;
     }
     match parse(arguments) {
-        Ok(plan) => soak(&plan),
+        Ok(options) => soak(&options),
         Err(error) => {
             eprintln!("sedgeridge-soak: {error}");
             ExitCode::from(2)
@@ -48,15 +48,15 @@
     }
 }
 
-fn parse(mut arguments: pico_args::Arguments) -> Result<Plan, pico_args::Error> {
+fn parse(mut arguments: pico_args::Arguments) -> Result<SoakOptions, pico_args::Error> {
     let defaults = RunConfig::default();
     let seconds = arguments.opt_value_from_str("--seconds")?;
-    let plan = Plan {
-        first: RunConfig {
+    let options = SoakOptions {
+        first_run: RunConfig {
             seed: arguments
                 .opt_value_from_str("--seed")?
                 .unwrap_or(defaults.seed),
-            faults_for: seconds.map_or(defaults.faults_for, Duration::from_secs),
+            fault_period: seconds.map_or(defaults.fault_period, Duration::from_secs),
             routers: at_least_two(arguments.opt_value_from_str("--routers")?, defaults.routers),
             endpoints: at_least_two(
                 arguments.opt_value_from_str("--endpoints")?,
@@ -67,8 +67,8 @@
                 .unwrap_or(defaults.callers),
             dir: PathBuf::new(),
         },
-        seeds: arguments.opt_value_from_str("--seeds")?.unwrap_or(1),
-        logs: arguments
+        seed_count: arguments.opt_value_from_str("--seeds")?.unwrap_or(1),
+        logs_dir: arguments
             .opt_value_from_str("--logs")?
             .unwrap_or_else(|| PathBuf::from("target/soak")),
     };
@@ -76,27 +76,27 @@
         Some(unknown) => Err(pico_args::Error::ArgumentParsingFailed {
             cause: format!("unknown argument {unknown:?}"),
         }),
-        None => Ok(plan),
+        None => Ok(options),
     }
 }
 
-/// Two of each are the least with which one can be lost.
+/// At least two are needed so that one remains when the other fails.
 fn at_least_two(given: Option<usize>, default: usize) -> usize {
     given.unwrap_or(default).max(2)
 }
 
-fn soak(plan: &Plan) -> ExitCode {
-    let mut broken = 0;
-    for seed in plan.first.seed..plan.first.seed + plan.seeds {
+fn soak(options: &SoakOptions) -> ExitCode {
+    let mut failed_runs = 0;
+    for seed in options.first_run.seed..options.first_run.seed + options.seed_count {
         let config = RunConfig {
             seed,
-            dir: plan.logs.join(format!("seed-{seed}")),
-            ..plan.first.clone()
+            dir: options.logs_dir.join(format!("seed-{seed}")),
+            ..options.first_run.clone()
         };
         match run(&config, ProcessClock::start()) {
             Ok(result) => {
                 print_result(seed, &result);
-                broken += usize::from(!result.violations.is_empty());
+                failed_runs += usize::from(!result.violations.is_empty());
                 if result.violations.is_empty()
                     && let Err(error) = fs::remove_dir_all(&config.dir)
                 {
@@ -109,23 +109,30 @@
             }
         }
     }
-    println!("{} runs, {broken} with a broken promise", plan.seeds);
-    ExitCode::from(u8::from(broken > 0))
+    println!(
+        "{} runs, {failed_runs} with a broken promise",
+        options.seed_count
+    );
+    ExitCode::from(u8::from(failed_runs > 0))
 }
 
 fn print_result(seed: u64, result: &RunResult) {
-    let evidence = &result.evidence;
-    let served = evidence.records.iter().filter(|it| it.is_served()).count();
+    let observations = &result.observations;
+    let served = observations
+        .records
+        .iter()
+        .filter(|it| it.is_served())
+        .count();
     println!(
         "seed {seed}: {} faults, {served} of {} requests served, {} runs, {} KB, {} broken",
         result.faults.len(),
-        evidence.records.len(),
-        evidence.runs.len(),
-        evidence.memory_kb,
+        observations.records.len(),
+        observations.run_ids.len(),
+        observations.peak_memory_kb,
         result.violations.len(),
     );
     for violation in &result.violations {
-        println!("  {}: {}", violation.promise, violation.seen);
+        println!("  {}: {}", violation.promise, violation.observed);
     }
     if !result.violations.is_empty() {
         for fault in &result.faults {
--- a/crates/soak/src/promises.rs
+++ b/crates/soak/src/promises.rs
@@ -1,4 +1,4 @@
-//! What callers and operators are promised, checked on what a run brought to light.
+//! Checks the guarantees for callers and operators against the observations of a run.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -8,44 +8,44 @@
 use sedgeridge_platform_standins::documents::RESEND_LIMITS;
 use sedgeridge_platform_standins::documents::RouteKind;
 
-use crate::records::Evidence;
+use crate::records::Observations;
 use crate::records::Outcome;
 use crate::records::PlannedStop;
-use crate::records::Record;
+use crate::records::RequestRecord;
 
-/// Part of the requests in the quiet end that must be served. The rest is for requests that were on
-/// their way when a connection of the noisy part was found dead.
-const LEAST_SERVED: f64 = 0.98;
-/// Longest time to stop: the routers' grace time.
+/// Minimum share of requests in the quiet period that must be served. The rest allows for requests
+/// in flight when a connection that a fault broke is detected as dead.
+const MIN_SERVED_SHARE: f64 = 0.98;
+/// Maximum time to stop: the grace time in the settings of the routers.
 pub const GRACE: Duration = Duration::from_secs(4);
-/// Most memory of a router, from the bound on control a node.
-const MOST_MEMORY_KB: u64 = 64 * 1024;
-/// Window of the bound on resends.
+/// Maximum memory of a router, from the bound on the control memory of a node.
+const MAX_MEMORY_KB: u64 = 64 * 1024;
+/// Time window of the resend limit.
 const RESEND_WINDOW: Duration = Duration::from_secs(10);
 
-/// A promise that was broken.
+/// A broken guarantee.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Violation {
-    /// The promise.
+    /// The guarantee.
     pub promise: &'static str,
-    /// What was seen.
-    pub seen: String,
+    /// The observation that shows it.
+    pub observed: String,
 }
 
-/// Checks all promises.
-pub fn check(evidence: &Evidence) -> Vec<Violation> {
+/// Checks all guarantees.
+pub fn check(observations: &Observations) -> Vec<Violation> {
     let mut violations = Vec::new();
-    let mut report = |promise, seen: String| violations.push(Violation { promise, seen });
-    let runs = count_runs(&evidence.runs);
-    for record in &evidence.records {
+    let mut report = |promise, observed: String| violations.push(Violation { promise, observed });
+    let runs = count_runs(&observations.run_ids);
+    for record in &observations.records {
         check_answer(record, &mut report);
         check_runs(record, runs.get(record.id.as_str()).copied(), &mut report);
-        check_end(record, evidence, &mut report);
+        check_request_end(record, observations, &mut report);
     }
-    check_keys(evidence, &mut report);
-    check_calm(evidence, &mut report);
-    check_resends(evidence, &mut report);
-    check_processes(evidence, &mut report);
+    check_keys(observations, &mut report);
+    check_recovery(observations, &mut report);
+    check_resends(observations, &mut report);
+    check_processes(observations, &mut report);
     violations
 }
 
@@ -57,7 +57,7 @@
     counts
 }
 
-fn check_answer(record: &Record, report: &mut impl FnMut(&'static str, String)) {
+fn check_answer(record: &RequestRecord, report: &mut impl FnMut(&'static str, String)) {
     let wrong = match &record.outcome {
         Outcome::Answered { wrong, .. } | Outcome::Failed { wrong, .. } => wrong.as_deref(),
         Outcome::Hung => None,
@@ -73,12 +73,16 @@
     {
         report(
             "its own whole answer",
-            format!("{}: nobody vouches", record.id),
+            format!("{}: no endpoint stamp", record.id),
         );
     }
 }
 
-fn check_runs(record: &Record, runs: Option<usize>, report: &mut impl FnMut(&'static str, String)) {
+fn check_runs(
+    record: &RequestRecord,
+    runs: Option<usize>,
+    report: &mut impl FnMut(&'static str, String),
+) {
     let runs = runs.unwrap_or(0);
     let status = record.status().and_then(|code| code.try_into().ok());
     if runs > 0 && status.is_some_and(is_not_run_status) {
@@ -102,9 +106,13 @@
     }
 }
 
-fn check_end(record: &Record, evidence: &Evidence, report: &mut impl FnMut(&'static str, String)) {
+fn check_request_end(
+    record: &RequestRecord,
+    observations: &Observations,
+    report: &mut impl FnMut(&'static str, String),
+) {
     let is_disturbed = || {
-        evidence.disturbances.iter().any(|it| {
+        observations.disturbances.iter().any(|it| {
             it.router == record.router && it.from <= record.ended_at && it.to >= record.connected_at
         })
     };
@@ -115,12 +123,14 @@
         );
     }
     let is_lost = |stop: &PlannedStop| {
-        // What was sent at the moment of the signal may cross the close.
+        // A request sent at the moment of the signal may arrive after the router closes.
         let sent = record.sent_at + Duration::from_millis(20);
-        stop.router == record.router && sent < stop.asked_at && record.ended_at >= stop.asked_at
+        stop.router == record.router
+            && sent < stop.requested_at
+            && record.ended_at >= stop.requested_at
     };
     let has_failed = matches!(record.outcome, Outcome::Failed { was_sent: true, .. });
-    if has_failed && evidence.stops.iter().any(is_lost) {
+    if has_failed && observations.stops.iter().any(is_lost) {
         report(
             "nothing lost at a planned stop",
             format!("{} at {}", record.id, record.router),
@@ -128,21 +138,24 @@
     }
 }
 
-/// A router that has refused a revoked key must not accept it again; in the quiet end all refuse it.
-fn check_keys(evidence: &Evidence, report: &mut impl FnMut(&'static str, String)) {
-    let mut by_time: Vec<_> = evidence.records.iter().collect();
+/// Checks that a router that has refused a revoked key does not accept it again, and that all
+/// routers refuse it in the quiet period.
+fn check_keys(observations: &Observations, report: &mut impl FnMut(&'static str, String)) {
+    let mut by_time: Vec<_> = observations.records.iter().collect();
     by_time.sort_by_key(|record| record.ended_at);
     let mut refused = HashMap::new();
     for record in by_time.into_iter().filter(|record| record.is_revoked) {
-        let refused_at = refused.get(&(record.process, record.key)).copied();
+        let refused_at = refused
+            .get(&(record.process_id, record.key_generation))
+            .copied();
         match record.status() {
             Some(401) => {
-                refused.insert((record.process, record.key), record.ended_at);
+                refused.insert((record.process_id, record.key_generation), record.ended_at);
             }
             Some(200) if refused_at.is_some_and(|at| at < record.sent_at) => {
                 report("no way back to an old configuration", record.id.clone());
             }
-            Some(200) if record.sent_at >= evidence.calm.0 => {
+            Some(200) if record.sent_at >= observations.quiet_period.0 => {
                 report("a revoked key is refused", record.id.clone());
             }
             _ => {}
@@ -150,49 +163,58 @@
     }
 }
 
-fn check_calm(evidence: &Evidence, report: &mut impl FnMut(&'static str, String)) {
-    let (from, to) = evidence.calm;
+fn check_recovery(observations: &Observations, report: &mut impl FnMut(&'static str, String)) {
+    let (from, to) = observations.quiet_period;
     for kind in [
         RouteKind::Idempotent,
         RouteKind::AtMostOnce,
         RouteKind::Stream,
     ] {
-        let calm = evidence.records.iter().filter(|record| {
-            let is_calm = record.sent_at >= from && record.sent_at < to;
-            is_calm && record.kind == kind && !record.is_revoked
+        let in_period = observations.records.iter().filter(|record| {
+            let is_in_period = record.sent_at >= from && record.sent_at < to;
+            is_in_period && record.kind == kind && !record.is_revoked
         });
-        let calm: Vec<_> = calm.collect();
-        let served = calm.iter().filter(|record| record.is_served()).count();
-        if (served as f64) < calm.len() as f64 * LEAST_SERVED || calm.is_empty() {
-            let seen = format!("{kind:?}: {served} of {} served", calm.len());
-            report("recovery after the last fault", seen);
+        let in_period: Vec<_> = in_period.collect();
+        let served = in_period.iter().filter(|record| record.is_served()).count();
+        if (served as f64) < in_period.len() as f64 * MIN_SERVED_SHARE || in_period.is_empty() {
+            let observed = format!("{kind:?}: {served} of {} served", in_period.len());
+            report("recovery after the last fault", observed);
         }
     }
 }
 
-fn check_resends(evidence: &Evidence, report: &mut impl FnMut(&'static str, String)) {
+fn check_resends(observations: &Observations, report: &mut impl FnMut(&'static str, String)) {
     let (ratio, extra) = RESEND_LIMITS;
-    let first: HashSet<_> = evidence.runs.iter().collect();
-    let resends = evidence.runs.len() - first.len();
-    let windows = evidence.length.as_secs_f64() / RESEND_WINDOW.as_secs_f64() + 1.0;
-    let most = first.len() as f64 * ratio + extra * windows;
-    if resends as f64 > most {
-        report("the bound on resends", format!("{resends} of {most:.0}"));
+    let distinct: HashSet<_> = observations.run_ids.iter().collect();
+    let resends = observations.run_ids.len() - distinct.len();
+    let windows = observations.duration.as_secs_f64() / RESEND_WINDOW.as_secs_f64() + 1.0;
+    let max_resends = distinct.len() as f64 * ratio + extra * windows;
+    if resends as f64 > max_resends {
+        report(
+            "the bound on resends",
+            format!("{resends} of {max_resends:.0}"),
+        );
     }
 }
 
-fn check_processes(evidence: &Evidence, report: &mut impl FnMut(&'static str, String)) {
-    for (router, seen) in &evidence.own_exits {
-        report("no exit of its own", format!("router {router}: {seen}"));
+fn check_processes(observations: &Observations, report: &mut impl FnMut(&'static str, String)) {
+    for (router, observed) in &observations.unexpected_exits {
+        report("no exit of its own", format!("router {router}: {observed}"));
     }
-    for stop in &evidence.stops {
-        let took = stop.ended_at.map(|at| at.saturating_sub(stop.asked_at));
-        if !stop.is_clean || took.is_none_or(|took| took > GRACE) {
-            let seen = format!("router {}: {took:?}, clean: {}", stop.router, stop.is_clean);
-            report("a stop within the grace time", seen);
+    for stop in &observations.stops {
+        let stop_time = stop.ended_at.map(|at| at.saturating_sub(stop.requested_at));
+        if !stop.is_clean || stop_time.is_none_or(|stop_time| stop_time > GRACE) {
+            let observed = format!(
+                "router {}: {stop_time:?}, clean: {}",
+                stop.router, stop.is_clean
+            );
+            report("a stop within the grace time", observed);
         }
     }
-    if evidence.memory_kb > MOST_MEMORY_KB {
-        report("bounded memory", format!("{} KB", evidence.memory_kb));
+    if observations.peak_memory_kb > MAX_MEMORY_KB {
+        report(
+            "bounded memory",
+            format!("{} KB", observations.peak_memory_kb),
+        );
     }
 }
--- a/crates/soak/src/records.rs
+++ b/crates/soak/src/records.rs
@@ -1,4 +1,4 @@
-//! What callers saw.
+//! Records of requests, stops and exits in a run.
 
 use std::time::Duration;
 
@@ -8,53 +8,53 @@
 /// How a request ended.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub enum Outcome {
-    /// An answer came whole.
+    /// A complete answer arrived.
     Answered {
-        /// Its status.
+        /// The status.
         status: u16,
-        /// Whether an endpoint vouches for it.
+        /// Whether the answer has the stamp of an endpoint.
         is_vouched: bool,
-        /// What differs from the answer that the caller should get.
+        /// How the answer differs from the expected one.
         wrong: Option<String>,
     },
     /// The connection ended or could not be opened.
     Failed {
         /// Whether the request had been sent.
         was_sent: bool,
-        /// What differs from the answer, in the part that came.
+        /// How the received part differs from the expected answer.
         wrong: Option<String>,
     },
-    /// No final answer came within the caller's time and some more.
+    /// No final answer arrived within the hang timeout of the caller.
     Hung,
 }
 
 /// One request of a caller.
 #[derive(Debug, Clone)]
-pub struct Record {
-    /// Its id.
+pub struct RequestRecord {
+    /// Id of the request.
     pub id: String,
-    /// What its route allows.
+    /// Kind of the route.
     pub kind: RouteKind,
-    /// The router.
+    /// Index of the router.
     pub router: usize,
-    /// Which run of the router the connection was opened to.
-    pub process: u32,
-    /// When the connection was opened, since the start.
+    /// Process id of the router when the connection was opened.
+    pub process_id: u32,
+    /// When the connection was opened, since the start of the run.
     pub connected_at: Duration,
     /// When the request was sent.
     pub sent_at: Duration,
     /// When it ended.
     pub ended_at: Duration,
     /// Generation of the key.
-    pub key: u64,
-    /// Whether the key had been revoked when it was sent.
+    pub key_generation: u64,
+    /// Whether the key was already revoked when the request was sent.
     pub is_revoked: bool,
     /// How it ended.
     pub outcome: Outcome,
 }
 
-impl Record {
-    /// Returns the status of the answer, if one came.
+impl RequestRecord {
+    /// Returns the status of a complete answer.
     pub fn status(&self) -> Option<u16> {
         match &self.outcome {
             Outcome::Answered { status, .. } => Some(*status),
@@ -62,53 +62,53 @@
         }
     }
 
-    /// Tells whether the answer came whole and right.
+    /// Returns whether a complete answer with status 200 arrived.
     pub fn is_served(&self) -> bool {
         self.status() == Some(200)
     }
 }
 
-/// A time in which a router or its link to callers was disturbed.
+/// A period in which a fault affected a router or its link to callers.
 #[derive(Debug, Clone, Copy)]
 pub struct Disturbance {
     /// The router.
     pub router: usize,
-    /// Its beginning.
+    /// Start of the fault.
     pub from: Duration,
-    /// Its end, with what follows from it.
+    /// End of the fault and of its aftereffects.
     pub to: Duration,
 }
 
-/// A stop that the operator asked for.
+/// A stop that the operator requested.
 #[derive(Debug, Clone, Copy)]
 pub struct PlannedStop {
     /// The router.
     pub router: usize,
-    /// When it was asked.
-    pub asked_at: Duration,
-    /// When the process had ended.
+    /// When the stop was requested.
+    pub requested_at: Duration,
+    /// When the process had exited; `None` if it did not.
     pub ended_at: Option<Duration>,
-    /// Whether it ended well.
+    /// Whether it exited with success.
     pub is_clean: bool,
 }
 
-/// All that a run brought to light.
+/// Everything observed in a run.
 #[derive(Debug, Default)]
-pub struct Evidence {
+pub struct Observations {
     /// All requests.
-    pub records: Vec<Record>,
-    /// Ids of all runs at endpoints.
-    pub runs: Vec<String>,
-    /// Times in which a hanging request proves nothing.
+    pub records: Vec<RequestRecord>,
+    /// Request id of each run at an endpoint.
+    pub run_ids: Vec<String>,
+    /// Periods in which a hung request is not a violation.
     pub disturbances: Vec<Disturbance>,
-    /// Stops in the quiet end of the run, with no other fault.
+    /// Stops after the quiet period, while no fault is active.
     pub stops: Vec<PlannedStop>,
-    /// Routers that ended without being asked: number and what is known.
-    pub own_exits: Vec<(usize, String)>,
-    /// Beginning and end of the time after all faults in which everything has to work.
-    pub calm: (Duration, Duration),
-    /// Largest memory of any router at its end, in kilobytes.
-    pub memory_kb: u64,
-    /// Length of the whole run.
-    pub length: Duration,
+    /// Routers that exited without a request: index and exit status.
+    pub unexpected_exits: Vec<(usize, String)>,
+    /// Start and end of the period after all faults in which everything must work.
+    pub quiet_period: (Duration, Duration),
+    /// Highest memory observed in any router, in kilobytes.
+    pub peak_memory_kb: u64,
+    /// Duration of the whole run.
+    pub duration: Duration,
 }
--- a/crates/soak/src/routers.rs
+++ b/crates/soak/src/routers.rs
@@ -1,4 +1,4 @@
-//! The routers under test: real processes, started, signalled and watched from outside.
+//! Starts, signals and monitors the router processes under test.
 
 use std::fs;
 use std::fs::File;
@@ -23,28 +23,28 @@
 use crate::links::Link;
 use crate::promises::GRACE;
 
-/// Name of the program.
+/// File name of the router executable.
 const PROGRAM: &str = "sedgeridge-edge";
-/// Data centres over which routers and endpoints are spread.
+/// Number of data centres over which routers and endpoints are distributed.
 pub const DATA_CENTRES: usize = 2;
 
-/// One router.
+/// A router process with its settings and links.
 #[derive(Debug)]
 pub struct Router {
-    /// Its link to callers.
+    /// Link from callers to the router.
     pub callers_link: Link,
-    /// Its link to the store.
+    /// Link from the router to the store.
     pub store_link: Link,
     index: usize,
     ip: IpAddr,
     dir: PathBuf,
     binary: PathBuf,
     child: Option<Child>,
-    runs: u32,
+    start_count: u32,
 }
 
 impl Router {
-    /// Prepares a router; it is not started yet.
+    /// Creates the links and the settings file of a router without starting it.
     ///
     /// # Errors
     ///
@@ -53,7 +53,7 @@
         let ip = loopback(index);
         let callers_link = Link::to(SocketAddr::new(ip, CALLERS_PORT))?;
         let store_link = Link::to(store)?;
-        let form = SettingsSpec {
+        let spec = SettingsSpec {
             host: format!("router-{index}"),
             data_centre: format!("dc-{}", index % DATA_CENTRES),
             ip,
@@ -68,13 +68,13 @@
             dir: dir.to_owned(),
             binary: binary.to_owned(),
             child: None,
-            runs: 0,
+            start_count: 0,
         };
-        fs::write(router.settings_path(), settings(&form))?;
+        fs::write(router.settings_path(), settings(&spec))?;
         Ok(router)
     }
 
-    /// Starts the process, if it does not run.
+    /// Starts the process if it does not run.
     ///
     /// # Errors
     ///
@@ -83,8 +83,8 @@
         if self.child.is_some() {
             return Ok(());
         }
-        self.runs += 1;
-        let log = format!("router-{}-run-{}.log", self.index, self.runs);
+        self.start_count += 1;
+        let log = format!("router-{}-run-{}.log", self.index, self.start_count);
         let log = File::create(self.dir.join(log))?;
         let child = Command::new(&self.binary)
             .arg("--settings")
@@ -97,7 +97,7 @@
         Ok(())
     }
 
-    /// Sends a signal, if the process runs.
+    /// Sends a signal if the process runs.
     ///
     /// # Errors
     ///
@@ -109,11 +109,11 @@
         }
     }
 
-    /// Tells whether the process has ended, and if so whether by a clean exit.
+    /// Returns how the process exited, once; `None` while it runs or when it was not started.
     ///
     /// # Errors
     ///
-    /// The process cannot be asked for.
+    /// The status of the process cannot be read.
     pub fn take_exit(&mut self) -> io::Result<Option<Exit>> {
         let Some(child) = &mut self.child else {
             return Ok(None);
@@ -124,26 +124,26 @@
         self.child = None;
         Ok(Some(Exit {
             is_clean: status.success(),
-            seen: status.to_string(),
+            status: status.to_string(),
         }))
     }
 
-    /// Returns the process's id, 0 while none runs.
+    /// Returns the process id, 0 while none runs.
     pub fn process(&self) -> u32 {
         self.child.as_ref().map_or(0, Child::id)
     }
 
-    /// Returns where it accepts callers, without its link to them.
+    /// Returns the address on which the router accepts callers, bypassing the link.
     pub fn callers_address(&self) -> SocketAddr {
         SocketAddr::new(self.ip, CALLERS_PORT)
     }
 
-    /// Returns where it tells whether it is ready.
+    /// Returns the address of the readiness check.
     pub fn ready_address(&self) -> SocketAddr {
         SocketAddr::new(self.ip, READY_PORT)
     }
 
-    /// Returns the memory of the process in kilobytes, 0 if it does not run.
+    /// Returns the resident memory of the process in kilobytes, 0 if it does not run.
     pub fn memory_kb(&self) -> u64 {
         resident_bytes(self.process()).unwrap_or(0) / 1_024
     }
@@ -156,39 +156,40 @@
 impl Drop for Router {
     fn drop(&mut self) {
         if let Some(child) = &mut self.child {
-            // It may have ended by itself; then there is nothing to end.
+            // Fails if the process has already exited.
             let _ = child.kill();
             let _ = child.wait();
         }
     }
 }
 
-/// How a process ended.
+/// How a process exited.
 #[derive(Debug, Clone)]
 pub struct Exit {
-    /// Whether it said that all is well.
+    /// Whether the exit status is success.
     pub is_clean: bool,
-    /// What the system says of it.
-    pub seen: String,
+    /// Text of the exit status.
+    pub status: String,
 }
 
-/// Returns the path of the routers' program, which lies beside this one or one directory above.
+/// Returns the path of the router executable, which is in the directory of this one or its parent.
 ///
 /// # Errors
 ///
-/// It has not been built.
+/// The executable has not been built.
 pub fn find_program() -> io::Result<PathBuf> {
     let own = std::env::current_exe()?;
-    let beside = own.ancestors().skip(1).take(2);
-    let mut found = beside
+    let directories = own.ancestors().skip(1).take(2);
+    let mut candidates = directories
         .map(|dir| dir.join(PROGRAM))
         .filter(|it| it.is_file());
-    found
+    candidates
         .next()
         .ok_or_else(|| io::Error::other(format!("{PROGRAM} is not built")))
 }
 
-/// Addresses differ between runs at the same time, since a router's ports are fixed.
+/// Returns the loopback address of a router. It depends on the process id, because the ports of a
+/// router are fixed and soak runs may take place at the same time.
 fn loopback(index: usize) -> IpAddr {
     let own = std::process::id();
     let [_, _, high, low] = own.to_be_bytes();
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -1,4 +1,5 @@
-//! One run: start everything, let faults come, wait, watch the quiet end, stop, check.
+//! One soak run: starts everything, injects faults, waits, observes a quiet period, stops the
+//! routers and checks the guarantees.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -20,48 +21,48 @@
 use tokio::time::sleep;
 
 use crate::callers;
-use crate::callers::Shared;
-use crate::links::misbehave;
+use crate::callers::SharedState;
+use crate::links::inject_fault;
 use crate::promises::GRACE;
 use crate::promises::Violation;
 use crate::promises::check;
 use crate::records::Disturbance;
-use crate::records::Evidence;
+use crate::records::Observations;
 use crate::records::PlannedStop;
 use crate::routers::Router;
 use crate::routers::find_program;
 use crate::schedule::Fault;
-use crate::schedule::Planned;
+use crate::schedule::PlannedFault;
 use crate::schedule::Targets;
-use crate::schedule::draw;
+use crate::schedule::plan_faults;
 use crate::site::Site;
 
-/// Time in which all routers have to be ready after their start.
-const START_TIME: Duration = Duration::from_secs(10);
-/// Time from the end of the last fault to the quiet end: a silent connection to the store is found
-/// dead after 3.2 s, and entries settle.
+/// Time within which all routers must become ready.
+const START_TIMEOUT: Duration = Duration::from_secs(10);
+/// Time from the end of the last fault to the quiet period. A silent connection to the store is
+/// detected as dead after 3.2 s, and entries need time to settle.
 const SETTLE_TIME: Duration = Duration::from_secs(5);
-/// Length of the quiet end.
-const CALM_TIME: Duration = Duration::from_secs(3);
-/// Time between looks at processes and readiness.
+/// Duration of the quiet period.
+const QUIET_TIME: Duration = Duration::from_secs(3);
+/// Interval between checks of process_ids and readiness.
 const WATCH_INTERVAL: Duration = Duration::from_millis(40);
-/// Time after which a disturbance of a router has no more effect on requests.
-const AFTER_EFFECT: Duration = Duration::from_millis(1_500);
-/// Longest wait for an answer about readiness.
+/// Time after the end of a disturbance in which it may still affect requests.
+const AFTEREFFECT_TIME: Duration = Duration::from_millis(1_500);
+/// Timeout of a readiness check.
 const READY_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Size, length and seed of a run.
+/// Size, duration and seed of a run.
 #[derive(Debug, Clone)]
 pub struct RunConfig {
-    /// Seed of the faults and of the callers.
+    /// Seed of the faults and callers.
     pub seed: u64,
-    /// Time in which faults come.
-    pub faults_for: Duration,
-    /// Routers.
+    /// Time during which faults are injected.
+    pub fault_period: Duration,
+    /// Number of routers.
     pub routers: usize,
-    /// Endpoints, half of them for streams.
+    /// Number of endpoints, half of them for streams.
     pub endpoints: usize,
-    /// Callers.
+    /// Number of callers.
     pub callers: u64,
     /// Directory for settings and logs.
     pub dir: PathBuf,
@@ -71,7 +72,7 @@
     fn default() -> Self {
         Self {
             seed: 1,
-            faults_for: Duration::from_secs(12),
+            fault_period: Duration::from_secs(12),
             routers: 4,
             endpoints: 6,
             callers: 24,
@@ -80,67 +81,67 @@
     }
 }
 
-/// What a run showed.
+/// Result of a run.
 #[derive(Debug)]
 pub struct RunResult {
-    /// Broken promises.
+    /// Broken guarantees.
     pub violations: Vec<Violation>,
-    /// Faults that came.
-    pub faults: Vec<Planned>,
-    /// What the violations were found in.
-    pub evidence: Evidence,
+    /// Injected faults.
+    pub faults: Vec<PlannedFault>,
+    /// Observations in which the violations were found.
+    pub observations: Observations,
 }
 
 /// Runs the soak once. The clock starts with the run.
 ///
 /// # Errors
 ///
-/// Something around the routers failed; this says nothing about them.
+/// Something other than the routers failed, so the run says nothing about them.
 pub fn run<C: Clock + 'static>(config: &RunConfig, clock: C) -> io::Result<RunResult> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
     let mut result = LocalSet::new().block_on(&runtime, run_all(config, clock))?;
-    result.violations = check(&result.evidence);
+    result.violations = check(&result.observations);
     Ok(result)
 }
 
-/// The running parts, steered by one task.
-struct Steering<C> {
+/// All parts of a run, which one task controls.
+struct SoakRun<C> {
     site: Site,
     routers: Vec<Router>,
-    shared: Rc<Shared<C>>,
-    evidence: Evidence,
-    /// Whether each router is meant to run; an exit of another one is its own.
-    is_meant_to_run: Vec<bool>,
+    shared: Rc<SharedState<C>>,
+    observations: Observations,
+    /// Whether each router should run; an unclean exit of one that should is unexpected.
+    should_run: Vec<bool>,
 }
 
 async fn run_all<C: Clock + 'static>(config: &RunConfig, clock: C) -> io::Result<RunResult> {
     fs::create_dir_all(&config.dir)?;
-    let mut steering = Steering::start(config, clock)?;
-    steering.wait_until_ready().await?;
+    let mut soak = SoakRun::start(config, clock)?;
+    soak.wait_until_ready().await?;
     for number in 0..config.callers {
-        spawn_local(callers::run(steering.shared.clone(), number, config.seed));
+        spawn_local(callers::run(soak.shared.clone(), number, config.seed));
     }
     let targets = Targets {
         routers: config.routers as u64,
         endpoints: config.endpoints as u64,
     };
-    let faults = draw(config.seed, targets, config.faults_for);
-    steering.play(&faults).await?;
-    steering.watch_for(SETTLE_TIME).await?;
-    let calm_from = steering.shared.now();
-    steering.watch_for(CALM_TIME).await?;
-    steering.evidence.calm = (calm_from, steering.shared.now());
-    steering.stop_all().await?;
+    let faults = plan_faults(config.seed, targets, config.fault_period);
+    soak.inject_faults(&faults).await?;
+    soak.watch_for(SETTLE_TIME).await?;
+    let quiet_from = soak.shared.now();
+    soak.watch_for(QUIET_TIME).await?;
+    soak.observations.quiet_period = (quiet_from, soak.shared.now());
+    soak.stop_all().await?;
     Ok(RunResult {
         violations: Vec::new(),
         faults,
-        evidence: steering.into_evidence(),
+        observations: soak.into_observations(),
     })
 }
 
-impl<C: Clock + 'static> Steering<C> {
+impl<C: Clock + 'static> SoakRun<C> {
     fn start(config: &RunConfig, clock: C) -> io::Result<Self> {
         let program = find_program()?;
         let site = Site::start(config.endpoints)?;
@@ -151,26 +152,26 @@
             router.start()?;
         }
         let addresses = routers.iter().map(|router| router.callers_link.address());
-        let shared = Shared {
+        let shared = SharedState {
             clock,
             addresses: addresses.collect(),
-            processes: RefCell::new(routers.iter().map(Router::process).collect()),
+            process_ids: RefCell::new(routers.iter().map(Router::process).collect()),
             ready: RefCell::new(vec![false; routers.len()]),
-            key: Cell::new((site.generation(), Duration::ZERO)),
-            goes_on: Cell::new(true),
+            newest_key: Cell::new((site.generation(), Duration::ZERO)),
+            keep_sending: Cell::new(true),
             records: RefCell::default(),
         };
         Ok(Self {
-            is_meant_to_run: vec![true; routers.len()],
+            should_run: vec![true; routers.len()],
             site,
             routers,
             shared: Rc::new(shared),
-            evidence: Evidence::default(),
+            observations: Observations::default(),
         })
     }
 
     async fn wait_until_ready(&mut self) -> io::Result<()> {
-        let ends_at = self.shared.now() + START_TIME;
+        let ends_at = self.shared.now() + START_TIMEOUT;
         while self.shared.now() < ends_at {
             self.watch().await?;
             if self.shared.ready.borrow().iter().all(|ready| *ready) {
@@ -181,87 +182,97 @@
         Err(io::Error::other("the routers did not become ready"))
     }
 
-    /// Lets faults begin and end at their times.
-    async fn play(&mut self, faults: &[Planned]) -> io::Result<()> {
-        let begins = faults.iter().map(|fault| (fault.at, true, *fault));
+    /// Starts and ends faults at their times.
+    async fn inject_faults(&mut self, faults: &[PlannedFault]) -> io::Result<()> {
+        let starts = faults.iter().map(|fault| (fault.at, true, *fault));
         let ends = faults
             .iter()
             .map(|fault| (fault.at + fault.length, false, *fault));
-        let mut moments: Vec<_> = begins.chain(ends).collect();
-        moments.sort_by_key(|(at, _, _)| *at);
+        let mut transitions: Vec<_> = starts.chain(ends).collect();
+        transitions.sort_by_key(|(at, _, _)| *at);
         let start = self.shared.now();
-        for (at, is_beginning, planned) in moments {
-            let left = (start + at).saturating_sub(self.shared.now());
-            self.watch_for(left).await?;
-            match is_beginning {
-                true => self.begin(&planned)?,
-                false => self.end(&planned)?,
+        for (at, is_start, planned) in transitions {
+            let remaining = (start + at).saturating_sub(self.shared.now());
+            self.watch_for(remaining).await?;
+            match is_start {
+                true => self.start_fault(&planned)?,
+                false => self.end_fault(&planned)?,
             }
         }
         Ok(())
     }
 
-    fn begin(&mut self, planned: &Planned) -> io::Result<()> {
+    fn start_fault(&mut self, planned: &PlannedFault) -> io::Result<()> {
         match planned.fault {
             Fault::Kill(router) => {
-                self.is_meant_to_run[router as usize] = false;
-                self.disturb(router, planned);
+                self.should_run[router as usize] = false;
+                self.record_disturbance(router, planned);
                 self.routers[router as usize].signal(Signal::Kill)?;
             }
             Fault::Stop(router) => {
-                self.is_meant_to_run[router as usize] = false;
+                self.should_run[router as usize] = false;
                 self.routers[router as usize].signal(Signal::Terminate)?;
             }
             Fault::Pause(router) => {
-                self.disturb(router, planned);
+                self.record_disturbance(router, planned);
                 self.routers[router as usize].signal(Signal::Stop)?;
             }
             Fault::Reload(router) => self.routers[router as usize].signal(Signal::Reload)?,
             Fault::CallersLink(router, fault) => {
-                self.disturb(router, planned);
-                self.routers[router as usize].callers_link.begin(fault)?;
+                self.record_disturbance(router, planned);
+                self.routers[router as usize]
+                    .callers_link
+                    .start_fault(fault)?;
             }
             Fault::StoreLink(router, fault) => {
-                self.routers[router as usize].store_link.begin(fault)?;
+                self.routers[router as usize]
+                    .store_link
+                    .start_fault(fault)?;
             }
             Fault::EndpointLink(endpoint, fault) => {
-                self.site.endpoints[endpoint as usize].link.begin(fault)?;
+                self.site.endpoints[endpoint as usize]
+                    .link
+                    .start_fault(fault)?;
             }
-            Fault::Store(fault) => misbehave(&self.site.store, fault, planned.length)?,
+            Fault::Store(fault) => inject_fault(&self.site.store, fault, planned.length)?,
             Fault::StoreForgets => self.site.rows.forget_history(),
             Fault::Endpoint(endpoint, fault) => {
                 let endpoint = &self.site.endpoints[endpoint as usize];
-                misbehave(&endpoint.server, fault, planned.length)?;
+                inject_fault(&endpoint.server, fault, planned.length)?;
             }
             Fault::Leave(endpoint) => {
-                self.site.endpoints[endpoint as usize].list(&self.site.rows, true);
+                self.site.endpoints[endpoint as usize].put_entry(&self.site.rows, true);
             }
             Fault::ChangeKeys => {
                 self.site.change_keys();
                 let now = self.shared.now();
-                self.shared.key.set((self.site.generation(), now));
+                self.shared.newest_key.set((self.site.generation(), now));
             }
         }
         Ok(())
     }
 
-    fn end(&mut self, planned: &Planned) -> io::Result<()> {
+    fn end_fault(&mut self, planned: &PlannedFault) -> io::Result<()> {
         match planned.fault {
             Fault::Kill(router) | Fault::Stop(router) => {
-                self.is_meant_to_run[router as usize] = true;
+                self.should_run[router as usize] = true;
             }
             Fault::Pause(router) => self.routers[router as usize].signal(Signal::Continue)?,
             Fault::CallersLink(router, fault) => {
-                self.routers[router as usize].callers_link.end(fault)?;
+                self.routers[router as usize]
+                    .callers_link
+                    .end_fault(fault)?;
             }
             Fault::StoreLink(router, fault) => {
-                self.routers[router as usize].store_link.end(fault)?;
+                self.routers[router as usize].store_link.end_fault(fault)?;
             }
             Fault::EndpointLink(endpoint, fault) => {
-                self.site.endpoints[endpoint as usize].link.end(fault)?;
+                self.site.endpoints[endpoint as usize]
+                    .link
+                    .end_fault(fault)?;
             }
             Fault::Leave(endpoint) => {
-                self.site.endpoints[endpoint as usize].come_back(&self.site.rows);
+                self.site.endpoints[endpoint as usize].relist(&self.site.rows);
             }
             Fault::Reload(_)
             | Fault::Store(_)
@@ -272,12 +283,12 @@
         Ok(())
     }
 
-    fn disturb(&mut self, router: u64, planned: &Planned) {
+    fn record_disturbance(&mut self, router: u64, planned: &PlannedFault) {
         let from = self.shared.now();
-        self.evidence.disturbances.push(Disturbance {
+        self.observations.disturbances.push(Disturbance {
             router: router as usize,
             from,
-            to: from + planned.length + AFTER_EFFECT,
+            to: from + planned.length + AFTEREFFECT_TIME,
         });
     }
 
@@ -285,31 +296,34 @@
         let ends_at = self.shared.now() + time;
         loop {
             self.watch().await?;
-            let left = ends_at.saturating_sub(self.shared.now());
-            if left.is_zero() {
+            let remaining = ends_at.saturating_sub(self.shared.now());
+            if remaining.is_zero() {
                 return Ok(());
             }
-            sleep(left.min(WATCH_INTERVAL)).await;
+            sleep(remaining.min(WATCH_INTERVAL)).await;
         }
     }
 
-    /// Starts routers that are meant to run, notes exits, and asks who is ready.
+    /// Records exits and memory, starts routers that should run, and checks readiness.
     async fn watch(&mut self) -> io::Result<()> {
         for (index, router) in self.routers.iter_mut().enumerate() {
             if let Some(exit) = router.take_exit()?
                 && !exit.is_clean
-                && self.is_meant_to_run[index]
-                && !was_killed(&self.evidence, index, self.shared.now())
+                && self.should_run[index]
+                && !is_disturbed(&self.observations, index, self.shared.now())
             {
-                self.evidence.own_exits.push((index, exit.seen));
+                self.observations
+                    .unexpected_exits
+                    .push((index, exit.status));
             }
-            // Before the start: for a moment after it the system tells this process's own memory for that
-            // of its child, 46 to 56 MB where a router has 8.
-            self.evidence.memory_kb = self.evidence.memory_kb.max(router.memory_kb());
-            if self.is_meant_to_run[index] {
+            // Measured before the start: right after it, the system reports the memory of this
+            // process for its child, 46 to 56 MB where a router uses 8.
+            self.observations.peak_memory_kb =
+                self.observations.peak_memory_kb.max(router.memory_kb());
+            if self.should_run[index] {
                 router.start()?;
             }
-            self.shared.processes.borrow_mut()[index] = router.process();
+            self.shared.process_ids.borrow_mut()[index] = router.process();
         }
         for index in 0..self.routers.len() {
             let is_ready = is_ready(self.routers[index].ready_address()).await;
@@ -318,22 +332,22 @@
         Ok(())
     }
 
-    /// Stops the routers one after the other while callers go on.
+    /// Stops the routers one after another. Callers keep sending until the last one.
     async fn stop_all(&mut self) -> io::Result<()> {
         for index in 0..self.routers.len() {
             if index + 1 == self.routers.len() {
-                self.shared.goes_on.set(false);
+                self.shared.keep_sending.set(false);
             }
-            self.is_meant_to_run[index] = false;
-            let asked_at = self.shared.now();
+            self.should_run[index] = false;
+            let requested_at = self.shared.now();
             self.routers[index].signal(Signal::Terminate)?;
             let mut stop = PlannedStop {
                 router: index,
-                asked_at,
+                requested_at,
                 ended_at: None,
                 is_clean: false,
             };
-            while self.shared.now() < asked_at + GRACE + AFTER_EFFECT {
+            while self.shared.now() < requested_at + GRACE + AFTEREFFECT_TIME {
                 self.shared.ready.borrow_mut()[index] = false;
                 if let Some(exit) = self.routers[index].take_exit()? {
                     stop.ended_at = Some(self.shared.now());
@@ -342,24 +356,25 @@
                 }
                 sleep(WATCH_INTERVAL).await;
             }
-            self.evidence.stops.push(stop);
+            self.observations.stops.push(stop);
         }
         Ok(())
     }
 
-    fn into_evidence(self) -> Evidence {
-        Evidence {
+    fn into_observations(self) -> Observations {
+        Observations {
             records: self.shared.records.take(),
-            runs: self.site.runs.ids(),
-            length: self.shared.now(),
-            ..self.evidence
+            run_ids: self.site.runs.ids(),
+            duration: self.shared.now(),
+            ..self.observations
         }
     }
 }
 
-/// A process that was killed may be seen to end only after its fault.
-fn was_killed(evidence: &Evidence, router: usize, now: Duration) -> bool {
-    let mut of_router = evidence
+/// Whether the router is in a period of disturbance. The exit of a killed process may be noticed
+/// only after the fault has ended.
+fn is_disturbed(observations: &Observations, router: usize, now: Duration) -> bool {
+    let mut of_router = observations
         .disturbances
         .iter()
         .filter(|it| it.router == router);
@@ -367,11 +382,11 @@
 }
 
 async fn is_ready(address: SocketAddr) -> bool {
-    let asked = tokio::task::spawn_blocking(move || ask_ready(address));
-    asked.await.is_ok_and(|answer| answer.unwrap_or(false))
+    let check = tokio::task::spawn_blocking(move || check_ready(address));
+    check.await.is_ok_and(|answer| answer.unwrap_or(false))
 }
 
-fn ask_ready(address: SocketAddr) -> io::Result<bool> {
+fn check_ready(address: SocketAddr) -> io::Result<bool> {
     let mut stream = TcpStream::connect_timeout(&address, READY_TIMEOUT)?;
     stream.set_read_timeout(Some(READY_TIMEOUT))?;
     write!(
--- a/crates/soak/src/schedule.rs
+++ b/crates/soak/src/schedule.rs
@@ -1,121 +1,121 @@
-//! Which faults come when: the same seed gives the same schedule.
+//! Plans random faults; the same seed gives the same schedule.
 
 use std::time::Duration;
 
 use sedgeridge_coordination::random::SeededRandom;
 use serde::Serialize;
 
-/// Shortest and longest time between the beginnings of two faults. Most faults last longer, so that
-/// four or five overlap as a rule.
-const GAP_MS: (u64, u64) = (60, 500);
-/// Shortest and longest time of a fault.
-const LENGTH_MS: (u64, u64) = (150, 3_000);
-/// Longest delay of a slow link, store or endpoint.
-const MOST_DELAY_MS: u64 = 400;
+/// Bounds of the time between the starts of two faults. Most faults last longer, so usually four or
+/// five overlap.
+const FAULT_GAP_MS: (u64, u64) = (60, 500);
+/// Bounds of the duration of a fault.
+const FAULT_DURATION_MS: (u64, u64) = (150, 3_000);
+/// Maximum delay of a slow link, store or endpoint.
+const MAX_DELAY_MS: u64 = 400;
 
-/// Sizes of what may be hit.
+/// Numbers of routers and endpoints that faults may affect.
 #[derive(Debug, Clone, Copy)]
 pub struct Targets {
-    /// Routers.
+    /// Number of routers.
     pub routers: u64,
-    /// Endpoints.
+    /// Number of endpoints.
     pub endpoints: u64,
 }
 
-/// What a link does to its connections.
+/// A fault of a link.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub enum LinkFault {
-    /// Delays each byte.
+    /// Delays each byte by this many milliseconds.
     Delay(u64),
-    /// Resets all connections, and new ones.
+    /// Closes all open connections, and new ones at once.
     Reset,
-    /// Holds all bytes back; connections stay open.
+    /// Holds back all bytes; connections stay open.
     Hold,
-    /// Swallows all bytes of the open connections; new ones work.
+    /// Discards all bytes of the open connections; new ones work.
     Silence,
 }
 
-/// What goes wrong with a server.
+/// A fault of a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub enum ServerFault {
-    /// It answers 503 without a word on whether the request ran.
+    /// Answers 503 without saying whether the request ran.
     Outage,
-    /// It works, and then closes the connection without the answer, or within it.
+    /// Does the work, then closes the connection before or during the answer.
     LostAnswers,
-    /// It closes each connection on which it has read a request.
+    /// Closes each connection after reading a request.
     Closes,
-    /// It waits before the work.
+    /// Waits this many milliseconds before the work.
     Slow(u64),
-    /// It waits between the work and the answer.
+    /// Waits this many milliseconds between the work and the answer.
     Late(u64),
 }
 
-/// A fault; numbers name what is hit.
+/// A fault; numbers are indices of routers or endpoints.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub enum Fault {
-    /// A router is killed, and started again at the end.
+    /// Kills a router and restarts it at the end.
     Kill(u64),
-    /// A router is asked to stop, and started again at the end.
+    /// Stops a router and restarts it at the end.
     Stop(u64),
-    /// A router is frozen until the end.
+    /// Suspends the process of a router until the end.
     Pause(u64),
-    /// A router is told to read its settings again.
+    /// Makes a router reload its settings.
     Reload(u64),
-    /// The link between callers and a router.
+    /// A fault of the link between callers and a router.
     CallersLink(u64, LinkFault),
-    /// The link between a router and the store.
+    /// A fault of the link between a router and the store.
     StoreLink(u64, LinkFault),
-    /// The link between all routers and an endpoint.
+    /// A fault of the link between all routers and an endpoint.
     EndpointLink(u64, LinkFault),
-    /// The store.
+    /// A fault of the store.
     Store(ServerFault),
-    /// The store forgets its history.
+    /// The store drops its history.
     StoreForgets,
-    /// An endpoint.
+    /// A fault of an endpoint.
     Endpoint(u64, ServerFault),
-    /// An endpoint says that it leaves, leaves, and comes back as another one.
+    /// Marks an endpoint as leaving, then removes it and lists it again under a new id.
     Leave(u64),
     /// The operator changes keys.
     ChangeKeys,
 }
 
-/// A fault with its time.
+/// A fault with its start and duration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
-pub struct Planned {
-    /// When it begins, since the start of the run.
+pub struct PlannedFault {
+    /// Start of the fault, since faults began to be injected.
     pub at: Duration,
-    /// How long it lasts.
+    /// Duration of the fault.
     pub length: Duration,
-    /// What happens.
+    /// The fault.
     pub fault: Fault,
 }
 
-/// Draws the faults of a run. All end before `end`.
+/// Plans the faults of a run at random. All end before `end`.
 ///
 /// ```
 /// use std::time::Duration;
-/// use sedgeridge_soak::schedule::{Targets, draw};
+/// use sedgeridge_soak::schedule::{Targets, plan_faults};
 ///
 /// let targets = Targets { routers: 3, endpoints: 4 };
-/// let drawn = draw(7, targets, Duration::from_secs(10));
-/// assert_eq!(drawn, draw(7, targets, Duration::from_secs(10)));
+/// let planned = plan_faults(7, targets, Duration::from_secs(10));
+/// assert_eq!(planned, plan_faults(7, targets, Duration::from_secs(10)));
 /// ```
-pub fn draw(seed: u64, targets: Targets, end: Duration) -> Vec<Planned> {
+pub fn plan_faults(seed: u64, targets: Targets, end: Duration) -> Vec<PlannedFault> {
     let mut random = SeededRandom::new(seed);
     let mut planned = Vec::new();
     let mut at = Duration::ZERO;
     loop {
-        at += between(&mut random, GAP_MS);
-        let length = between(&mut random, LENGTH_MS);
-        let fault = draw_fault(&mut random, targets);
+        at += random_duration(&mut random, FAULT_GAP_MS);
+        let length = random_duration(&mut random, FAULT_DURATION_MS);
+        let fault = random_fault(&mut random, targets);
         if at + length >= end {
             return planned;
         }
-        planned.push(Planned { at, length, fault });
+        planned.push(PlannedFault { at, length, fault });
     }
 }
 
-fn draw_fault(random: &mut SeededRandom, targets: Targets) -> Fault {
+fn random_fault(random: &mut SeededRandom, targets: Targets) -> Fault {
     let router = random.below(targets.routers);
     let endpoint = random.below(targets.endpoints);
     match random.below(20) {
@@ -123,36 +123,36 @@
         2 | 3 => Fault::Stop(router),
         4 => Fault::Pause(router),
         5 => Fault::Reload(router),
-        6 => Fault::CallersLink(router, draw_link_fault(random)),
-        7 | 8 => Fault::StoreLink(router, draw_link_fault(random)),
-        9..=12 => Fault::EndpointLink(endpoint, draw_link_fault(random)),
-        13 => Fault::Store(draw_server_fault(random)),
+        6 => Fault::CallersLink(router, random_link_fault(random)),
+        7 | 8 => Fault::StoreLink(router, random_link_fault(random)),
+        9..=12 => Fault::EndpointLink(endpoint, random_link_fault(random)),
+        13 => Fault::Store(random_server_fault(random)),
         14 => Fault::StoreForgets,
-        15..=17 => Fault::Endpoint(endpoint, draw_server_fault(random)),
+        15..=17 => Fault::Endpoint(endpoint, random_server_fault(random)),
         18 => Fault::Leave(endpoint),
         _ => Fault::ChangeKeys,
     }
 }
 
-fn draw_link_fault(random: &mut SeededRandom) -> LinkFault {
+fn random_link_fault(random: &mut SeededRandom) -> LinkFault {
     match random.below(4) {
-        0 => LinkFault::Delay(1 + random.below(MOST_DELAY_MS)),
+        0 => LinkFault::Delay(1 + random.below(MAX_DELAY_MS)),
         1 => LinkFault::Reset,
         2 => LinkFault::Hold,
         _ => LinkFault::Silence,
     }
 }
 
-fn draw_server_fault(random: &mut SeededRandom) -> ServerFault {
+fn random_server_fault(random: &mut SeededRandom) -> ServerFault {
     match random.below(5) {
         0 => ServerFault::Outage,
         1 => ServerFault::LostAnswers,
         2 => ServerFault::Closes,
-        3 => ServerFault::Slow(1 + random.below(MOST_DELAY_MS)),
-        _ => ServerFault::Late(1 + random.below(MOST_DELAY_MS)),
+        3 => ServerFault::Slow(1 + random.below(MAX_DELAY_MS)),
+        _ => ServerFault::Late(1 + random.below(MAX_DELAY_MS)),
     }
 }
 
-fn between(random: &mut SeededRandom, (low, high): (u64, u64)) -> Duration {
+fn random_duration(random: &mut SeededRandom, (low, high): (u64, u64)) -> Duration {
     Duration::from_millis(low + random.below(high - low))
 }
--- a/crates/soak/src/site.rs
+++ b/crates/soak/src/site.rs
@@ -1,4 +1,4 @@
-//! Everything around the routers: the store, endpoints, the operator.
+//! The environment of the routers: store, endpoints and operator.
 
 use std::cell::Cell;
 use std::io;
@@ -28,14 +28,14 @@
 
 /// Host name that callers address.
 pub const HOST: &str = "desk.example";
-/// Longest time of a request, by route and by caller.
+/// Timeout of a request, in the route and at the caller.
 pub const TIMEOUT: Duration = Duration::from_secs(2);
-/// Requests that an endpoint runs at once; the callers of a usual run do not fill it.
+/// Maximum number of running requests of an endpoint; the callers of a usual run do not reach it.
 const SLOTS: u32 = 16;
 const STREAM_SERVICE: &str = "streams";
 const WHOLE_SERVICE: &str = "answers";
 
-/// Returns the path of requests that allow this.
+/// Returns the path of the route of a kind.
 pub fn path(kind: RouteKind) -> &'static str {
     match kind {
         RouteKind::Idempotent => "/read/",
@@ -44,7 +44,7 @@
     }
 }
 
-/// Returns the key of a generation. Two of them are valid at a time.
+/// Returns the key of a generation. The two newest generations are valid.
 pub fn key(generation: u64) -> String {
     format!("key-{generation}")
 }
@@ -52,33 +52,33 @@
 /// The store, the endpoints and the operator.
 #[derive(Debug)]
 pub struct Site {
-    /// What the endpoints ran.
+    /// Log of the runs at all endpoints.
     pub runs: RunLog,
-    /// The store.
+    /// Server of the store.
     pub store: RunningServer,
-    /// The store's rows.
+    /// Rows of the store.
     pub rows: StoreRows,
     /// The endpoints.
     pub endpoints: Vec<SoakEndpoint>,
     generation: Cell<u64>,
 }
 
-/// One endpoint.
+/// An endpoint with its link and its entry in the store.
 #[derive(Debug)]
 pub struct SoakEndpoint {
-    /// Its server.
+    /// Server of the endpoint.
     pub server: RunningServer,
-    /// The link from all routers.
+    /// Link from all routers to the endpoint.
     pub link: Link,
-    listed: ListedId,
+    listed_id: ListedId,
     service: &'static str,
     data_centre: String,
     index: usize,
-    life: Cell<u32>,
+    incarnation: Cell<u32>,
 }
 
 impl Site {
-    /// Starts everything, lists the endpoints and writes the first configuration.
+    /// Starts the store and endpoints, lists the endpoints and writes the first configuration.
     ///
     /// # Errors
     ///
@@ -95,23 +95,23 @@
             generation: Cell::new(1),
         };
         for endpoint in &site.endpoints {
-            endpoint.list(&site.rows, false);
+            endpoint.put_entry(&site.rows, false);
         }
         site.write_config();
         Ok(site)
     }
 
-    /// Returns the store's address.
+    /// Returns the address of the store.
     pub fn store_address(&self) -> SocketAddr {
         self.store.address()
     }
 
-    /// Returns the newest generation of keys.
+    /// Returns the newest key generation.
     pub fn generation(&self) -> u64 {
         self.generation.get()
     }
 
-    /// Brings in a new key; the one before the last is no longer valid.
+    /// Adds a new key and revokes the older of the two valid ones.
     pub fn change_keys(&self) {
         self.generation.set(self.generation.get() + 1);
         self.write_config();
@@ -151,8 +151,8 @@
 
 impl SoakEndpoint {
     fn start(index: usize, runs: &RunLog) -> io::Result<Self> {
-        let listed = ListedId::new(&id(index, 0));
-        let server = endpoint::spawn(listed.clone(), runs.clone(), StreamShape::default())?;
+        let listed_id = ListedId::new(&endpoint_id(index, 0));
+        let server = endpoint::spawn(listed_id.clone(), runs.clone(), StreamShape::default())?;
         let link = Link::to(server.address())?;
         let service = match index % 2 {
             0 => STREAM_SERVICE,
@@ -161,16 +161,16 @@
         Ok(Self {
             server,
             link,
-            listed,
+            listed_id,
             service,
             data_centre: format!("dc-{}", index / 2 % DATA_CENTRES),
             index,
-            life: Cell::new(0),
+            incarnation: Cell::new(0),
         })
     }
 
-    /// Lists the endpoint, or changes its entry.
-    pub fn list(&self, rows: &StoreRows, is_leaving: bool) {
+    /// Writes the entry of the endpoint to the store.
+    pub fn put_entry(&self, rows: &StoreRows, is_leaving: bool) {
         let entry = documents::endpoint(&EndpointSpec {
             service: self.service.to_owned(),
             address: self.link.address(),
@@ -182,19 +182,19 @@
         rows.put(ENDPOINTS_TABLE, &self.id(), &entry);
     }
 
-    /// Ends this life of the endpoint, and begins another one.
-    pub fn come_back(&self, rows: &StoreRows) {
+    /// Removes the entry of the endpoint and lists the endpoint again under a new id.
+    pub fn relist(&self, rows: &StoreRows) {
         rows.remove(ENDPOINTS_TABLE, &self.id());
-        self.life.set(self.life.get() + 1);
-        self.listed.set(&self.id());
-        self.list(rows, false);
+        self.incarnation.set(self.incarnation.get() + 1);
+        self.listed_id.set(&self.id());
+        self.put_entry(rows, false);
     }
 
     fn id(&self) -> String {
-        id(self.index, self.life.get())
+        endpoint_id(self.index, self.incarnation.get())
     }
 }
 
-fn id(index: usize, life: u32) -> String {
-    format!("endpoint-{index}-{life}")
+fn endpoint_id(index: usize, incarnation: u32) -> String {
+    format!("endpoint-{index}-{incarnation}")
 }
--- a/crates/soak/tests/promises.rs
+++ b/crates/soak/tests/promises.rs
@@ -1,14 +1,14 @@
-//! Each check of the soak finds the fault that it is for, in evidence made by hand.
+//! Each check of the soak test must detect its violation in hand-made observations.
 
 use std::time::Duration;
 
 use sedgeridge_platform_standins::documents::RouteKind;
 use sedgeridge_soak::promises::check;
 use sedgeridge_soak::records::Disturbance;
-use sedgeridge_soak::records::Evidence;
+use sedgeridge_soak::records::Observations;
 use sedgeridge_soak::records::Outcome;
 use sedgeridge_soak::records::PlannedStop;
-use sedgeridge_soak::records::Record;
+use sedgeridge_soak::records::RequestRecord;
 use yare::parameterized;
 
 const KINDS: [RouteKind; 3] = [
@@ -44,23 +44,24 @@
     }
 }
 
-fn record(id: &str, kind: RouteKind, sent_ms: u64, outcome: Outcome) -> Record {
-    Record {
+fn record(id: &str, kind: RouteKind, sent_ms: u64, outcome: Outcome) -> RequestRecord {
+    RequestRecord {
         id: id.to_owned(),
         kind,
         router: 0,
-        process: 7,
+        process_id: 7,
         connected_at: at(0),
         sent_at: at(sent_ms),
         ended_at: at(sent_ms + 100),
-        key: 1,
+        key_generation: 1,
         is_revoked: false,
         outcome,
     }
 }
 
-/// A run in which all went well: some requests of each kind in the quiet end from 10 to 13 s.
-fn good() -> Evidence {
+/// Observations of a run without violations: requests of each kind in the quiet period from 10 to
+/// 13 s.
+fn valid_run() -> Observations {
     let records = KINDS.iter().enumerate().flat_map(|(index, kind)| {
         (0..50).map(move |n| {
             record(
@@ -72,31 +73,31 @@
         })
     });
     let records: Vec<_> = records.collect();
-    Evidence {
-        runs: records.iter().map(|record| record.id.clone()).collect(),
+    Observations {
+        run_ids: records.iter().map(|record| record.id.clone()).collect(),
         records,
-        calm: (at(10_000), at(13_000)),
-        length: at(14_000),
-        memory_kb: 9_000,
-        ..Evidence::default()
+        quiet_period: (at(10_000), at(13_000)),
+        duration: at(14_000),
+        peak_memory_kb: 9_000,
+        ..Observations::default()
     }
 }
 
-/// Adds a request from the noisy part, with as many runs.
-fn with(outcome: Outcome, kind: RouteKind, runs: usize) -> Evidence {
-    let mut evidence = good();
-    evidence.records.push(record("x", kind, 5_000, outcome));
-    evidence.runs.extend(vec!["x".to_owned(); runs]);
-    evidence
+/// Adds a request sent before the quiet period that ran `runs` times.
+fn valid_run_with(outcome: Outcome, kind: RouteKind, runs: usize) -> Observations {
+    let mut observations = valid_run();
+    observations.records.push(record("x", kind, 5_000, outcome));
+    observations.run_ids.extend(vec!["x".to_owned(); runs]);
+    observations
 }
 
-fn broken(evidence: &Evidence) -> Vec<&'static str> {
-    check(evidence).iter().map(|it| it.promise).collect()
+fn broken_promises(observations: &Observations) -> Vec<&'static str> {
+    check(observations).iter().map(|it| it.promise).collect()
 }
 
 #[test]
 fn a_good_run_breaks_nothing() {
-    assert_eq!(check(&good()), []);
+    assert_eq!(check(&valid_run()), []);
 }
 
 #[parameterized(
@@ -116,7 +117,10 @@
     runs: usize,
     promise: &'static str,
 ) {
-    assert_eq!(broken(&with(outcome, kind, runs)), [promise]);
+    assert_eq!(
+        broken_promises(&valid_run_with(outcome, kind, runs)),
+        [promise]
+    );
 }
 
 #[parameterized(
@@ -125,24 +129,24 @@
     run_again = { answered(200), RouteKind::Idempotent, 2 },
 )]
 fn what_is_allowed_is_not_reported(outcome: Outcome, kind: RouteKind, runs: usize) {
-    assert_eq!(check(&with(outcome, kind, runs)), []);
+    assert_eq!(check(&valid_run_with(outcome, kind, runs)), []);
 }
 
 #[test]
 fn a_hanging_request_proves_nothing_while_its_router_is_disturbed() {
-    let mut evidence = with(Outcome::Hung, RouteKind::Idempotent, 1);
-    evidence.disturbances.push(Disturbance {
+    let mut observations = valid_run_with(Outcome::Hung, RouteKind::Idempotent, 1);
+    observations.disturbances.push(Disturbance {
         router: 0,
         from: at(5_050),
         to: at(5_080),
     });
-    assert_eq!(check(&evidence), []);
+    assert_eq!(check(&observations), []);
 }
 
 fn stop(router: usize, ended_ms: Option<u64>, is_clean: bool) -> PlannedStop {
     PlannedStop {
         router,
-        asked_at: at(5_050),
+        requested_at: at(5_050),
         ended_at: ended_ms.map(at),
         is_clean,
     }
@@ -150,9 +154,12 @@
 
 #[test]
 fn a_request_lost_at_a_planned_stop_is_found() {
-    let mut evidence = with(failed(None), RouteKind::Stream, 1);
-    evidence.stops.push(stop(0, Some(6_000), true));
-    assert_eq!(broken(&evidence), ["nothing lost at a planned stop"]);
+    let mut observations = valid_run_with(failed(None), RouteKind::Stream, 1);
+    observations.stops.push(stop(0, Some(6_000), true));
+    assert_eq!(
+        broken_promises(&observations),
+        ["nothing lost at a planned stop"]
+    );
 }
 
 #[parameterized(
@@ -161,56 +168,76 @@
     unclean = { Some(6_000), false },
 )]
 fn a_bad_stop_is_found(ended_ms: Option<u64>, is_clean: bool) {
-    let mut evidence = good();
-    evidence.stops.push(stop(1, ended_ms, is_clean));
-    assert_eq!(broken(&evidence), ["a stop within the grace time"]);
+    let mut observations = valid_run();
+    observations.stops.push(stop(1, ended_ms, is_clean));
+    assert_eq!(
+        broken_promises(&observations),
+        ["a stop within the grace time"]
+    );
 }
 
 #[test]
 fn a_way_back_to_an_old_key_is_found() {
-    let mut evidence = good();
+    let mut observations = valid_run();
     for (sent_ms, status) in [(5_000, 401), (6_000, 200)] {
         let id = format!("k{status}");
         let mut probe = record(&id, RouteKind::Idempotent, sent_ms, answered(status));
         probe.is_revoked = true;
-        evidence.records.push(probe);
+        observations.records.push(probe);
     }
-    evidence.runs.push("k200".to_owned());
-    assert_eq!(broken(&evidence), ["no way back to an old configuration"]);
+    observations.run_ids.push("k200".to_owned());
+    assert_eq!(
+        broken_promises(&observations),
+        ["no way back to an old configuration"]
+    );
 }
 
 #[test]
 fn a_revoked_key_that_still_works_in_the_quiet_end_is_found() {
-    let mut evidence = good();
+    let mut observations = valid_run();
     let mut probe = record("k", RouteKind::Idempotent, 11_000, answered(200));
     probe.is_revoked = true;
-    evidence.records.push(probe);
-    evidence.runs.push("k".to_owned());
-    assert_eq!(broken(&evidence), ["a revoked key is refused"]);
+    observations.records.push(probe);
+    observations.run_ids.push("k".to_owned());
+    assert_eq!(broken_promises(&observations), ["a revoked key is refused"]);
 }
 
 #[test]
 fn requests_refused_in_the_quiet_end_are_found() {
-    let mut evidence = good();
+    let mut observations = valid_run();
     for n in 0..3 {
         let refused = record(&format!("r{n}"), RouteKind::Stream, 11_000, answered(503));
-        evidence.records.push(refused);
+        observations.records.push(refused);
     }
-    assert_eq!(broken(&evidence), ["recovery after the last fault"]);
+    assert_eq!(
+        broken_promises(&observations),
+        ["recovery after the last fault"]
+    );
 }
 
 #[test]
 fn too_many_resends_are_found() {
-    let mut evidence = good();
-    let again: Vec<_> = evidence.runs.iter().cycle().take(250).cloned().collect();
-    evidence.runs.extend(again);
-    assert!(broken(&evidence).contains(&"the bound on resends"));
+    let mut observations = valid_run();
+    let again: Vec<_> = observations
+        .run_ids
+        .iter()
+        .cycle()
+        .take(250)
+        .cloned()
+        .collect();
+    observations.run_ids.extend(again);
+    assert!(broken_promises(&observations).contains(&"the bound on resends"));
 }
 
 #[test]
 fn an_exit_of_its_own_and_too_much_memory_are_found() {
-    let mut evidence = good();
-    evidence.own_exits.push((2, "signal: 6".to_owned()));
-    evidence.memory_kb = 70_000;
-    assert_eq!(broken(&evidence), ["no exit of its own", "bounded memory"]);
+    let mut observations = valid_run();
+    observations
+        .unexpected_exits
+        .push((2, "signal: 6".to_owned()));
+    observations.peak_memory_kb = 70_000;
+    assert_eq!(
+        broken_promises(&observations),
+        ["no exit of its own", "bounded memory"]
+    );
 }
