--- a/crates/coordinator/src/run.rs
+++ b/crates/coordinator/src/run.rs
@@ -12,7 +12,7 @@
 use sedgeridge_state::settings::Settings;
 use sedgeridge_transport::clock::ProcessClock;
 use sedgeridge_transport::clock::incarnation_from_wall_clock;
-use sedgeridge_transport::coordinator_core::COORDINATOR_RING_LEN;
+use sedgeridge_transport::coordinator_core::COORDINATOR_CHANNEL_LEN;
 use sedgeridge_transport::coordinator_core::CoordinatorCore;
 use sedgeridge_transport::directory::Directory;
 use sedgeridge_transport::event_log::LogEvent;
@@ -20,7 +20,7 @@
 use sedgeridge_transport::host_start::RunError;
 use sedgeridge_transport::operator::serve_operator_pages;
 use sedgeridge_transport::operator::start_metrics;
-use sedgeridge_transport::status::StatusBoard;
+use sedgeridge_transport::status::SharedStatus;
 use sedgeridge_transport::stop_signal::on_stop_signal;
 
 /// Runs the coordinator until it is told to stop.
@@ -35,8 +35,8 @@
         host: host.id.clone(),
         incarnation: incarnation_from_wall_clock(),
     };
-    let status = StatusBoard::default();
-    let (inputs, inbox) = sync_channel(COORDINATOR_RING_LEN);
+    let status = SharedStatus::default();
+    let (inputs, inbox) = sync_channel(COORDINATOR_CHANNEL_LEN);
     serve_operator_pages(address, start_metrics()?, status.clone(), None)?;
     let core = CoordinatorCore::new(
         ProcessClock::start(),
--- a/crates/router/src/run.rs
+++ b/crates/router/src/run.rs
@@ -10,7 +10,7 @@
 use sedgeridge_state::settings::Settings;
 use sedgeridge_transport::clock::ProcessClock;
 use sedgeridge_transport::clock::incarnation_from_wall_clock;
-use sedgeridge_transport::core::CORE_RING_LEN;
+use sedgeridge_transport::core::CORE_CHANNEL_LEN;
 use sedgeridge_transport::core::Core;
 use sedgeridge_transport::core::CoreInput;
 use sedgeridge_transport::directory::SharedDirectory;
@@ -24,8 +24,8 @@
 use sedgeridge_transport::operator::start_metrics;
 use sedgeridge_transport::peers::PeerSockets;
 use sedgeridge_transport::peers::Peers;
-use sedgeridge_transport::peers::peer_ring;
-use sedgeridge_transport::status::StatusBoard;
+use sedgeridge_transport::peers::peer_channel;
+use sedgeridge_transport::status::SharedStatus;
 use sedgeridge_transport::stop_signal::on_stop_signal;
 use tokio::sync::watch;
 
@@ -38,8 +38,8 @@
     };
     let held_bodies = HeldBodies::new(&settings.front);
     let directory = SharedDirectory::new(settings);
-    let status = StatusBoard::default();
-    let (inputs, inbox) = sync_channel(CORE_RING_LEN);
+    let status = SharedStatus::default();
+    let (inputs, inbox) = sync_channel(CORE_CHANNEL_LEN);
     let (stop_front, front_stops) = watch::channel(false);
     let drains = Some(inputs.clone());
     serve_operator_pages(
@@ -62,7 +62,7 @@
         core: inputs.clone(),
     };
     let sockets = PeerSockets::bind(host.peer_address)?;
-    let (peer_sender, peer_outbox) = peer_ring();
+    let (peer_sender, peer_outbox) = peer_channel();
     thread::Builder::new()
         .name("peers".into())
         .spawn(move || peers.run(sockets, peer_outbox))?;
--- a/crates/transport/src/answer.rs
+++ b/crates/transport/src/answer.rs
@@ -9,7 +9,7 @@
 use sedgeridge_coordination::refusal::RefusalReason;
 
 /// Parts of one answer that may wait for a slow caller; a full ring holds the endpoint back.
-pub const ANSWER_RING_LEN: usize = 32;
+pub const ANSWER_CHANNEL_LEN: usize = 32;
 
 /// One part of an answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -28,12 +28,12 @@
     /// The body is whole.
     End,
     /// The request is given up.
-    GivenUp(GivenUp),
+    Refusal(Refusal),
 }
 
 /// Final answer of a request that is refused or given up.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct GivenUp {
+pub struct Refusal {
     /// Why.
     pub reason: RefusalReason,
     /// Whether it ran.
--- a/crates/transport/src/answer_pass.rs
+++ b/crates/transport/src/answer_forwarding.rs
@@ -18,12 +18,12 @@
 use ureq::Body;
 
 use crate::answer::AnswerPart;
-use crate::answer_room::EventRoom;
-use crate::answer_room::MAX_EVENT_BYTES;
-use crate::answer_room::WholeRoom;
+use crate::answer_memory::EventRoom;
+use crate::answer_memory::MAX_EVENT_BYTES;
+use crate::answer_memory::WholeRoom;
 use crate::call::AnswerForm;
 use crate::core::CoreInput;
-use crate::endpoint_call::AttemptOrder;
+use crate::endpoint_call::AttemptSpec;
 use crate::endpoint_call::body_failure;
 use crate::recorded::Recorder;
 
@@ -34,7 +34,7 @@
 
 /// Reads a whole answer and passes it on; a broken one never reaches the caller.
 pub(crate) fn pass_whole(
-    order: &AttemptOrder,
+    order: &AttemptSpec,
     response: http::Response<Body>,
     first_byte: Duration,
     room: &WholeRoom<'_>,
@@ -83,7 +83,7 @@
 
 /// Passes a stream on event by event, counting output tokens so that it can be resumed.
 pub(crate) fn pass_stream(
-    order: &AttemptOrder,
+    order: &AttemptSpec,
     response: http::Response<Body>,
     first_byte: Duration,
     core: &SyncSender<CoreInput>,
@@ -129,7 +129,7 @@
 ///
 /// A request that may not be repeated runs to its end although its caller is gone: cutting it off
 /// would leave its effect unknown, while its recorded answer serves the caller who comes back.
-fn pass(order: &AttemptOrder, recorder: &mut Recorder, part: AnswerPart) -> Result<(), CallerGone> {
+fn pass(order: &AttemptSpec, recorder: &mut Recorder, part: AnswerPart) -> Result<(), CallerGone> {
     recorder.take(&part);
     let sent = order.answer.blocking_send(part);
     if sent.is_err() && order.call.repeatable {
@@ -138,7 +138,7 @@
     Ok(())
 }
 
-fn whole_failed(order: &AttemptOrder, failure: AttemptFailure) -> AttemptEnd {
+fn whole_failed(order: &AttemptSpec, failure: AttemptFailure) -> AttemptEnd {
     AttemptEnd::Failed {
         failure,
         sent_tokens: order.resume_after_tokens,
@@ -147,7 +147,7 @@
     }
 }
 
-fn head_of(order: &AttemptOrder, response: &http::Response<Body>) -> AnswerPart {
+fn head_of(order: &AttemptSpec, response: &http::Response<Body>) -> AnswerPart {
     let content_type = response.headers().get(http::header::CONTENT_TYPE);
     AnswerPart::Head {
         status: response.status().as_u16(),
@@ -163,7 +163,7 @@
     response.headers().get(name)?.to_str().ok()?.parse().ok()
 }
 
-fn charge(order: &AttemptOrder, usage: &Usage, output_tokens: u64) -> u64 {
+fn charge(order: &AttemptSpec, usage: &Usage, output_tokens: u64) -> u64 {
     let uncached_tokens = usage.prompt_tokens.saturating_sub(usage.cached_tokens);
     uncached_tokens + order.output_token_factor * output_tokens
 }
@@ -176,7 +176,7 @@
 }
 
 struct EventStream<'a> {
-    order: &'a AttemptOrder,
+    order: &'a AttemptSpec,
     core: &'a SyncSender<CoreInput>,
     recorder: &'a mut Recorder,
     room: EventRoom,
@@ -188,7 +188,7 @@
 
 impl<'a> EventStream<'a> {
     fn new(
-        order: &'a AttemptOrder,
+        order: &'a AttemptSpec,
         core: &'a SyncSender<CoreInput>,
         recorder: &'a mut Recorder,
     ) -> Self {
--- a/crates/transport/src/byte_budget.rs
+++ b/crates/transport/src/byte_budget.rs
@@ -45,14 +45,14 @@
     /// use sedgeridge_transport::byte_budget::ByteBudget;
     ///
     /// let whole = ByteBudget::new(100);
-    /// let part = whole.part(60);
+    /// let part = whole.sub_budget(60);
     /// let held = part.reserve(60).expect("all of the part is free");
     /// assert!(part.reserve(1).is_none());
     /// assert!(whole.reserve(41).is_none());
     /// drop(held);
     /// assert!(whole.reserve(100).is_some());
     /// ```
-    pub fn part(&self, max_bytes: u64) -> Self {
+    pub fn sub_budget(&self, max_bytes: u64) -> Self {
         Self::within(max_bytes, Some(Arc::clone(&self.pool)))
     }
 
--- a/crates/transport/src/caller_headers.rs
+++ b/crates/transport/src/caller_headers.rs
@@ -12,7 +12,7 @@
 
 use crate::directory::Directory;
 use crate::front_request::BadRequest;
-use crate::front_request::bad;
+use crate::front_request::bad_request;
 
 /// Longest name of a request or key that is accepted.
 const MAX_ID_BYTES: usize = 128;
@@ -137,11 +137,11 @@
 }
 
 fn malformed(detail: String) -> BadRequest {
-    bad(RefusalReason::BadRequest, detail)
+    bad_request(RefusalReason::BadRequest, detail)
 }
 
 fn unauthorized(found: &str) -> BadRequest {
     let name = AUTHORIZATION.as_str();
     let detail = format!("{name}: {found}, expected {KEY_SCHEME} KEY with the key of an account");
-    bad(RefusalReason::Unauthorized, detail)
+    bad_request(RefusalReason::Unauthorized, detail)
 }
--- a/crates/transport/src/chat_body.rs
+++ b/crates/transport/src/chat_body.rs
@@ -10,7 +10,7 @@
 use crate::caller_headers::shown;
 use crate::caller_headers::text_header;
 use crate::front_request::BadRequest;
-use crate::front_request::bad;
+use crate::front_request::bad_request;
 
 /// Media type of a chat request.
 const JSON: &str = "application/json";
@@ -121,5 +121,5 @@
 }
 
 fn malformed(detail: String) -> BadRequest {
-    bad(RefusalReason::BadRequest, detail)
+    bad_request(RefusalReason::BadRequest, detail)
 }
--- a/crates/transport/src/config_reads.rs
+++ b/crates/transport/src/config_reads.rs
@@ -29,7 +29,7 @@
 use crate::table_calls::TableClient;
 
 /// Reads that may wait for the thread.
-const READ_RING_LEN: usize = 16;
+const READ_CHANNEL_LEN: usize = 16;
 
 /// Ring to the thread that reads the configuration.
 #[derive(Debug)]
@@ -48,7 +48,7 @@
         inputs: &SyncSender<I>,
         wrap: fn(ConfigEvent<ConfigContent>) -> I,
     ) -> io::Result<Self> {
-        let (ring, reads) = sync_channel(READ_RING_LEN);
+        let (ring, reads) = sync_channel(READ_CHANNEL_LEN);
         let client = client.clone();
         let inputs = inputs.clone();
         thread::Builder::new()
--- a/crates/transport/src/coordinator_calls.rs
+++ b/crates/transport/src/coordinator_calls.rs
@@ -33,9 +33,9 @@
 use crate::event_log::log_warn;
 
 /// Threads that call; an engine that hangs over an order holds one of them.
-const CALLERS: usize = 8;
+const CALL_THREADS: usize = 8;
 /// Calls that may wait for a thread; one that finds no room counts as unanswered.
-const CALL_RING_LEN: usize = 256;
+const CALL_CHANNEL_LEN: usize = 256;
 /// Longest time to open a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// Longest time for a call that an engine or router answers at once.
@@ -103,7 +103,7 @@
         answer_timeout: Duration,
         inputs: SyncSender<CoordinatorEvent>,
     ) -> io::Result<Self> {
-        let (ring, calls) = sync_channel(CALL_RING_LEN);
+        let (ring, calls) = sync_channel(CALL_CHANNEL_LEN);
         let calls = Arc::new(Mutex::new(calls));
         let caller = Caller {
             clock,
@@ -111,7 +111,7 @@
             short: agent(SHORT_TIMEOUT),
             inputs,
         };
-        for index in 0..CALLERS {
+        for index in 0..CALL_THREADS {
             let calls = Arc::clone(&calls);
             let caller = caller.clone();
             thread::Builder::new()
--- a/crates/transport/src/coordinator_core.rs
+++ b/crates/transport/src/coordinator_core.rs
@@ -32,13 +32,13 @@
 use crate::event_log::log_info;
 use crate::event_log::log_warn;
 use crate::load_reads::LoadReads;
-use crate::status::StatusBoard;
-use crate::table_calls::CALLERS;
+use crate::status::SharedStatus;
+use crate::table_calls::CALL_THREADS;
 use crate::table_calls::TableCalls;
 use crate::table_calls::TableClient;
 
 /// Events that may wait for the core.
-pub const COORDINATOR_RING_LEN: usize = 1_024;
+pub const COORDINATOR_CHANNEL_LEN: usize = 1_024;
 /// Time between two ticks.
 const TICK: Duration = Duration::from_millis(50);
 /// Longest time that a stopping coordinator tries to give its lease back; after it the next holder
@@ -62,7 +62,7 @@
     config_reads: ConfigReads,
     load_reads: LoadReads,
     calls: CoordinatorCalls,
-    status: StatusBoard<CoordinatorStatus>,
+    status: SharedStatus<CoordinatorStatus>,
     stopping_since: Option<Duration>,
     drains_announced: usize,
 }
@@ -79,7 +79,7 @@
         settings: CoordinatorSettings,
         directory: Arc<Directory>,
         inputs: &SyncSender<CoordinatorEvent>,
-        status: StatusBoard<CoordinatorStatus>,
+        status: SharedStatus<CoordinatorStatus>,
     ) -> io::Result<Self> {
         let platform = &directory.settings.platform;
         let call_timeout = millis(platform.call_timeout_ms);
@@ -91,7 +91,7 @@
             lease_table: TableCalls::start(&client, LEASE_CALLERS, inputs, |event| {
                 ended(CoordinatorPart::Lease, event)
             })?,
-            order_table: TableCalls::start(&client, CALLERS, inputs, |event| {
+            order_table: TableCalls::start(&client, CALL_THREADS, inputs, |event| {
                 ended(CoordinatorPart::Orders, event)
             })?,
             sweep_table: TableCalls::start(&client, SWEEP_CALLERS, inputs, |event| {
@@ -131,7 +131,7 @@
 
     fn take(&mut self, event: CoordinatorEvent) {
         match &event {
-            CoordinatorEvent::LoadRead { endpoint, .. } => self.load_reads.ended(endpoint),
+            CoordinatorEvent::LoadRead { endpoint, .. } => self.load_reads.read_ended(endpoint),
             CoordinatorEvent::StopRequested => {
                 let open = self.coordinator.open_orders().count();
                 log_info(
@@ -190,7 +190,7 @@
             }
             CoordinatorAction::ReadLoad { endpoint } => {
                 if let Some(address) = self.address(&endpoint) {
-                    self.load_reads.ask(&endpoint, address);
+                    self.load_reads.start_read(&endpoint, address);
                 }
             }
             CoordinatorAction::AnnounceDrain { endpoint } => {
--- a/crates/transport/src/coordinator_status.rs
+++ b/crates/transport/src/coordinator_status.rs
@@ -11,11 +11,11 @@
 use sedgeridge_state::ids::Member;
 use sedgeridge_state::lease_record::LeaseRecord;
 
-use crate::status::StatusBoard;
+use crate::status::SharedStatus;
 
 /// Publishes a coordinator's state as it is now.
 pub(crate) fn publish(
-    board: &StatusBoard<CoordinatorStatus>,
+    board: &SharedStatus<CoordinatorStatus>,
     member: &Member,
     coordinator: &Coordinator,
     now: Duration,
--- a/crates/transport/src/core.rs
+++ b/crates/transport/src/core.rs
@@ -37,13 +37,13 @@
 
 use crate::answer::AnswerPart;
 use crate::answer::AnswerSender;
-use crate::answer::GivenUp;
+use crate::answer::Refusal;
 use crate::call::Call;
 use crate::clock::unix_ms;
 use crate::config_reads::ConfigReads;
 use crate::directory::Directory;
 use crate::directory::SharedDirectory;
-use crate::endpoint_call::EndedCall;
+use crate::endpoint_call::AttemptResult;
 use crate::endpoint_call::EndpointClients;
 use crate::endpoint_workers::EndpointWorkers;
 use crate::endpoint_workers::WorkerId;
@@ -54,13 +54,13 @@
 use crate::peers::PeerSender;
 use crate::router_pages::Phase;
 use crate::router_pages::RouterPublisher;
-use crate::status::StatusBoard;
-use crate::table_calls::CALLERS;
+use crate::status::SharedStatus;
+use crate::table_calls::CALL_THREADS;
 use crate::table_calls::TableCalls;
 use crate::table_calls::TableClient;
 
 /// Events that may wait for the core; a full ring refuses new requests.
-pub const CORE_RING_LEN: usize = 8_192;
+pub const CORE_CHANNEL_LEN: usize = 8_192;
 /// Longest time between two ticks.
 const MAX_TICK: Duration = Duration::from_millis(20);
 /// Shortest time between two ticks, so that a late timer cannot keep the thread busy.
@@ -102,7 +102,7 @@
         /// The attempt.
         attempt: AttemptKey,
         /// How it ended.
-        ended: EndedCall,
+        ended: AttemptResult,
         /// The worker, idle now.
         worker: WorkerId,
     },
@@ -184,7 +184,7 @@
         shared_directory: SharedDirectory,
         inputs: SyncSender<CoreInput>,
         peers: PeerSender,
-        status: StatusBoard,
+        status: SharedStatus,
     ) -> io::Result<Self> {
         let directory = shared_directory.current();
         let clients = EndpointClients::new(&directory.settings.health);
@@ -195,7 +195,7 @@
         let platform = &directory.settings.platform;
         let call_timeout = millis(platform.call_timeout_ms);
         let client = TableClient::new(platform.table_address, call_timeout);
-        let table = TableCalls::start(&client, CALLERS, &inputs, CoreInput::StoreEnded)?;
+        let table = TableCalls::start(&client, CALL_THREADS, &inputs, CoreInput::StoreEnded)?;
         let config_reads = ConfigReads::start(&client, &inputs, CoreInput::ConfigRead)?;
         if let Some(address) = platform.host_list_address {
             start_host_list_reads(address, call_timeout, &inputs, CoreInput::HostList)?;
@@ -271,14 +271,14 @@
                     answer,
                 } = *new;
                 if !self.ready {
-                    let not_ready = GivenUp {
+                    let not_ready = Refusal {
                         reason: RefusalReason::NotReady,
                         outcome: Outcome::NotRun,
                         retry_after: Some(NOT_READY_RETRY_AFTER),
                         detail: "no configuration is in force here yet".to_owned(),
                     };
                     count_refusal(arrival.key, &not_ready);
-                    let _ = answer.try_send(AnswerPart::GivenUp(not_ready));
+                    let _ = answer.try_send(AnswerPart::Refusal(not_ready));
                     return;
                 }
                 let pending = Pending {
@@ -300,7 +300,7 @@
                 ended,
                 worker,
             } => {
-                self.workers.idle(worker);
+                self.workers.release(worker);
                 self.attempt_ended(attempt, ended);
             }
             CoreInput::StoreEnded(event) => self.event(NodeEvent::StoreEnded(event)),
@@ -316,7 +316,7 @@
                 charged_tokens,
             }),
             CoreInput::LoadRead { endpoint, load } => {
-                self.load_reads.ended(&endpoint);
+                self.load_reads.read_ended(&endpoint);
                 self.event(NodeEvent::LoadRead { endpoint, load });
             }
             CoreInput::HostList(hosts) => self.event(NodeEvent::HostList(hosts)),
@@ -336,11 +336,11 @@
         }
     }
 
-    fn attempt_ended(&mut self, attempt: AttemptKey, ended: EndedCall) {
+    fn attempt_ended(&mut self, attempt: AttemptKey, ended: AttemptResult) {
         let Some(key) = self.running.remove(&attempt) else {
             return;
         };
-        let EndedCall { end, recorded } = ended;
+        let AttemptResult { end, recorded } = ended;
         if matches!(
             end,
             AttemptEnd::Finished { .. } | AttemptEnd::CallerGone { .. }
@@ -374,7 +374,7 @@
     }
 }
 
-fn count_refusal(key: RequestKey, given_up: &GivenUp) {
+fn count_refusal(key: RequestKey, given_up: &Refusal) {
     let reason = given_up.reason.as_str();
     counter!("sedgeridge_refusals_total", "reason" => reason).increment(1);
     let outcome = given_up.outcome.as_str();
--- a/crates/transport/src/core/actions.rs
+++ b/crates/transport/src/core/actions.rs
@@ -17,16 +17,16 @@
 use sedgeridge_state::ids::Member;
 
 use crate::answer::AnswerPart;
-use crate::answer::GivenUp;
+use crate::answer::Refusal;
 use crate::core::Core;
 use crate::core::CoreInput;
 use crate::core::count_refusal;
-use crate::endpoint_call::AttemptOrder;
-use crate::endpoint_call::EndedCall;
+use crate::endpoint_call::AttemptResult;
+use crate::endpoint_call::AttemptSpec;
 use crate::event_log::LogEvent;
 use crate::event_log::log_info;
 use crate::event_log::log_warn;
-use crate::peers::PeerOut;
+use crate::peers::OutgoingMessage;
 use crate::peers::PeerPayload;
 use crate::recorded::replayed;
 
@@ -35,7 +35,7 @@
         match action {
             NodeAction::Start(start) => self.start(&start),
             NodeAction::GiveUp(give_up) => {
-                let given_up = GivenUp {
+                let given_up = Refusal {
                     reason: give_up.reason,
                     outcome: give_up.outcome,
                     retry_after: give_up.retry_after,
@@ -84,7 +84,7 @@
             }
             NodeAction::ReadLoad { endpoint } => {
                 if let Some(known) = self.directory.endpoint(&endpoint) {
-                    self.load_reads.ask(&endpoint, known.address);
+                    self.load_reads.start_read(&endpoint, known.address);
                 }
             }
             NodeAction::MembersChanged(live) => {
@@ -113,7 +113,7 @@
                 charged_tokens: 0,
                 head_sent: start.head_sent,
             };
-            let ended = EndedCall {
+            let ended = AttemptResult {
                 end,
                 recorded: None,
             };
@@ -121,14 +121,14 @@
         }
     }
 
-    pub(super) fn order(&self, start: &StartAttempt) -> Option<AttemptOrder> {
+    pub(super) fn order(&self, start: &StartAttempt) -> Option<AttemptSpec> {
         let pending = self.pending.get(&start.key)?;
         let endpoint = self.directory.endpoint(&start.endpoint)?;
         let attempt_id = AttemptId {
             member: self.member.clone(),
             sequence: start.attempt.0,
         };
-        Some(AttemptOrder {
+        Some(AttemptSpec {
             attempt: start.attempt,
             call: pending.call.clone(),
             address: endpoint.address,
@@ -153,12 +153,12 @@
         }
     }
 
-    pub(super) fn give_up(&mut self, key: RequestKey, given_up: GivenUp) {
+    pub(super) fn give_up(&mut self, key: RequestKey, given_up: Refusal) {
         count_refusal(key, &given_up);
         if let Some(pending) = self.pending.remove(&key) {
             // A ring that is full belongs to a caller who stopped reading in the middle of a
             // stream; dropping the sender ends the stream without its end mark.
-            let _ = pending.answer.try_send(AnswerPart::GivenUp(given_up));
+            let _ = pending.answer.try_send(AnswerPart::Refusal(given_up));
         }
     }
 
@@ -176,7 +176,7 @@
             counter!("sedgeridge_peer_drops_total", "reason" => "unknown_host").increment(1);
             return true;
         };
-        let out = PeerOut {
+        let out = OutgoingMessage {
             address: known.peer_address,
             to,
             payload,
--- a/crates/transport/src/endpoint_call.rs
+++ b/crates/transport/src/endpoint_call.rs
@@ -21,10 +21,10 @@
 use crate::address_agent::address_agent;
 use crate::address_agent::address_config;
 use crate::answer::AnswerSender;
-use crate::answer_pass::pass_stream;
-use crate::answer_pass::pass_whole;
-use crate::answer_room::MAX_HELD_ANSWER_BYTES;
-use crate::answer_room::WholeRoom;
+use crate::answer_forwarding::pass_stream;
+use crate::answer_forwarding::pass_whole;
+use crate::answer_memory::MAX_HELD_ANSWER_BYTES;
+use crate::answer_memory::WholeRoom;
 use crate::byte_budget::ByteBudget;
 use crate::call::AnswerForm;
 use crate::call::Call;
@@ -41,7 +41,7 @@
 
 /// What one attempt is to do.
 #[derive(Debug, Clone)]
-pub struct AttemptOrder {
+pub struct AttemptSpec {
     /// The attempt.
     pub attempt: AttemptKey,
     /// What to send.
@@ -66,7 +66,7 @@
 
 /// How an attempt ended, with the answer to keep for repeats.
 #[derive(Debug)]
-pub struct EndedCall {
+pub struct AttemptResult {
     /// How it ended.
     pub end: AttemptEnd,
     /// The whole answer, if the request may not be repeated.
@@ -105,7 +105,7 @@
     }
 
     /// Runs one attempt, tells `core` of its progress and returns how it ended.
-    pub fn run(&self, order: &AttemptOrder, core: &SyncSender<CoreInput>) -> EndedCall {
+    pub fn run(&self, order: &AttemptSpec, core: &SyncSender<CoreInput>) -> AttemptResult {
         let mut recorder = Recorder::new(order.call.repeatable);
         let mut end = self.run_recorded(order, core, &mut recorder);
         if let AttemptEnd::Failed { failure, .. } = &mut end
@@ -114,7 +114,7 @@
         {
             *failure = AttemptFailure::Crashed;
         }
-        EndedCall {
+        AttemptResult {
             end,
             recorded: recorder.finish(),
         }
@@ -131,7 +131,7 @@
 
     fn run_recorded(
         &self,
-        order: &AttemptOrder,
+        order: &AttemptSpec,
         core: &SyncSender<CoreInput>,
         recorder: &mut Recorder,
     ) -> AttemptEnd {
@@ -167,7 +167,7 @@
         }
     }
 
-    fn send(&self, order: &AttemptOrder) -> Result<http::Response<Body>, ureq::Error> {
+    fn send(&self, order: &AttemptSpec) -> Result<http::Response<Body>, ureq::Error> {
         let call = &order.call;
         // A request that may not be repeated gets a connection of its own. On a reused one that
         // the endpoint just closed, a failed write cannot be told from a lost answer, and the
@@ -254,7 +254,7 @@
     echoed.is_none_or(|echoed| echoed.as_bytes() == attempt_id.as_bytes())
 }
 
-fn failed(order: &AttemptOrder, failure: AttemptFailure) -> AttemptEnd {
+fn failed(order: &AttemptSpec, failure: AttemptFailure) -> AttemptEnd {
     AttemptEnd::Failed {
         failure,
         sent_tokens: order.resume_after_tokens,
--- a/crates/transport/src/endpoint_workers.rs
+++ b/crates/transport/src/endpoint_workers.rs
@@ -6,7 +6,7 @@
 use std::thread;
 
 use crate::core::CoreInput;
-use crate::endpoint_call::AttemptOrder;
+use crate::endpoint_call::AttemptSpec;
 use crate::endpoint_call::EndpointClients;
 
 /// Stack of a worker: it holds no large values, and a router has one for each request that runs.
@@ -23,7 +23,7 @@
 pub struct EndpointWorkers {
     clients: EndpointClients,
     core: SyncSender<CoreInput>,
-    workers: Vec<SyncSender<AttemptOrder>>,
+    workers: Vec<SyncSender<AttemptSpec>>,
     idle: Vec<WorkerId>,
 }
 
@@ -43,7 +43,7 @@
     /// # Errors
     ///
     /// Fails when a new thread is needed and cannot be started; the attempt has not begun then.
-    pub fn start(&mut self, order: AttemptOrder) -> io::Result<()> {
+    pub fn start(&mut self, order: AttemptSpec) -> io::Result<()> {
         let id = match self.idle.pop() {
             Some(id) => id,
             None => self.spawn()?,
@@ -54,13 +54,13 @@
     }
 
     /// Takes a worker back that finished its attempt.
-    pub fn idle(&mut self, id: WorkerId) {
+    pub fn release(&mut self, id: WorkerId) {
         self.idle.push(id);
     }
 
     fn spawn(&mut self) -> io::Result<WorkerId> {
         let id = WorkerId(self.workers.len());
-        let (orders, inbox) = sync_channel::<AttemptOrder>(1);
+        let (orders, inbox) = sync_channel::<AttemptSpec>(1);
         let clients = self.clients.clone();
         let core = self.core.clone();
         thread::Builder::new()
--- a/crates/transport/src/front.rs
+++ b/crates/transport/src/front.rs
@@ -34,10 +34,10 @@
 use tokio::sync::mpsc;
 use tokio::sync::watch;
 
-use crate::answer::ANSWER_RING_LEN;
+use crate::answer::ANSWER_CHANNEL_LEN;
 use crate::answer::AnswerPart;
 use crate::answer::AnswerReceiver;
-use crate::answer::GivenUp;
+use crate::answer::Refusal;
 use crate::caller_connection::Admission;
 use crate::caller_connection::serve_connection;
 use crate::core::CoreInput;
@@ -49,8 +49,8 @@
 use crate::front_body::FrontBody;
 use crate::front_request::BadRequest;
 use crate::front_request::Caller;
-use crate::front_request::accept;
-use crate::front_request::identify;
+use crate::front_request::identify_caller;
+use crate::front_request::parse_request;
 use crate::held_bodies::HeldBodies;
 use crate::request_body::discard_body;
 use crate::request_body::read_body;
@@ -171,7 +171,7 @@
         if admission == Admission::OverLimit {
             return self.refuse_connection(&fallback_id, body, &directory).await;
         }
-        let caller = match identify(&parts, &directory, &fallback_id) {
+        let caller = match identify_caller(&parts, &directory, &fallback_id) {
             Ok(caller) => caller,
             Err(bad) => return self.refuse_bad(&fallback_id, bad),
         };
@@ -210,11 +210,11 @@
         caller: Caller,
         directory: &Directory,
     ) -> Result<AnswerReceiver, BadRequest> {
-        let room = self.held_bodies.of_account(&caller.account);
+        let room = self.held_bodies.account_budget(&caller.account);
         let body = read_body(body, &room, &directory.settings.front).await?;
         let now = self.clock.now();
-        let accepted = accept(parts, body, caller, directory, key, now)?;
-        let (sender, receiver) = mpsc::channel(ANSWER_RING_LEN);
+        let accepted = parse_request(parts, body, caller, directory, key, now)?;
+        let (sender, receiver) = mpsc::channel(ANSWER_CHANNEL_LEN);
         let arrived = CoreInput::Arrived(Box::new(NewRequest {
             arrival: accepted.arrival,
             call: accepted.call,
@@ -263,10 +263,10 @@
                     .body(FrontBody::Parts(Some(answer)));
                 response.expect("status and headers came from a valid answer")
             }
-            Some(AnswerPart::GivenUp(given_up)) => refusal(request_id, &given_up),
+            Some(AnswerPart::Refusal(given_up)) => refusal(request_id, &given_up),
             Some(AnswerPart::Chunk(_) | AnswerPart::End) | None => refusal(
                 request_id,
-                &GivenUp {
+                &Refusal {
                     reason: RefusalReason::EndpointFailed,
                     outcome: Outcome::Unknown,
                     retry_after: None,
@@ -278,7 +278,7 @@
 
     fn refuse_bad(&self, request_id: &str, bad: BadRequest) -> Response<FrontBody> {
         count_refusal(bad.reason);
-        let given_up = GivenUp {
+        let given_up = Refusal {
             reason: bad.reason,
             outcome: Outcome::NotRun,
             retry_after: bad
@@ -312,7 +312,7 @@
     counter!("sedgeridge_refusals_total", "reason" => reason.as_str()).increment(1);
 }
 
-fn refusal(request_id: &str, given_up: &GivenUp) -> Response<FrontBody> {
+fn refusal(request_id: &str, given_up: &Refusal) -> Response<FrontBody> {
     let reason = given_up.reason.as_str();
     let outcome = given_up.outcome.as_str();
     let error = serde_json::json!({
--- a/crates/transport/src/front_body.rs
+++ b/crates/transport/src/front_body.rs
@@ -15,7 +15,7 @@
 
 use crate::answer::AnswerPart;
 use crate::answer::AnswerReceiver;
-use crate::answer::GivenUp;
+use crate::answer::Refusal;
 
 /// The body of an answer: whole already, or still coming from an endpoint.
 #[derive(Debug)]
@@ -68,14 +68,14 @@
     match part {
         Some(AnswerPart::Chunk(bytes)) => (Some(bytes), false),
         Some(AnswerPart::End) => (None, true),
-        Some(AnswerPart::GivenUp(given_up)) => (Some(partial_mark(&given_up)), true),
+        Some(AnswerPart::Refusal(given_up)) => (Some(partial_mark(&given_up)), true),
         // A sender that went away, or a part that cannot follow: the answer is not whole.
         Some(AnswerPart::Head { .. }) | None => (Some(partial_mark(&cut_off())), true),
     }
 }
 
-fn cut_off() -> GivenUp {
-    GivenUp {
+fn cut_off() -> Refusal {
+    Refusal {
         reason: RefusalReason::EndpointFailed,
         outcome: Outcome::Unknown,
         retry_after: None,
@@ -87,7 +87,7 @@
 ///
 /// Without it, a caller whose stream just stops could take half an answer for a whole one: this
 /// event comes in place of `[DONE]`, and no whole answer holds one of its kind.
-fn partial_mark(given_up: &GivenUp) -> Bytes {
+fn partial_mark(given_up: &Refusal) -> Bytes {
     let error = serde_json::json!({
         "error": {
             "type": "partial_answer",
--- a/crates/transport/src/front_request.rs
+++ b/crates/transport/src/front_request.rs
@@ -67,7 +67,7 @@
 
 /// A request that can be queued.
 #[derive(Debug)]
-pub struct Accepted {
+pub struct ParsedRequest {
     /// For the decisions.
     pub arrival: Arrival,
     /// For the endpoint.
@@ -81,7 +81,7 @@
 /// # Errors
 ///
 /// Refuses a request without a known key or with a malformed request id.
-pub fn identify(
+pub fn identify_caller(
     parts: &Parts,
     directory: &Directory,
     fallback_id: &str,
@@ -99,14 +99,14 @@
 /// # Errors
 ///
 /// Refuses an unknown path or service, a malformed body or header.
-pub fn accept(
+pub fn parse_request(
     parts: &Parts,
     body: Bytes,
     caller: Caller,
     directory: &Directory,
     key: RequestKey,
     now: Duration,
-) -> Result<Accepted, BadRequest> {
+) -> Result<ParsedRequest, BadRequest> {
     check_target(parts)?;
     check_encoding(&parts.headers)?;
     let path = parts.uri.path();
@@ -117,7 +117,7 @@
     } else {
         let found = shown(path);
         let detail = format!("path: found {found}, expected {CHAT_PATH} or {PLAIN_PREFIX}NAME/");
-        return Err(bad(RefusalReason::UnknownService, detail));
+        return Err(bad_request(RefusalReason::UnknownService, detail));
     };
     let idempotency_key = id_header(&parts.headers, headers::IDEMPOTENCY_KEY)?;
     let idempotency_key: Option<Arc<str>> = idempotency_key.map(Arc::from);
@@ -126,7 +126,7 @@
         let name = headers::IDEMPOTENCY_KEY;
         let service = &service.id;
         let detail = format!("{name}: found none, expected a key: {service} may not be repeated");
-        return Err(bad(RefusalReason::KeyMissing, detail));
+        return Err(bad_request(RefusalReason::KeyMissing, detail));
     }
     let content_type = text_header(&parts.headers, http::header::CONTENT_TYPE.as_str())?;
     let claim = claim_key(
@@ -159,7 +159,7 @@
         repeatable: service.repeatable,
         hint_tokens: arrival.hint_tokens,
     };
-    Ok(Accepted {
+    Ok(ParsedRequest {
         arrival,
         call,
         claim,
@@ -174,7 +174,7 @@
     }
     let found = shown(&parts.uri.to_string());
     let detail = format!("request target: found {found}, expected a path without a server");
-    Err(bad(RefusalReason::BadRequest, detail))
+    Err(bad_request(RefusalReason::BadRequest, detail))
 }
 
 /// Refuses a path that an endpoint may resolve to one above its own. The key of a non-repeatable
@@ -188,7 +188,7 @@
     }
     let found = shown(path);
     let detail = format!("path: found {found}, expected no `.` or `..` segment");
-    Err(bad(RefusalReason::BadRequest, detail))
+    Err(bad_request(RefusalReason::BadRequest, detail))
 }
 
 /// Makes the claim of a request that may not be repeated. What is asked for is the path as well as
@@ -227,7 +227,7 @@
     if parts.method != Method::POST {
         let found = shown(parts.method.as_str());
         let detail = format!("method: found {found}, expected POST on {CHAT_PATH}");
-        return Err(bad(RefusalReason::MethodNotAllowed, detail));
+        return Err(bad_request(RefusalReason::MethodNotAllowed, detail));
     }
     let request = read_chat_body(&parts.headers, body)?;
     let service = find(directory, &request.model, PoolKind::Model)?;
@@ -255,7 +255,7 @@
     if [Method::CONNECT, Method::TRACE].contains(&parts.method) {
         let found = &parts.method;
         let detail = format!("method: found {found}, expected one that services take");
-        return Err(bad(RefusalReason::MethodNotAllowed, detail));
+        return Err(bad_request(RefusalReason::MethodNotAllowed, detail));
     }
     let (name, path) = rest.split_once('/').unwrap_or((rest, ""));
     let service = find(directory, name, PoolKind::Plain)?;
@@ -286,7 +286,7 @@
             };
             let found = shown(name);
             let detail = format!("{field}: found {found}, expected the name of a {kind} service");
-            bad(RefusalReason::UnknownService, detail)
+            bad_request(RefusalReason::UnknownService, detail)
         })
 }
 
@@ -301,6 +301,6 @@
     }))
 }
 
-pub(crate) fn bad(reason: RefusalReason, detail: String) -> BadRequest {
+pub(crate) fn bad_request(reason: RefusalReason, detail: String) -> BadRequest {
     BadRequest { reason, detail }
 }
--- a/crates/transport/src/held_bodies.rs
+++ b/crates/transport/src/held_bodies.rs
@@ -21,10 +21,10 @@
 /// use sedgeridge_transport::held_bodies::HeldBodies;
 ///
 /// let bodies = HeldBodies::new(&FrontSettings::default());
-/// let flood = bodies.of_account(&"crew-07".into());
+/// let flood = bodies.account_budget(&"crew-07".into());
 /// let held = flood.reserve(8 << 20).expect("its whole part");
-/// assert!(bodies.of_account(&"crew-07".into()).reserve(1).is_none());
-/// assert!(bodies.of_account(&"crew-08".into()).reserve(1).is_some());
+/// assert!(bodies.account_budget(&"crew-07".into()).reserve(1).is_none());
+/// assert!(bodies.account_budget(&"crew-08".into()).reserve(1).is_some());
 /// # drop(held);
 /// ```
 #[derive(Debug)]
@@ -54,13 +54,13 @@
     }
 
     /// Returns the part of an account.
-    pub fn of_account(&self, account: &AccountId) -> ByteBudget {
+    pub fn account_budget(&self, account: &AccountId) -> ByteBudget {
         let mut accounts = self.accounts.lock().expect("no holder panics");
         if let Some(budget) = accounts.budgets.get(account) {
             return budget.clone();
         }
         accounts.sweep();
-        let budget = self.all.part(self.max_account_bytes);
+        let budget = self.all.sub_budget(self.max_account_bytes);
         accounts.budgets.insert(account.clone(), budget.clone());
         budget
     }
--- a/crates/transport/src/host_options.rs
+++ b/crates/transport/src/host_options.rs
@@ -7,7 +7,7 @@
 use thiserror::Error;
 
 /// Exit code for a command line or settings that cannot be used.
-pub const BAD_INPUT: u8 = 2;
+pub const EXIT_BAD_INPUT: u8 = 2;
 
 const HELP: &str = "
 USAGE:
@@ -48,7 +48,7 @@
 
 /// What the command line asks for.
 #[derive(Debug)]
-pub enum Parsed {
+pub enum ParsedArguments {
     /// Run the process.
     Run(Options),
     /// Print a text and end.
@@ -75,14 +75,17 @@
 /// let program = Program { name: "sedgeridge-router", purpose: "takes callers' requests" };
 /// assert!(parse(program, vec!["--host".into()]).is_err());
 /// ```
-pub fn parse(program: Program, arguments: Vec<OsString>) -> Result<Parsed, OptionsError> {
+pub fn parse(program: Program, arguments: Vec<OsString>) -> Result<ParsedArguments, OptionsError> {
     let mut arguments = Arguments::from_vec(arguments);
     if arguments.contains(["-h", "--help"]) {
-        return Ok(Parsed::Print(help(program)));
+        return Ok(ParsedArguments::Print(help(program)));
     }
     if arguments.contains(["-V", "--version"]) {
         let version = env!("CARGO_PKG_VERSION");
-        return Ok(Parsed::Print(format!("{} {version}", program.name)));
+        return Ok(ParsedArguments::Print(format!(
+            "{} {version}",
+            program.name
+        )));
     }
     let options = Options {
         config: arguments.value_from_str("--config")?,
@@ -92,7 +95,7 @@
     };
     match arguments.finish().into_iter().next() {
         Some(unexpected) => Err(OptionsError::Unexpected(unexpected)),
-        None => Ok(Parsed::Run(options)),
+        None => Ok(ParsedArguments::Run(options)),
     }
 }
 
--- a/crates/transport/src/host_start.rs
+++ b/crates/transport/src/host_start.rs
@@ -11,16 +11,16 @@
 use thiserror::Error;
 
 use crate::event_log::start_log;
-use crate::host_options::BAD_INPUT;
+use crate::host_options::EXIT_BAD_INPUT;
 use crate::host_options::Options;
-use crate::host_options::Parsed;
+use crate::host_options::ParsedArguments;
 use crate::host_options::Program;
 use crate::host_options::parse;
 use crate::settings_files::ReadSettingsError;
 use crate::settings_files::read_settings;
 
 /// Exit code for a failure while running.
-const FAILED: u8 = 1;
+const EXIT_FAILURE: u8 = 1;
 
 /// Why the process ended with a failure.
 #[derive(Debug, Error)]
@@ -54,8 +54,8 @@
             Self::Settings(_)
             | Self::Override(_)
             | Self::UnknownHost(_)
-            | Self::NotOnHost { .. } => BAD_INPUT,
-            Self::System(_) => FAILED,
+            | Self::NotOnHost { .. } => EXIT_BAD_INPUT,
+            Self::System(_) => EXIT_FAILURE,
         }
     }
 }
@@ -74,14 +74,14 @@
     serve: fn(Settings, &HostSettings) -> Result<(), RunError>,
 ) -> ExitCode {
     let options = match parse(program, env::args_os().skip(1).collect()) {
-        Ok(Parsed::Run(options)) => options,
-        Ok(Parsed::Print(text)) => {
+        Ok(ParsedArguments::Run(options)) => options,
+        Ok(ParsedArguments::Print(text)) => {
             println!("{text}");
             return ExitCode::SUCCESS;
         }
         Err(error) => {
             eprintln!("{}: {error}", program.name);
-            return ExitCode::from(BAD_INPUT);
+            return ExitCode::from(EXIT_BAD_INPUT);
         }
     };
     match run(&options, serve) {
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -5,8 +5,8 @@
 
 mod address_agent;
 pub mod answer;
-mod answer_pass;
-mod answer_room;
+mod answer_forwarding;
+mod answer_memory;
 pub mod byte_budget;
 pub mod call;
 mod caller_connection;
--- a/crates/transport/src/load_reads.rs
+++ b/crates/transport/src/load_reads.rs
@@ -24,7 +24,7 @@
 /// Threads that read reports; one that hangs on a silent endpoint holds up only a part of them.
 const READERS: usize = 4;
 /// Reads that may wait for a reader; a read that finds no room is left out, the next is soon due.
-const READ_RING_LEN: usize = 256;
+const READ_CHANNEL_LEN: usize = 256;
 /// Longest time for one read.
 const READ_TIMEOUT: Duration = Duration::from_millis(800);
 
@@ -56,7 +56,7 @@
         inputs: &SyncSender<I>,
         wrap: fn(EndpointId, Option<Load>) -> I,
     ) -> io::Result<Self> {
-        let (ring, reads) = sync_channel(READ_RING_LEN);
+        let (ring, reads) = sync_channel(READ_CHANNEL_LEN);
         let reads = Arc::new(Mutex::new(reads));
         let agent = address_agent(
             address_config()
@@ -79,7 +79,7 @@
     }
 
     /// Asks for a report, unless one of the endpoint is being read already.
-    pub fn ask(&mut self, endpoint: &EndpointId, address: SocketAddr) {
+    pub fn start_read(&mut self, endpoint: &EndpointId, address: SocketAddr) {
         if !self.under_way.insert(endpoint.clone()) {
             return;
         }
@@ -94,7 +94,7 @@
     }
 
     /// Notes that a read ended.
-    pub fn ended(&mut self, endpoint: &EndpointId) {
+    pub fn read_ended(&mut self, endpoint: &EndpointId) {
         self.under_way.remove(endpoint);
     }
 }
--- a/crates/transport/src/operator.rs
+++ b/crates/transport/src/operator.rs
@@ -42,7 +42,7 @@
 use crate::operator::pages::Pages;
 use crate::operator::pages::too_busy;
 use crate::status::HostStatus;
-use crate::status::StatusBoard;
+use crate::status::SharedStatus;
 
 /// Where requests to drain an endpoint go.
 pub type DrainSender = SyncSender<CoreInput>;
@@ -86,7 +86,7 @@
 pub fn serve_operator_pages<S: HostStatus + Send + Sync + 'static>(
     address: SocketAddr,
     metrics: PrometheusHandle,
-    status: StatusBoard<S>,
+    status: SharedStatus<S>,
     drain: Option<DrainSender>,
 ) -> io::Result<SocketAddr> {
     let listener = std::net::TcpListener::bind(address)?;
--- a/crates/transport/src/operator/pages.rs
+++ b/crates/transport/src/operator/pages.rs
@@ -11,7 +11,7 @@
 use crate::core::CoreInput;
 use crate::operator::DrainSender;
 use crate::status::HostStatus;
-use crate::status::StatusBoard;
+use crate::status::SharedStatus;
 
 /// One page, or the answer to a request to drain.
 #[derive(Debug)]
@@ -25,7 +25,7 @@
 #[derive(Debug)]
 pub(super) struct Pages<S> {
     pub(super) metrics: PrometheusHandle,
-    pub(super) status: StatusBoard<S>,
+    pub(super) status: SharedStatus<S>,
     pub(super) drain: Option<DrainSender>,
 }
 
--- a/crates/transport/src/peer_link.rs
+++ b/crates/transport/src/peer_link.rs
@@ -55,7 +55,7 @@
 
 /// Sends messages to one router over one connection at a time.
 #[derive(Debug)]
-pub struct Link {
+pub struct PeerLink {
     /// This router run.
     pub member: Member,
     /// The other router.
@@ -66,7 +66,7 @@
     pub core: SyncSender<CoreInput>,
 }
 
-impl Link {
+impl PeerLink {
     /// Runs until `outbox` is closed.
     pub async fn run(self, mut outbox: mpsc::Receiver<Bytes>) {
         let mut lost = false;
--- a/crates/transport/src/peers.rs
+++ b/crates/transport/src/peers.rs
@@ -29,9 +29,9 @@
 use crate::peer_link;
 
 /// Messages that may wait for the peers thread.
-const PEER_RING_LEN: usize = 4_096;
+const PEER_CHANNEL_LEN: usize = 4_096;
 /// Messages that may wait for one link.
-const LINK_RING_LEN: usize = 256;
+const LINK_CHANNEL_LEN: usize = 256;
 /// Most bytes of messages that wait for all links together: the largest message, or thousands of usual
 /// ones. Rings bounded by number alone let each router that goes silent cost hundreds of whole reports
 /// until its link is given up.
@@ -46,7 +46,7 @@
 
 /// A message for another router.
 #[derive(Debug)]
-pub struct PeerOut {
+pub struct OutgoingMessage {
     /// The receiver.
     pub to: HostId,
     /// Where it listens.
@@ -65,11 +65,11 @@
 }
 
 /// Ring to the peers thread.
-pub type PeerSender = mpsc::Sender<PeerOut>;
+pub type PeerSender = mpsc::Sender<OutgoingMessage>;
 
 /// Creates the ring to the peers thread.
-pub fn peer_ring() -> (PeerSender, mpsc::Receiver<PeerOut>) {
-    mpsc::channel(PEER_RING_LEN)
+pub fn peer_channel() -> (PeerSender, mpsc::Receiver<OutgoingMessage>) {
+    mpsc::channel(PEER_CHANNEL_LEN)
 }
 
 /// Sockets on which this router hears the others.
@@ -112,7 +112,11 @@
     /// # Errors
     ///
     /// Fails when the runtime cannot be set up.
-    pub fn run(self, sockets: PeerSockets, outbox: mpsc::Receiver<PeerOut>) -> io::Result<()> {
+    pub fn run(
+        self,
+        sockets: PeerSockets,
+        outbox: mpsc::Receiver<OutgoingMessage>,
+    ) -> io::Result<()> {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build()?;
@@ -122,7 +126,7 @@
     async fn serve(
         self,
         sockets: PeerSockets,
-        mut outbox: mpsc::Receiver<PeerOut>,
+        mut outbox: mpsc::Receiver<OutgoingMessage>,
     ) -> io::Result<()> {
         let listener = TcpListener::from_std(sockets.listener)?;
         let socket = Arc::new(UdpSocket::from_std(sockets.datagrams)?);
@@ -131,7 +135,7 @@
         let mut links: BTreeMap<HostId, OpenLink> = BTreeMap::new();
         let waiting = ByteBudget::new(MAX_LINK_BYTES);
         while let Some(out) = outbox.recv().await {
-            let PeerOut {
+            let OutgoingMessage {
                 to,
                 address,
                 payload,
@@ -161,8 +165,8 @@
     }
 
     fn open_link(&self, host: HostId, address: SocketAddr) -> OpenLink {
-        let (ring, outbox) = mpsc::channel(LINK_RING_LEN);
-        let link = peer_link::Link {
+        let (ring, outbox) = mpsc::channel(LINK_CHANNEL_LEN);
+        let link = peer_link::PeerLink {
             member: self.member.clone(),
             host,
             address,
--- a/crates/transport/src/recorded.rs
+++ b/crates/transport/src/recorded.rs
@@ -50,7 +50,7 @@
                 }
             }
             AnswerPart::End => self.whole = true,
-            AnswerPart::GivenUp(_) => {}
+            AnswerPart::Refusal(_) => {}
         }
     }
 
--- a/crates/transport/src/request_body.rs
+++ b/crates/transport/src/request_body.rs
@@ -16,7 +16,7 @@
 use crate::byte_budget::ByteBudget;
 use crate::byte_budget::HeldBuffer;
 use crate::front_request::BadRequest;
-use crate::front_request::bad;
+use crate::front_request::bad_request;
 
 /// Reads a whole body; its bytes count against `budget` until their last holder drops them.
 ///
@@ -67,24 +67,24 @@
 fn no_end(body_timeout: Duration) -> BadRequest {
     let timeout_ms = body_timeout.as_millis();
     let detail = format!("body: found no end, expected it within {timeout_ms} ms");
-    bad(RefusalReason::HeaderTimeout, detail)
+    bad_request(RefusalReason::HeaderTimeout, detail)
 }
 
 fn unreadable(error: &(dyn std::error::Error + 'static), limits: &FrontSettings) -> BadRequest {
     if error.is::<LengthLimitError>() {
         let max_bytes = limits.max_body_bytes;
         let detail = format!("body: expected at most {max_bytes} bytes");
-        return bad(RefusalReason::BodyTooLarge, detail);
+        return bad_request(RefusalReason::BodyTooLarge, detail);
     }
-    bad(RefusalReason::BadRequest, format!("body: {error}"))
+    bad_request(RefusalReason::BadRequest, format!("body: {error}"))
 }
 
 /// Tells whether the account or the router has no room: only the former is the caller's own doing.
 fn no_room(told_bytes: u64, account: &ByteBudget) -> BadRequest {
     if account.free_bytes() < told_bytes.max(1) {
         let detail = "the router holds as many bytes of this account's requests as it may";
-        return bad(RefusalReason::AccountQueueFull, detail.to_owned());
+        return bad_request(RefusalReason::AccountQueueFull, detail.to_owned());
     }
     let detail = "the router holds as many bytes of requests as it may";
-    bad(RefusalReason::QueueFull, detail.to_owned())
+    bad_request(RefusalReason::QueueFull, detail.to_owned())
 }
--- a/crates/transport/src/router_pages.rs
+++ b/crates/transport/src/router_pages.rs
@@ -25,7 +25,7 @@
 use sedgeridge_state::settings::Settings;
 
 use crate::status::RouterPages;
-use crate::status::StatusBoard;
+use crate::status::SharedStatus;
 
 /// Time between two updates of the lists, which take longer to make than the rest.
 const LISTS_INTERVAL: Duration = Duration::from_secs(1);
@@ -34,7 +34,7 @@
 #[derive(Debug)]
 pub(crate) struct RouterPublisher {
     member: Member,
-    board: StatusBoard,
+    board: SharedStatus,
     last: RouterPages,
     lists_due_at: Duration,
 }
@@ -48,7 +48,7 @@
 
 impl RouterPublisher {
     /// Creates a publisher for the router run `member`.
-    pub(crate) fn new(member: Member, board: StatusBoard) -> Self {
+    pub(crate) fn new(member: Member, board: SharedStatus) -> Self {
         Self {
             member,
             board,
--- a/crates/transport/src/status.rs
+++ b/crates/transport/src/status.rs
@@ -77,11 +77,11 @@
 
 /// Shared place of what was published last.
 #[derive(Debug, Clone, Default)]
-pub struct StatusBoard<S = RouterPages> {
+pub struct SharedStatus<S = RouterPages> {
     status: Arc<RwLock<S>>,
 }
 
-impl<S: Clone> StatusBoard<S> {
+impl<S: Clone> SharedStatus<S> {
     /// Replaces the status.
     pub fn publish(&self, status: S) {
         *self.status.write().expect("no writer panics") = status;
--- a/crates/transport/src/table_calls.rs
+++ b/crates/transport/src/table_calls.rs
@@ -35,9 +35,9 @@
 use crate::endpoint_call::never_sent;
 
 /// Threads that call for most uses; each holds one call at a time.
-pub const CALLERS: usize = 6;
+pub const CALL_THREADS: usize = 6;
 /// Calls that may wait for a thread.
-const CALL_RING_LEN: usize = 64;
+const CALL_CHANNEL_LEN: usize = 64;
 
 /// Longest answer that is read, that of the client library. A whole configuration of the size designed for
 /// has 1 MB as a message; the first sweep of claims reads their whole index, whose size is not known.
@@ -61,7 +61,7 @@
         inputs: &SyncSender<I>,
         wrap: fn(StoreEvent) -> I,
     ) -> io::Result<Self> {
-        let (ring, calls) = sync_channel(CALL_RING_LEN);
+        let (ring, calls) = sync_channel(CALL_CHANNEL_LEN);
         let calls = Arc::new(Mutex::new(calls));
         for index in 0..callers {
             let calls = Arc::clone(&calls);
--- a/crates/transport/tests/bad_requests.rs
+++ b/crates/transport/tests/bad_requests.rs
@@ -13,10 +13,10 @@
 use sedgeridge_coordination::refusal::RefusalReason;
 use sedgeridge_protocol::chat::CHAT_PATH;
 use sedgeridge_transport::directory::Directory;
-use sedgeridge_transport::front_request::Accepted;
 use sedgeridge_transport::front_request::BadRequest;
-use sedgeridge_transport::front_request::accept;
-use sedgeridge_transport::front_request::identify;
+use sedgeridge_transport::front_request::ParsedRequest;
+use sedgeridge_transport::front_request::identify_caller;
+use sedgeridge_transport::front_request::parse_request;
 use support::KEY;
 use support::settings;
 use yare::parameterized;
@@ -26,11 +26,11 @@
 const DEADLINE: &str = "x-sedgeridge-deadline-ms";
 const HINT: &str = "x-sedgeridge-cost-hint-tokens";
 
-fn read(request: Request<Bytes>) -> Result<Accepted, BadRequest> {
+fn read(request: Request<Bytes>) -> Result<ParsedRequest, BadRequest> {
     let directory = Directory::new(settings());
     let (parts, body) = request.into_parts();
-    let caller = identify(&parts, &directory, "router-1-1-1")?;
-    accept(
+    let caller = identify_caller(&parts, &directory, "router-1-1-1")?;
+    parse_request(
         &parts,
         body,
         caller,
--- a/crates/transport/tests/broken_answers.rs
+++ b/crates/transport/tests/broken_answers.rs
@@ -22,8 +22,8 @@
 use sedgeridge_transport::answer::AnswerReceiver;
 use sedgeridge_transport::call::AnswerForm;
 use sedgeridge_transport::call::Call;
-use sedgeridge_transport::endpoint_call::AttemptOrder;
-use sedgeridge_transport::endpoint_call::EndedCall;
+use sedgeridge_transport::endpoint_call::AttemptResult;
+use sedgeridge_transport::endpoint_call::AttemptSpec;
 use sedgeridge_transport::endpoint_call::EndpointClients;
 use tokio::sync::mpsc;
 
@@ -83,19 +83,19 @@
 }
 
 /// Runs one attempt and returns how it ended and what the caller's side got.
-fn run(address: SocketAddr, order: &Order) -> (EndedCall, Vec<AnswerPart>) {
+fn run(address: SocketAddr, order: &Order) -> (AttemptResult, Vec<AnswerPart>) {
     let (answer, mut receiver) = mpsc::channel(32);
     let ended = attempt(address, order, answer);
     (ended, received(&mut receiver))
 }
 
-fn attempt(address: SocketAddr, order: &Order, answer: mpsc::Sender<AnswerPart>) -> EndedCall {
+fn attempt(address: SocketAddr, order: &Order, answer: mpsc::Sender<AnswerPart>) -> AttemptResult {
     let health = HealthSettings {
         stream_idle_timeout_ms: 200,
         ..HealthSettings::default()
     };
     let (core, _inbox) = sync_channel(16);
-    let order = AttemptOrder {
+    let order = AttemptSpec {
         attempt: AttemptKey(7),
         call: Call {
             account: "crew-07".into(),
@@ -130,7 +130,7 @@
     parts.iter().filter(is_head).count()
 }
 
-fn failure(ended: &EndedCall) -> (AttemptFailure, u64, bool) {
+fn failure(ended: &AttemptResult) -> (AttemptFailure, u64, bool) {
     match ended.end {
         AttemptEnd::Failed {
             failure,
--- a/crates/transport/tests/coordinator/support.rs
+++ b/crates/transport/tests/coordinator/support.rs
@@ -28,10 +28,10 @@
 use sedgeridge_state::settings::PoolKind;
 use sedgeridge_state::settings::PoolSettings;
 use sedgeridge_state::settings::Settings;
-use sedgeridge_transport::coordinator_core::COORDINATOR_RING_LEN;
+use sedgeridge_transport::coordinator_core::COORDINATOR_CHANNEL_LEN;
 use sedgeridge_transport::coordinator_core::CoordinatorCore;
 use sedgeridge_transport::directory::Directory;
-use sedgeridge_transport::status::StatusBoard;
+use sedgeridge_transport::status::SharedStatus;
 use serde::de::DeserializeOwned;
 use tiny_http::Request;
 
@@ -84,7 +84,7 @@
 #[derive(Debug)]
 pub struct Process {
     pub clock: SharedClock,
-    pub status: StatusBoard<CoordinatorStatus>,
+    pub status: SharedStatus<CoordinatorStatus>,
     inputs: SyncSender<CoordinatorEvent>,
     core: JoinHandle<()>,
 }
@@ -127,8 +127,8 @@
     /// Starts a coordinator of a host's first run.
     pub fn start(&self, host: &str) -> Process {
         let clock = SharedClock::default();
-        let status = StatusBoard::default();
-        let (inputs, inbox) = sync_channel(COORDINATOR_RING_LEN);
+        let status = SharedStatus::default();
+        let (inputs, inbox) = sync_channel(COORDINATOR_CHANNEL_LEN);
         let member = Member {
             host: host.into(),
             incarnation: Incarnation(1),
--- a/crates/transport/tests/held_answers.rs
+++ b/crates/transport/tests/held_answers.rs
@@ -12,7 +12,7 @@
 use bytes::Bytes;
 use sedgeridge_coordination::entry_events::AttemptEnd;
 use sedgeridge_state::settings::HealthSettings;
-use sedgeridge_transport::answer::ANSWER_RING_LEN;
+use sedgeridge_transport::answer::ANSWER_CHANNEL_LEN;
 use sedgeridge_transport::answer::AnswerReceiver;
 use sedgeridge_transport::call::AnswerForm;
 use sedgeridge_transport::endpoint_call::EndpointClients;
@@ -31,7 +31,7 @@
 }
 
 fn start(clients: &EndpointClients, address: SocketAddr, form: AnswerForm) -> Running {
-    let (answer, caller) = mpsc::channel(ANSWER_RING_LEN);
+    let (answer, caller) = mpsc::channel(ANSWER_CHANNEL_LEN);
     let clients = clients.clone();
     let attempt = thread::spawn(move || {
         let (core, _inbox) = sync_channel(16);
--- a/crates/transport/tests/idle_links.rs
+++ b/crates/transport/tests/idle_links.rs
@@ -12,10 +12,10 @@
 use bytes::Bytes;
 use sedgeridge_state::ids::Incarnation;
 use sedgeridge_state::ids::Member;
-use sedgeridge_transport::peer_link::Link;
+use sedgeridge_transport::peer_link::PeerLink;
 use sedgeridge_transport::peers::PeerSockets;
 use sedgeridge_transport::peers::Peers;
-use sedgeridge_transport::peers::peer_ring;
+use sedgeridge_transport::peers::peer_channel;
 use support::front_bench::count_of;
 use support::front_bench::metrics;
 use support::resident::resident_bytes;
@@ -41,7 +41,7 @@
     drop(free);
     let sockets = PeerSockets::bind(address).expect("the port is still free");
     let (core, inputs) = sync_channel(16);
-    let (ring, outbox) = peer_ring();
+    let (ring, outbox) = peer_channel();
     let peers = Peers {
         member: member("router-1", 1),
         core,
@@ -59,7 +59,7 @@
     let before = refused();
     let (core, _inputs) = sync_channel(16);
     let (outbox, messages) = mpsc::channel(16);
-    let link = Link {
+    let link = PeerLink {
         member: member("router-2", incarnation),
         host: "router-1".into(),
         address,
--- a/crates/transport/tests/kept_endpoint_connections.rs
+++ b/crates/transport/tests/kept_endpoint_connections.rs
@@ -10,7 +10,7 @@
 use bytes::Bytes;
 use sedgeridge_coordination::entry_events::AttemptEnd;
 use sedgeridge_state::settings::HealthSettings;
-use sedgeridge_transport::answer::ANSWER_RING_LEN;
+use sedgeridge_transport::answer::ANSWER_CHANNEL_LEN;
 use sedgeridge_transport::call::AnswerForm;
 use sedgeridge_transport::endpoint_call::EndpointClients;
 use support::attempts::endpoint;
@@ -40,7 +40,7 @@
             let clients = clients.clone();
             thread::spawn(move || {
                 let (core, _inbox) = sync_channel(16);
-                let (answer, mut caller) = mpsc::channel(ANSWER_RING_LEN);
+                let (answer, mut caller) = mpsc::channel(ANSWER_CHANNEL_LEN);
                 let body = Bytes::from_static(b"{}");
                 let order = order(address, AnswerForm::Plain, body, answer);
                 let end = clients.run(&order, &core).end;
--- a/crates/transport/tests/operator_limits.rs
+++ b/crates/transport/tests/operator_limits.rs
@@ -16,7 +16,7 @@
 use metrics::histogram;
 use sedgeridge_protocol::coordinator::CoordinatorStatus;
 use sedgeridge_transport::operator::serve_operator_pages;
-use sedgeridge_transport::status::StatusBoard;
+use sedgeridge_transport::status::SharedStatus;
 use support::front_bench::PATIENCE;
 use support::front_bench::metrics;
 use support::resident::resident_bytes;
@@ -34,7 +34,7 @@
 
 fn serve() -> SocketAddr {
     let address = SocketAddr::from(([127, 0, 0, 1], 0));
-    let status = StatusBoard::<CoordinatorStatus>::default();
+    let status = SharedStatus::<CoordinatorStatus>::default();
     serve_operator_pages(address, metrics().clone(), status, None).unwrap()
 }
 
--- a/crates/transport/tests/operator_pages.rs
+++ b/crates/transport/tests/operator_pages.rs
@@ -11,7 +11,7 @@
 use sedgeridge_transport::operator::DrainSender;
 use sedgeridge_transport::operator::serve_operator_pages;
 use sedgeridge_transport::operator::start_metrics;
-use sedgeridge_transport::status::StatusBoard;
+use sedgeridge_transport::status::SharedStatus;
 use ureq::Agent;
 
 const DESK: &str = r#"{"endpoint":"desk-1"}"#;
@@ -21,7 +21,7 @@
     HANDLE.get_or_init(|| start_metrics().unwrap()).clone()
 }
 
-fn serve(status: &StatusBoard<CoordinatorStatus>, drain: Option<DrainSender>) -> SocketAddr {
+fn serve(status: &SharedStatus<CoordinatorStatus>, drain: Option<DrainSender>) -> SocketAddr {
     let address = SocketAddr::from(([127, 0, 0, 1], 0));
     serve_operator_pages(address, metrics(), status.clone(), drain).unwrap()
 }
@@ -43,7 +43,7 @@
 
 #[test]
 fn readiness_follows_the_status() {
-    let status = StatusBoard::default();
+    let status = SharedStatus::default();
     let address = serve(&status, None);
     assert_eq!(get(address, "/healthz"), 200);
     assert_eq!(get(address, "/readyz"), 503);
@@ -58,7 +58,7 @@
 #[test]
 fn a_drain_reaches_the_core() {
     let (drain, inputs) = sync_channel(1);
-    let address = serve(&StatusBoard::default(), Some(drain));
+    let address = serve(&SharedStatus::default(), Some(drain));
     assert_eq!(post(address, DRAIN_PATH, DESK), 202);
     let CoreInput::DrainEndpoint { endpoint } = inputs.recv().unwrap() else {
         panic!("expected a drain");
@@ -71,7 +71,7 @@
 #[test]
 fn a_drain_without_room_is_not_said_to_be_taken() {
     let (drain, _inputs) = sync_channel(1);
-    let address = serve(&StatusBoard::default(), Some(drain));
+    let address = serve(&SharedStatus::default(), Some(drain));
     assert_eq!(post(address, DRAIN_PATH, DESK), 202);
     assert_eq!(post(address, DRAIN_PATH, DESK), 503);
 }
@@ -79,9 +79,9 @@
 #[test]
 fn what_is_no_drain_is_refused() {
     let (drain, _inputs) = sync_channel(1);
-    let address = serve(&StatusBoard::default(), Some(drain));
+    let address = serve(&SharedStatus::default(), Some(drain));
     assert_eq!(post(address, DRAIN_PATH, "desk-1"), 400);
     assert_eq!(post(address, "/operator/status", DESK), 404);
-    let without = serve(&StatusBoard::default(), None);
+    let without = serve(&SharedStatus::default(), None);
     assert_eq!(post(without, DRAIN_PATH, DESK), 404);
 }
--- a/crates/transport/tests/peer_link.rs
+++ b/crates/transport/tests/peer_link.rs
@@ -8,7 +8,7 @@
 use futures_util::StreamExt;
 use sedgeridge_state::ids::Incarnation;
 use sedgeridge_state::ids::Member;
-use sedgeridge_transport::peer_link::Link;
+use sedgeridge_transport::peer_link::PeerLink;
 use tokio::net::TcpListener;
 use tokio::net::TcpStream;
 use tokio::runtime::Builder;
@@ -46,7 +46,7 @@
         let listener = listener.expect("a free port is there");
         let (core, _inputs) = sync_channel(RING_LEN);
         let (outbox, messages) = mpsc::channel(RING_LEN);
-        let link = Link {
+        let link = PeerLink {
             member: Member {
                 host: "router-1".into(),
                 incarnation: Incarnation(1),
@@ -99,7 +99,7 @@
         let listener = listener.expect("a free port is there");
         let (core, _inputs) = sync_channel(RING_LEN);
         let (outbox, messages) = mpsc::channel(RING_LEN);
-        let link = Link {
+        let link = PeerLink {
             member: Member {
                 host: "router-1".into(),
                 incarnation: Incarnation(1),
--- a/crates/transport/tests/peer_links.rs
+++ b/crates/transport/tests/peer_links.rs
@@ -11,11 +11,11 @@
 use sedgeridge_state::ids::Incarnation;
 use sedgeridge_state::ids::Member;
 use sedgeridge_transport::core::CoreInput;
-use sedgeridge_transport::peers::PeerOut;
+use sedgeridge_transport::peers::OutgoingMessage;
 use sedgeridge_transport::peers::PeerPayload;
 use sedgeridge_transport::peers::PeerSockets;
 use sedgeridge_transport::peers::Peers;
-use sedgeridge_transport::peers::peer_ring;
+use sedgeridge_transport::peers::peer_channel;
 use support::front_bench::PATIENCE;
 use support::resident::resident_bytes;
 
@@ -37,13 +37,13 @@
         incarnation: Incarnation(1),
     };
     let sockets = PeerSockets::bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a free port");
-    let (ring, outbox) = peer_ring();
+    let (ring, outbox) = peer_channel();
     let peers = Peers { member, core };
     thread::spawn(move || peers.run(sockets, outbox));
     let address = silent.local_addr().expect("a bound listener");
     let before = resident_bytes();
     for _ in 0..MESSAGES {
-        let out = PeerOut {
+        let out = OutgoingMessage {
             to: "router-2".into(),
             address,
             payload: PeerPayload::Stream(vec![b'x'; MIB]),
--- a/crates/transport/tests/read_limits.rs
+++ b/crates/transport/tests/read_limits.rs
@@ -21,7 +21,7 @@
 fn load_of(text: &str) -> Option<Load> {
     let (inputs, ends) = sync_channel::<(EndpointId, Option<Load>)>(1);
     let mut reads = LoadReads::start(&inputs, |endpoint, load| (endpoint, load)).expect("threads");
-    reads.ask(&"desk-1".into(), endpoint(answer_of(text), || {}));
+    reads.start_read(&"desk-1".into(), endpoint(answer_of(text), || {}));
     ends.recv_timeout(PATIENCE).expect("an end").1
 }
 
--- a/crates/transport/tests/support/attempts.rs
+++ b/crates/transport/tests/support/attempts.rs
@@ -17,7 +17,7 @@
 use sedgeridge_transport::answer::AnswerSender;
 use sedgeridge_transport::call::AnswerForm;
 use sedgeridge_transport::call::Call;
-use sedgeridge_transport::endpoint_call::AttemptOrder;
+use sedgeridge_transport::endpoint_call::AttemptSpec;
 
 /// Answers every request of every connection with the same bytes, after `before_answer`; an answer
 /// that says so is the last of its connection.
@@ -71,8 +71,8 @@
     form: AnswerForm,
     body: Bytes,
     answer: AnswerSender,
-) -> AttemptOrder {
-    AttemptOrder {
+) -> AttemptSpec {
+    AttemptSpec {
         attempt: AttemptKey(7),
         call: Call {
             account: "crew-07".into(),
@@ -105,7 +105,7 @@
             AnswerPart::Chunk(chunk) => bytes += chunk.len(),
             AnswerPart::End => return bytes,
             AnswerPart::Head { .. } => {}
-            AnswerPart::GivenUp(given_up) => panic!("given up: {given_up:?}"),
+            AnswerPart::Refusal(given_up) => panic!("given up: {given_up:?}"),
         }
     }
     panic!("no end after {bytes} bytes");
