--- a/crates/transport/src/address_agent.rs
+++ b/crates/transport/src/address_agent.rs
@@ -1,4 +1,4 @@
-//! HTTP clients for servers that are named by their IP address.
+//! HTTP clients for servers that are addressed by IP address and port.
 
 use std::net::SocketAddr;
 
@@ -13,13 +13,13 @@
 use ureq::unversioned::transport::DefaultConnector;
 use ureq::unversioned::transport::NextTimeout;
 
-/// Bytes of each of the two buffers of a connection. The library's own have 128 KiB, written from the
-/// first use and kept as long as the connection: 64 kept connections that had carried two bytes each
-/// took 280 KB of resident memory each, and take 30 KB. Longer bodies pass through in more reads and
+/// Size of each of the two buffers of a connection. The library's default is 128 KiB, which is written to at the
+/// first use and kept as long as the connection. With the default, each of 64 idle connections that had carried
+/// two bytes took 280 KB of resident memory; with this size it takes 30 KB. Longer bodies need more reads and
 /// writes.
 const CONNECTION_BUFFER_BYTES: usize = 16 << 10;
 
-/// Begins the settings of a client whose connections hold little memory.
+/// Returns the configuration of a client whose connections use little memory.
 pub(crate) fn address_config() -> ConfigBuilder<AgentScope> {
     Agent::config_builder()
         .input_buffer_size(CONNECTION_BUFFER_BYTES)
@@ -27,15 +27,15 @@
         .max_response_header_size(CONNECTION_BUFFER_BYTES)
 }
 
-/// Creates a client that takes addresses such as `127.0.0.1:80` and looks up no names.
+/// Creates a client that connects to addresses such as `127.0.0.1:80` and resolves no names.
 pub(crate) fn address_agent(config: Config) -> Agent {
     Agent::with_parts(config, DefaultConnector::default(), AddressResolver)
 }
 
-/// Reads addresses without a look-up.
+/// Parses addresses without a name lookup.
 ///
-/// The library's own resolver starts a thread for each request that has a timeout, also when the
-/// name is an address and the connection is kept: a router would start thousands a second.
+/// The library's own resolver starts a thread for each request with a timeout, even if the name is an
+/// address and the connection is reused: a router would start thousands of threads a second.
 #[derive(Debug)]
 struct AddressResolver;
 
--- a/crates/transport/src/answer.rs
+++ b/crates/transport/src/answer.rs
@@ -1,4 +1,4 @@
-//! What goes back to a caller, part by part.
+//! The answer to a caller, sent from an attempt or the core to the front part by part.
 
 use std::time::Duration;
 
@@ -8,26 +8,26 @@
 use sedgeridge_coordination::refusal::Outcome;
 use sedgeridge_coordination::refusal::RefusalReason;
 
-/// Parts of one answer that may wait for a slow caller; a full ring holds the endpoint back.
+/// Parts of one answer that may wait for a slow caller; a full channel holds the endpoint back.
 pub const ANSWER_CHANNEL_LEN: usize = 32;
 
 /// One part of an answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AnswerPart {
-    /// The endpoint began to answer.
+    /// Head of the endpoint's answer.
     Head {
         /// HTTP status.
         status: u16,
         /// Content type.
         content_type: String,
-        /// Attempt that answers.
+        /// Id of the attempt that answers.
         attempt: String,
     },
     /// Bytes of the body.
     Chunk(Bytes),
-    /// The body is whole.
+    /// The body is complete.
     End,
-    /// The request is given up.
+    /// The request is refused or given up.
     Refusal(Refusal),
 }
 
@@ -36,11 +36,11 @@
 pub struct Refusal {
     /// Why.
     pub reason: RefusalReason,
-    /// Whether it ran.
+    /// Whether the request ran.
     pub outcome: Outcome,
-    /// When to come back.
+    /// Time after which the caller may retry.
     pub retry_after: Option<Duration>,
-    /// What exactly is wrong.
+    /// Description for the caller: what was found and what was expected.
     pub detail: String,
 }
 
--- a/crates/transport/src/answer_forwarding.rs
+++ b/crates/transport/src/answer_forwarding.rs
@@ -1,4 +1,4 @@
-//! Passes an endpoint's answer on to the caller: whole, or event by event.
+//! Forwards an endpoint's answer to the caller, either as a whole or event by event.
 
 use std::io::BufRead;
 use std::io::BufReader;
@@ -18,43 +18,45 @@
 use ureq::Body;
 
 use crate::answer::AnswerPart;
-use crate::answer_memory::EventRoom;
+use crate::answer_memory::EventMemory;
 use crate::answer_memory::MAX_EVENT_BYTES;
-use crate::answer_memory::WholeRoom;
+use crate::answer_memory::WholeAnswerMemory;
 use crate::call::AnswerForm;
 use crate::core::CoreInput;
 use crate::endpoint_call::AttemptSpec;
 use crate::endpoint_call::body_failure;
 use crate::recorded::Recorder;
 
-/// Bytes of a whole answer that are read at a time.
-const READ_BYTES: usize = 16 << 10;
-/// Output tokens at which the first progress is told; then at each doubling.
+/// Buffer size for reads of a whole answer.
+const READ_BUFFER_BYTES: usize = 16 << 10;
+/// Output tokens after which the first progress report is sent; further ones follow at each doubling.
 const FIRST_PROGRESS_TOKENS: u64 = 32;
 
-/// Reads a whole answer and passes it on; a broken one never reaches the caller.
-pub(crate) fn pass_whole(
-    order: &AttemptSpec,
+/// Reads a whole answer and forwards it; an incomplete answer never reaches the caller.
+pub(crate) fn forward_whole(
+    spec: &AttemptSpec,
     response: http::Response<Body>,
     first_byte: Duration,
-    room: &WholeRoom<'_>,
+    memory: &WholeAnswerMemory<'_>,
     recorder: &mut Recorder,
 ) -> AttemptEnd {
-    let head = head_of(order, &response);
-    let plain_charge = header_u64(&response, headers::CHARGED_TOKENS);
-    let body = match read_whole(response, room) {
+    let head = head_of(spec, &response);
+    let reported_tokens = header_u64(&response, headers::CHARGED_TOKENS);
+    let body = match read_whole(response, memory) {
         Ok(body) => body,
-        Err(failure) => return whole_failed(order, failure),
+        Err(failure) => return failed_before_forwarding(spec, failure),
     };
-    let charged_tokens = match order.call.form {
-        AnswerForm::Plain => plain_charge.unwrap_or(order.call.hint_tokens),
+    let charged_tokens = match spec.call.form {
+        AnswerForm::Plain => reported_tokens.unwrap_or(spec.call.hint_tokens),
         AnswerForm::ChatStream | AnswerForm::ChatWhole => {
             let answer: Option<ChatAnswer> = serde_json::from_slice(&body).ok();
-            answer.map_or(0, |a| charge(order, &a.usage, a.usage.completion_tokens))
+            answer.map_or(0, |a| {
+                charged_tokens(spec, &a.usage, a.usage.completion_tokens)
+            })
         }
     };
     for part in [head, AnswerPart::Chunk(body), AnswerPart::End] {
-        if pass(order, recorder, part).is_err() {
+        if forward_part(spec, recorder, part).is_err() {
             return AttemptEnd::CallerGone { charged_tokens };
         }
     }
@@ -66,46 +68,46 @@
 
 fn read_whole(
     response: http::Response<Body>,
-    room: &WholeRoom<'_>,
+    memory: &WholeAnswerMemory<'_>,
 ) -> Result<Bytes, AttemptFailure> {
-    let mut held = room.buffer(response.body().content_length())?;
+    let mut buffer = memory.buffer(response.body().content_length())?;
     let mut reader = response.into_body().into_reader();
-    let mut part = [0; READ_BYTES];
+    let mut part = [0; READ_BUFFER_BYTES];
     loop {
         match reader.read(&mut part) {
-            Ok(0) => return Ok(held.finish()),
-            Ok(read) => room.push(&mut held, &part[..read])?,
+            Ok(0) => return Ok(buffer.finish()),
+            Ok(read) => memory.push(&mut buffer, &part[..read])?,
             Err(error) if error.kind() == ErrorKind::Interrupted => {}
             Err(error) => return Err(body_failure(error)),
         }
     }
 }
 
-/// Passes a stream on event by event, counting output tokens so that it can be resumed.
-pub(crate) fn pass_stream(
-    order: &AttemptSpec,
+/// Forwards a stream event by event and counts its output tokens, so that another attempt can resume it.
+pub(crate) fn forward_stream(
+    spec: &AttemptSpec,
     response: http::Response<Body>,
     first_byte: Duration,
     core: &SyncSender<CoreInput>,
     recorder: &mut Recorder,
 ) -> AttemptEnd {
     let first_token = header_u64(&response, headers::FIRST_TOKEN).unwrap_or(0);
-    let mut stream = EventStream::new(order, core, recorder);
-    if first_token != order.resume_after_tokens {
-        // The endpoint cannot resume where the caller stands: passing its tokens on would repeat
-        // or skip some of them.
+    let mut stream = EventStream::new(spec, core, recorder);
+    if first_token != spec.resume_after_tokens {
+        // The endpoint did not resume after the tokens that the caller already has; forwarding its
+        // answer would repeat or skip tokens.
         return stream.failed(AttemptFailure::AnswerCrossed);
     }
-    // An attempt may break between the head and the first token; its successor must not send a
-    // second head, which would end the caller's stream as if it were whole.
-    if !order.head_sent && pass(order, stream.recorder, head_of(order, &response)).is_err() {
+    // An attempt may fail between the head and the first token. The next attempt must not send a
+    // second head, which would end the caller's stream as if it were complete.
+    if !spec.head_sent && forward_part(spec, stream.recorder, head_of(spec, &response)).is_err() {
         return AttemptEnd::CallerGone { charged_tokens: 0 };
     }
     stream.head_sent = true;
     let mut reader = BufReader::new(response.into_body().into_reader());
     loop {
-        match stream.pass_event(&mut reader) {
-            EventResult::Passed => {}
+        match stream.forward_event(&mut reader) {
+            EventResult::Forwarded => {}
             EventResult::Ended => {
                 return AttemptEnd::Finished {
                     charged_tokens: stream.charged_tokens(),
@@ -122,32 +124,36 @@
     }
 }
 
-/// The caller went away.
+/// The caller disconnected.
 struct CallerGone;
 
-/// Passes a part on to the caller.
+/// Forwards a part to the caller.
 ///
-/// A request that may not be repeated runs to its end although its caller is gone: cutting it off
-/// would leave its effect unknown, while its recorded answer serves the caller who comes back.
-fn pass(order: &AttemptSpec, recorder: &mut Recorder, part: AnswerPart) -> Result<(), CallerGone> {
-    recorder.take(&part);
-    let sent = order.answer.blocking_send(part);
-    if sent.is_err() && order.call.repeatable {
+/// A non-repeatable request runs to its end even if its caller has disconnected: ending it early would leave
+/// its effect unknown, whereas its recorded answer can be replayed when the caller repeats the request.
+fn forward_part(
+    spec: &AttemptSpec,
+    recorder: &mut Recorder,
+    part: AnswerPart,
+) -> Result<(), CallerGone> {
+    recorder.record(&part);
+    let sent = spec.answer.blocking_send(part);
+    if sent.is_err() && spec.call.repeatable {
         return Err(CallerGone);
     }
     Ok(())
 }
 
-fn whole_failed(order: &AttemptSpec, failure: AttemptFailure) -> AttemptEnd {
+fn failed_before_forwarding(spec: &AttemptSpec, failure: AttemptFailure) -> AttemptEnd {
     AttemptEnd::Failed {
         failure,
-        sent_tokens: order.resume_after_tokens,
+        sent_tokens: spec.resume_after_tokens,
         charged_tokens: 0,
-        head_sent: order.head_sent,
+        head_sent: spec.head_sent,
     }
 }
 
-fn head_of(order: &AttemptSpec, response: &http::Response<Body>) -> AnswerPart {
+fn head_of(spec: &AttemptSpec, response: &http::Response<Body>) -> AnswerPart {
     let content_type = response.headers().get(http::header::CONTENT_TYPE);
     AnswerPart::Head {
         status: response.status().as_u16(),
@@ -155,7 +161,7 @@
             .and_then(|value| value.to_str().ok())
             .unwrap_or("application/octet-stream")
             .to_owned(),
-        attempt: order.attempt_id.clone(),
+        attempt: spec.attempt_id.clone(),
     }
 }
 
@@ -163,23 +169,23 @@
     response.headers().get(name)?.to_str().ok()?.parse().ok()
 }
 
-fn charge(order: &AttemptSpec, usage: &Usage, output_tokens: u64) -> u64 {
+fn charged_tokens(spec: &AttemptSpec, usage: &Usage, output_tokens: u64) -> u64 {
     let uncached_tokens = usage.prompt_tokens.saturating_sub(usage.cached_tokens);
-    uncached_tokens + order.output_token_factor * output_tokens
+    uncached_tokens + spec.output_token_factor * output_tokens
 }
 
 enum EventResult {
-    Passed,
+    Forwarded,
     Ended,
     BrokeOff(AttemptFailure),
     CallerGone,
 }
 
 struct EventStream<'a> {
-    order: &'a AttemptSpec,
+    spec: &'a AttemptSpec,
     core: &'a SyncSender<CoreInput>,
     recorder: &'a mut Recorder,
-    room: EventRoom,
+    memory: EventMemory,
     head_sent: bool,
     output_tokens: u64,
     next_progress_tokens: u64,
@@ -188,16 +194,16 @@
 
 impl<'a> EventStream<'a> {
     fn new(
-        order: &'a AttemptSpec,
+        spec: &'a AttemptSpec,
         core: &'a SyncSender<CoreInput>,
         recorder: &'a mut Recorder,
     ) -> Self {
         Self {
-            order,
+            spec,
             core,
             recorder,
-            room: EventRoom::new(),
-            head_sent: order.head_sent,
+            memory: EventMemory::new(),
+            head_sent: spec.head_sent,
             output_tokens: 0,
             next_progress_tokens: FIRST_PROGRESS_TOKENS,
             usage: None,
@@ -207,7 +213,7 @@
     fn failed(&self, failure: AttemptFailure) -> AttemptEnd {
         AttemptEnd::Failed {
             failure,
-            sent_tokens: self.order.resume_after_tokens + self.output_tokens,
+            sent_tokens: self.spec.resume_after_tokens + self.output_tokens,
             charged_tokens: self.charged_tokens(),
             head_sent: self.head_sent,
         }
@@ -215,35 +221,35 @@
 
     fn charged_tokens(&self) -> u64 {
         let usage = self.usage.unwrap_or_default();
-        charge(self.order, &usage, self.output_tokens)
+        charged_tokens(self.spec, &usage, self.output_tokens)
     }
 
-    /// Reads lines up to the blank one that ends an event, and passes them on together.
-    fn pass_event(&mut self, reader: &mut impl BufRead) -> EventResult {
+    /// Reads an event up to the blank line that ends it, and forwards it.
+    fn forward_event(&mut self, reader: &mut impl BufRead) -> EventResult {
         let event = match read_event(reader) {
             Ok(event) => event,
             Err(failure) => return EventResult::BrokeOff(failure),
         };
-        let ended = self.count(&event);
-        let last = ended.then_some(AnswerPart::End);
-        let event = self.room.hold(event, &self.order.answer);
-        let parts = std::iter::once(AnswerPart::Chunk(event)).chain(last);
+        let ended = self.count_tokens(&event);
+        let end = ended.then_some(AnswerPart::End);
+        let event = self.memory.hold(event, &self.spec.answer);
+        let parts = std::iter::once(AnswerPart::Chunk(event)).chain(end);
         for part in parts {
-            if pass(self.order, self.recorder, part).is_err() {
+            if forward_part(self.spec, self.recorder, part).is_err() {
                 return EventResult::CallerGone;
             }
         }
         if ended {
-            // Reads the end of the body, so that the connection can be used again.
+            // Reads to the end of the body, so that the connection can be reused.
             let _ = reader.read(&mut [0; 1]);
             return EventResult::Ended;
         }
-        self.tell_progress();
-        EventResult::Passed
+        self.report_progress();
+        EventResult::Forwarded
     }
 
-    /// Counts the tokens of an event; true when it is the last.
-    fn count(&mut self, event: &[u8]) -> bool {
+    /// Counts the tokens of an event; returns true if it ends the stream.
+    fn count_tokens(&mut self, event: &[u8]) -> bool {
         let Some(data) = event.strip_prefix(b"data:") else {
             return false;
         };
@@ -263,12 +269,12 @@
         false
     }
 
-    fn tell_progress(&mut self) {
+    fn report_progress(&mut self) {
         if self.output_tokens >= self.next_progress_tokens {
             self.next_progress_tokens *= 2;
-            // The estimate is corrected again at the next doubling, so a full ring loses little.
+            // A report that finds the channel full is dropped: the next doubling corrects the estimate.
             let _ = self.core.try_send(CoreInput::Progress {
-                attempt: self.order.attempt,
+                attempt: self.spec.attempt,
                 charged_tokens: self.charged_tokens(),
             });
         }
@@ -279,8 +285,11 @@
     let mut event = Vec::new();
     loop {
         let start = event.len();
-        let left = MAX_EVENT_BYTES.saturating_sub(start as u64);
-        let read = reader.by_ref().take(left).read_until(b'\n', &mut event);
+        let remaining = MAX_EVENT_BYTES.saturating_sub(start as u64);
+        let read = reader
+            .by_ref()
+            .take(remaining)
+            .read_until(b'\n', &mut event);
         read.map_err(body_failure)?;
         if event.len() == start || event.last() != Some(&b'\n') {
             return Err(AttemptFailure::ConnectionLost);
--- a/crates/transport/src/byte_budget.rs
+++ b/crates/transport/src/byte_budget.rs
@@ -1,4 +1,4 @@
-//! A bound on the bytes that a process holds for others at a time.
+//! Bounds on the bytes that a process keeps in memory for its peers and callers at a time.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
@@ -6,10 +6,10 @@
 
 use bytes::Bytes;
 
-/// Bytes that may be held at a time by all holders together.
+/// A limit on the bytes that are reserved at a time; clones share it.
 ///
-/// Bounds by number alone let memory follow the size of what others send: a few thousand requests
-/// are little or many times the process's memory, by their bodies.
+/// With a limit on the number of items alone, memory use would depend on the size of what others send: a few
+/// thousand requests may need little memory or many times that of the process, depending on their bodies.
 ///
 /// ```
 /// use sedgeridge_transport::byte_budget::ByteBudget;
@@ -29,43 +29,43 @@
 #[derive(Debug)]
 struct Pool {
     free_bytes: AtomicU64,
-    /// What this is a part of.
-    whole: Option<Arc<Pool>>,
+    /// The budget against which reservations count as well.
+    parent: Option<Arc<Pool>>,
 }
 
 impl ByteBudget {
-    /// Creates a budget of which nothing is held.
+    /// Creates a budget with nothing reserved.
     pub fn new(max_bytes: u64) -> Self {
-        Self::within(max_bytes, None)
+        Self::with_parent(max_bytes, None)
     }
 
-    /// Creates a budget whose bytes count against this one too: one holder's part.
+    /// Creates a budget whose reservations also count against this one.
     ///
     /// ```
     /// use sedgeridge_transport::byte_budget::ByteBudget;
     ///
-    /// let whole = ByteBudget::new(100);
-    /// let part = whole.sub_budget(60);
+    /// let total = ByteBudget::new(100);
+    /// let part = total.sub_budget(60);
     /// let held = part.reserve(60).expect("all of the part is free");
     /// assert!(part.reserve(1).is_none());
-    /// assert!(whole.reserve(41).is_none());
+    /// assert!(total.reserve(41).is_none());
     /// drop(held);
-    /// assert!(whole.reserve(100).is_some());
+    /// assert!(total.reserve(100).is_some());
     /// ```
     pub fn sub_budget(&self, max_bytes: u64) -> Self {
-        Self::within(max_bytes, Some(Arc::clone(&self.pool)))
+        Self::with_parent(max_bytes, Some(Arc::clone(&self.pool)))
     }
 
-    fn within(max_bytes: u64, whole: Option<Arc<Pool>>) -> Self {
+    fn with_parent(max_bytes: u64, parent: Option<Arc<Pool>>) -> Self {
         Self {
             pool: Arc::new(Pool {
                 free_bytes: AtomicU64::new(max_bytes),
-                whole,
+                parent,
             }),
         }
     }
 
-    /// Reserves bytes before they are held; `None` when there are not as many left.
+    /// Reserves bytes; `None` if fewer are free.
     pub fn reserve(&self, bytes: u64) -> Option<Reservation> {
         let mut reservation = Reservation {
             pool: Arc::clone(&self.pool),
@@ -74,12 +74,12 @@
         reservation.grow(bytes).then_some(reservation)
     }
 
-    /// Returns how many bytes are left, those of the whole not looked at.
+    /// Returns the free bytes of this budget, without regard to its parent.
     pub fn free_bytes(&self) -> u64 {
         self.pool.free_bytes.load(Ordering::Relaxed)
     }
 
-    /// Tells whether somebody holds a part of it, or another handle of it.
+    /// Returns whether there is a reservation, a sub-budget or another handle of this budget.
     pub fn is_in_use(&self) -> bool {
         Arc::strong_count(&self.pool) > 1
     }
@@ -94,22 +94,22 @@
         if taken.is_err() {
             return false;
         }
-        let fits = self.whole.as_ref().is_none_or(|whole| whole.take(bytes));
+        let fits = self.parent.as_ref().is_none_or(|parent| parent.take(bytes));
         if !fits {
             self.free_bytes.fetch_add(bytes, Ordering::Relaxed);
         }
         fits
     }
 
-    fn give_back(&self, bytes: u64) {
+    fn release(&self, bytes: u64) {
         self.free_bytes.fetch_add(bytes, Ordering::Relaxed);
-        if let Some(whole) = &self.whole {
-            whole.give_back(bytes);
+        if let Some(parent) = &self.parent {
+            parent.release(bytes);
         }
     }
 }
 
-/// A part of a budget; it is given back when this is dropped.
+/// Reserved bytes of a budget; they become free when this is dropped.
 #[derive(Debug)]
 pub struct Reservation {
     pool: Arc<Pool>,
@@ -117,7 +117,7 @@
 }
 
 impl Reservation {
-    /// Reserves further bytes; false when there are not as many left, and nothing changes.
+    /// Reserves further bytes; returns false and changes nothing if fewer are free.
     pub fn grow(&mut self, bytes: u64) -> bool {
         let taken = self.pool.take(bytes);
         if taken {
@@ -126,12 +126,12 @@
         taken
     }
 
-    /// Grows until at least this many bytes are reserved; false when there are not as many left.
+    /// Grows the reservation to at least `bytes`; returns false and changes nothing if fewer are free.
     fn grow_to(&mut self, bytes: u64) -> bool {
         self.grow(bytes.saturating_sub(self.held_bytes))
     }
 
-    /// Binds the reservation to bytes: it is given back when their last holder drops them.
+    /// Binds the reservation to bytes: it is released when their last owner drops them.
     ///
     /// ```
     /// use sedgeridge_transport::byte_budget::ByteBudget;
@@ -154,11 +154,11 @@
 
 impl Drop for Reservation {
     fn drop(&mut self) {
-        self.pool.give_back(self.held_bytes);
+        self.pool.release(self.held_bytes);
     }
 }
 
-/// Bytes that come part by part, into memory that is reserved before it is used.
+/// A buffer for bytes that arrive in parts; its memory is reserved from a budget before it is allocated.
 ///
 /// ```
 /// use sedgeridge_transport::byte_budget::ByteBudget;
@@ -178,7 +178,7 @@
 }
 
 impl HeldBuffer {
-    /// Reserves what is known to come; `None` when there is no room for it.
+    /// Creates a buffer with room for the expected bytes; `None` if the budget has fewer free.
     pub fn reserve(budget: &ByteBudget, expected_bytes: u64) -> Option<Self> {
         let reservation = budget.reserve(expected_bytes)?;
         Some(Self {
@@ -187,37 +187,38 @@
         })
     }
 
-    /// Copies a part; false when there is no room for it, and nothing changes.
+    /// Appends a copy of a part; returns false and changes nothing if the budget has too few bytes free.
     pub fn push(&mut self, part: &[u8]) -> bool {
         let capacity = self.bytes.capacity();
         let needed = self.bytes.len() + part.len();
         if needed > capacity {
-            // Doubling saves copies; the last bytes of the budget are used all the same.
+            // Doubling saves copies. If the budget does not allow it, the exact size is tried, so that all
+            // bytes of the budget can be used.
             let doubled = needed.max(capacity * 2);
             let sizes = [doubled, needed];
-            let room = sizes
+            let new_capacity = sizes
                 .into_iter()
                 .find(|size| self.reservation.grow_to(*size as u64));
-            let Some(room) = room else {
+            let Some(new_capacity) = new_capacity else {
                 return false;
             };
-            self.bytes.reserve_exact(room - self.bytes.len());
+            self.bytes.reserve_exact(new_capacity - self.bytes.len());
         }
         self.bytes.extend_from_slice(part);
         true
     }
 
-    /// Returns how many bytes have come.
+    /// Returns the length of the buffered bytes.
     pub fn len(&self) -> usize {
         self.bytes.len()
     }
 
-    /// Tells whether none have come.
+    /// Returns whether the buffer is empty.
     pub fn is_empty(&self) -> bool {
         self.bytes.is_empty()
     }
 
-    /// Returns the bytes; their memory is given back when their last holder drops them.
+    /// Returns the bytes; their reservation is released when their last owner drops them.
     pub fn finish(self) -> Bytes {
         self.reservation.bind(self.bytes)
     }
--- a/crates/transport/src/call.rs
+++ b/crates/transport/src/call.rs
@@ -1,4 +1,4 @@
-//! A caller's request as it goes to an endpoint.
+//! A caller's request in the form in which it is sent to an endpoint.
 
 use std::sync::Arc;
 
@@ -7,18 +7,18 @@
 use sedgeridge_state::ids::AccountId;
 use sedgeridge_state::ids::RequestId;
 
-/// How an answer is read and passed on.
+/// How an answer is read and forwarded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AnswerForm {
-    /// Server-sent events, passed on one by one; a broken stream can be resumed.
+    /// Server-sent events, forwarded one by one; a broken stream can be resumed.
     ChatStream,
-    /// One JSON document of a model engine, passed on when it is whole.
+    /// One JSON document of a model engine, forwarded when it is complete.
     ChatWhole,
-    /// Any body of a plain service, passed on when it is whole.
+    /// Any body of a plain service, forwarded when it is complete.
     Plain,
 }
 
-/// Everything an attempt needs to send.
+/// Everything that an attempt sends to the endpoint.
 #[derive(Debug, Clone)]
 pub struct Call {
     /// The client account.
@@ -35,10 +35,10 @@
     pub idempotency_key: Option<Arc<str>>,
     /// The body.
     pub body: Bytes,
-    /// How the answer is passed on.
+    /// How the answer is forwarded.
     pub form: AnswerForm,
     /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// Rough hint of the cost, charged when nothing better is known.
+    /// Estimated cost in tokens, charged if the endpoint does not report the cost.
     pub hint_tokens: u64,
 }
--- a/crates/transport/src/caller_connection.rs
+++ b/crates/transport/src/caller_connection.rs
@@ -1,4 +1,4 @@
-//! One caller's connection: served by hyper, closed by the front's own limits.
+//! Serves one caller's connection with hyper and closes it by the front's own limits.
 
 use std::convert::Infallible;
 use std::pin::Pin;
@@ -19,42 +19,42 @@
 use crate::connection_activity::ActivityLimits;
 use crate::connection_activity::CloseReason;
 use crate::connection_activity::GuardedBody;
-use crate::connection_activity::WatchedStream;
+use crate::connection_activity::MonitoredStream;
 use crate::front::Front;
 
-/// Answer to a request head that did not end in time. The HTTP library closes such a connection
-/// without a word, so it is written past it.
-const HEADER_TIMEOUT_ANSWER: &str = "HTTP/1.1 408 Request Timeout\r\n\
+/// Head of the answer to a request head that did not end in time. The HTTP library closes such a
+/// connection without an answer, so this one is written to the socket directly.
+const HEADER_TIMEOUT_HEAD: &str = "HTTP/1.1 408 Request Timeout\r\n\
     content-type: application/json\r\n\
     x-sedgeridge-outcome: not-run\r\n\
     x-sedgeridge-reason: header_timeout\r\n\
     connection: close\r\n";
 
-/// Most bytes that a connection's read buffer may grow to, and so the longest request head; 8 KiB are
-/// usual, and the least that the library takes. Its own bound is 400 KiB. A buffer keeps the size that
-/// it grew to while it carried a body: callers' idle connections alone then take up the process's
-/// memory, which ends it with every request in progress. An idle connection took 441 KB of resident
-/// memory after a body of 700 KB and takes 21 KB. Bodies pass through the buffer part by part and are
-/// held, counted, elsewhere.
+/// Largest size of a connection's read buffer, and so the longest request head; 8 KiB is a usual limit and the
+/// least that the HTTP library accepts. The library's default is 400 KiB. A buffer keeps the size that it grew
+/// to while it carried a body, so that idle connections alone could exhaust the process's memory and end it
+/// with every request in progress. With the default, an idle connection took 441 KB of resident memory after
+/// a body of 700 KB; with this limit it takes 21 KB. Bodies pass through the buffer in parts and are counted
+/// where they are stored.
 const MAX_BUFFER_BYTES: usize = 8 << 10;
 
-/// Whether a connection is one too many.
+/// Whether a connection is within the limit on connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Admission {
-    /// Its requests are served.
+    /// The connection's requests are served.
     Served,
-    /// Its first request is refused and it is closed.
+    /// The connection's first request is refused and the connection is closed.
     OverLimit,
 }
 
-/// What happens to a connection.
+/// Event of a connection's serving loop.
 enum Event {
     Ended(hyper::Result<()>),
     Stopped,
     CheckDue,
 }
 
-/// Serves a connection until its caller, its limits or a stop end it.
+/// Serves a connection until its caller, a limit or the stop of the front ends it.
 pub(crate) async fn serve_connection<C: Clock + Send + Sync + 'static>(
     front: Arc<Front<C>>,
     stream: TcpStream,
@@ -64,19 +64,19 @@
     let _ = stream.set_nodelay(true);
     let limits = ActivityLimits::new(&front.directory.current().settings.front);
     let activity = Activity::new();
-    let watched = WatchedStream::new(stream, activity.clone());
+    let monitored = MonitoredStream::new(stream, activity.clone());
     let service_activity = activity.clone();
     let service = service_fn(move |request: Request<Incoming>| {
         let front = Arc::clone(&front);
         let guard = service_activity.begin_request();
         async move {
-            let response = front.request(request, admission).await;
+            let response = front.handle_request(request, admission).await;
             Ok::<_, Infallible>(response.map(|body| GuardedBody::new(body, guard)))
         }
     });
     let mut connection = http1::Builder::new()
         .max_buf_size(MAX_BUFFER_BYTES)
-        .serve_connection(watched, service);
+        .serve_connection(monitored, service);
     let mut stopping = false;
     let reason = loop {
         let event = tokio::select! {
@@ -103,7 +103,7 @@
     }
 }
 
-/// Counts requests that are not HTTP; the HTTP library has answered them with a bare 400 or 431.
+/// Counts requests that are not valid HTTP; the HTTP library has answered them with a bare 400 or 431.
 fn count_parse_error(ended: hyper::Result<()>) {
     if ended.is_err_and(|error| error.is_parse()) {
         count_refusal(RefusalReason::BadRequest);
@@ -121,11 +121,11 @@
     });
     let body = body.to_string();
     let answer = format!(
-        "{HEADER_TIMEOUT_ANSWER}content-length: {}\r\n\r\n{body}",
+        "{HEADER_TIMEOUT_HEAD}content-length: {}\r\n\r\n{body}",
         body.len()
     );
-    // Nothing was written since the head began, so there is room; a caller who is gone loses
-    // nothing.
+    // Nothing was written since the head began, so the send buffer has room. A failed write needs no handling,
+    // as the caller has disconnected then.
     let _ = stream.try_write(answer.as_bytes());
 }
 
--- a/crates/transport/src/caller_headers.rs
+++ b/crates/transport/src/caller_headers.rs
@@ -1,4 +1,4 @@
-//! Reads the headers of a caller's request, each with its own error.
+//! Parses the headers of a caller's request; each error names the header.
 
 use std::time::Duration;
 
@@ -14,14 +14,14 @@
 use crate::front_request::BadRequest;
 use crate::front_request::bad_request;
 
-/// Longest name of a request or key that is accepted.
+/// Longest accepted request id or idempotency key.
 const MAX_ID_BYTES: usize = 128;
-/// Longest part of a wrong value that an error repeats.
-const MAX_SHOWN_CHARS: usize = 64;
-/// Scheme of the header that carries an account's key.
+/// Most characters of an invalid value that an error quotes.
+const MAX_QUOTED_CHARS: usize = 64;
+/// Scheme of the `Authorization` header that carries an account's key.
 const KEY_SCHEME: &str = "Bearer";
 
-/// Returns the text of a header that may come once.
+/// Returns the text of a header that may occur at most once.
 pub(crate) fn text_header<'a>(
     map: &'a HeaderMap,
     name: &str,
@@ -30,8 +30,8 @@
     let Some(value) = values.next() else {
         return Ok(None);
     };
-    // Two parts of a path that each take another one of two values would disagree on who asks, or
-    // on which key is claimed.
+    // With two values, programs on the request's way could each use another one and disagree on the
+    // account or on the claimed key.
     if values.next().is_some() {
         let count = map.get_all(name).iter().count();
         return Err(malformed(format!(
@@ -40,7 +40,7 @@
     }
     let text = value.to_str().map_err(|_| {
         let found = String::from_utf8_lossy(value.as_bytes());
-        let found = shown(&found);
+        let found = quoted(&found);
         malformed(format!(
             "{name}: found {found}, expected visible ASCII text"
         ))
@@ -48,20 +48,20 @@
     Ok(Some(text))
 }
 
-/// Returns the whole number in a header.
+/// Returns the value of a header that contains a whole number.
 pub(crate) fn number_header(map: &HeaderMap, name: &str) -> Result<Option<u64>, BadRequest> {
     let Some(text) = text_header(map, name)? else {
         return Ok(None);
     };
     let is_digits = text.bytes().all(|byte| byte.is_ascii_digit());
     let number = text.parse().ok().filter(|_| is_digits).ok_or_else(|| {
-        let found = shown(text);
+        let found = quoted(text);
         malformed(format!("{name}: found {found}, expected a whole number"))
     })?;
     Ok(Some(number))
 }
 
-/// Returns the name in a header: of a request, or of a key.
+/// Returns the value of a header that contains a request id or an idempotency key.
 pub(crate) fn id_header<'a>(map: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, BadRequest> {
     let Some(id) = text_header(map, name)? else {
         return Ok(None);
@@ -74,15 +74,18 @@
         )));
     }
     if !id.bytes().all(|byte| byte.is_ascii_graphic()) {
-        let found = shown(id);
+        let found = quoted(id);
         let expected = "expected visible ASCII without spaces";
         return Err(malformed(format!("{name}: found {found}, {expected}")));
     }
     Ok(Some(id))
 }
 
-/// Finds the account whose key a request carries; no error repeats the key.
-pub(crate) fn account_of(map: &HeaderMap, directory: &Directory) -> Result<AccountId, BadRequest> {
+/// Finds the account whose key a request carries. Errors never quote the key.
+pub(crate) fn authenticate(
+    map: &HeaderMap,
+    directory: &Directory,
+) -> Result<AccountId, BadRequest> {
     let name = AUTHORIZATION.as_str();
     let Some(value) = text_header(map, name)? else {
         return Err(unauthorized("found no such header"));
@@ -99,10 +102,13 @@
     account.ok_or_else(|| unauthorized("found a key of no account"))
 }
 
-/// Returns how long a request may take.
-pub(crate) fn deadline(map: &HeaderMap, front: &FrontSettings) -> Result<Duration, BadRequest> {
-    let asked = number_header(map, headers::DEADLINE_MS)?;
-    let deadline_ms = asked.unwrap_or(front.default_deadline_ms);
+/// Returns the longest time that a request may take.
+pub(crate) fn request_timeout(
+    map: &HeaderMap,
+    front: &FrontSettings,
+) -> Result<Duration, BadRequest> {
+    let requested = number_header(map, headers::DEADLINE_MS)?;
+    let deadline_ms = requested.unwrap_or(front.default_deadline_ms);
     if deadline_ms == 0 || deadline_ms > front.max_deadline_ms {
         let name = headers::DEADLINE_MS;
         let max = front.max_deadline_ms;
@@ -113,13 +119,13 @@
     Ok(Duration::from_millis(deadline_ms))
 }
 
-/// Refuses an encoded body: the encoding is not passed on, so an endpoint would take the encoded
-/// bytes for the request itself.
+/// Refuses an encoded body: the header is not forwarded, so an endpoint would take the encoded bytes for
+/// the request itself.
 pub(crate) fn check_encoding(map: &HeaderMap) -> Result<(), BadRequest> {
     let name = CONTENT_ENCODING.as_str();
     match text_header(map, name)? {
         Some(encoding) if !encoding.eq_ignore_ascii_case("identity") => {
-            let found = shown(encoding);
+            let found = quoted(encoding);
             Err(malformed(format!(
                 "{name}: found {found}, expected none or identity"
             )))
@@ -128,9 +134,9 @@
     }
 }
 
-/// Quotes a wrong value for an error, shortened: callers choose how long it is.
-pub(crate) fn shown(value: &str) -> String {
-    match value.char_indices().nth(MAX_SHOWN_CHARS) {
+/// Quotes an invalid value for an error message. The value is shortened because callers choose its length.
+pub(crate) fn quoted(value: &str) -> String {
+    match value.char_indices().nth(MAX_QUOTED_CHARS) {
         Some((end, _)) => format!("{:?}...", &value[..end]),
         None => format!("{value:?}"),
     }
--- a/crates/transport/src/clock.rs
+++ b/crates/transport/src/clock.rs
@@ -11,26 +11,26 @@
 /// Monotonic time since the process started.
 #[derive(Debug, Clone, Copy)]
 pub struct ProcessClock {
-    started: Instant,
+    started_at: Instant,
 }
 
 impl ProcessClock {
     /// Starts the clock.
     pub fn start() -> Self {
         Self {
-            started: Instant::now(),
+            started_at: Instant::now(),
         }
     }
 }
 
 impl Clock for ProcessClock {
     fn now(&self) -> Duration {
-        self.started.elapsed()
+        self.started_at.elapsed()
     }
 }
 
-/// Returns an incarnation above that of every earlier run on this host, as hosts keep nothing that
-/// could count their runs.
+/// Returns an incarnation above that of every earlier run on this host. It is taken from the wall clock because
+/// hosts store nothing with which they could count their runs.
 pub fn incarnation_from_wall_clock() -> Incarnation {
     let since_epoch = SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -39,7 +39,7 @@
 }
 
 /// Returns the wall-clock time in milliseconds since the Unix epoch, for records that outlive the
-/// process; no decision compares it with another host's clock closely.
+/// process. No decision relies on a precise comparison with another host's clock.
 pub fn unix_ms() -> u64 {
     let since_epoch = SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/crates/transport/src/config_reads.rs
+++ b/crates/transport/src/config_reads.rs
@@ -1,4 +1,4 @@
-//! Reads of the accepted configuration, in a thread of their own.
+//! Reads of the accepted configuration from the table service, in a separate thread.
 
 use std::io;
 use std::sync::Arc;
@@ -28,42 +28,42 @@
 
 use crate::table_calls::TableClient;
 
-/// Reads that may wait for the thread.
+/// Reads that may wait for the thread; a read beyond them is dropped.
 const READ_CHANNEL_LEN: usize = 16;
 
-/// Ring to the thread that reads the configuration.
+/// Channel to the thread that reads the configuration.
 #[derive(Debug)]
 pub struct ConfigReads {
-    ring: SyncSender<ConfigRead>,
+    sender: SyncSender<ConfigRead>,
 }
 
 impl ConfigReads {
-    /// Starts the thread; the end of each read goes to `inputs` by way of `wrap`.
+    /// Starts the thread. It converts the result of each read with `wrap` and sends it to `inputs`.
     ///
     /// # Errors
     ///
-    /// Fails when the thread cannot be started.
+    /// Fails if the thread cannot be started.
     pub fn start<I: Send + 'static>(
         client: &TableClient,
         inputs: &SyncSender<I>,
         wrap: fn(ConfigEvent<ConfigContent>) -> I,
     ) -> io::Result<Self> {
-        let (ring, reads) = sync_channel(READ_CHANNEL_LEN);
+        let (sender, reads) = sync_channel(READ_CHANNEL_LEN);
         let client = client.clone();
         let inputs = inputs.clone();
         thread::Builder::new()
             .name("config-reads".into())
-            .spawn(move || read_all(&client, &reads, &inputs, wrap))?;
-        Ok(Self { ring })
+            .spawn(move || run_reads(&client, &reads, &inputs, wrap))?;
+        Ok(Self { sender })
     }
 
-    /// Starts a read; one that finds no room is left out and ends by its timeout.
+    /// Starts a read. If the channel is full, the read is dropped and ends by its timeout.
     pub fn read(&self, read: ConfigRead) {
-        let _ = self.ring.try_send(read);
+        let _ = self.sender.try_send(read);
     }
 }
 
-fn read_all<I>(
+fn run_reads<I>(
     client: &TableClient,
     reads: &Receiver<ConfigRead>,
     inputs: &SyncSender<I>,
@@ -95,10 +95,10 @@
     }
 }
 
-/// Reads the generation of the head; the inner value is `None` when nothing was accepted yet.
+/// Reads the generation of the head; the inner value is `None` if no configuration was accepted yet.
 ///
-/// An exact read is a transaction that could only commit if there were no head: its conflict names
-/// the row that stands now, which a plain read may give as it was some time ago.
+/// An exact read is a transaction that commits only if there is no head. Otherwise its conflict contains
+/// the current row, whereas a plain read may return an older version of it.
 fn read_head(client: &TableClient, call: CallId, is_exact: bool) -> Option<Option<Generation>> {
     let key: Arc<str> = Arc::from(CONFIG_HEAD_KEY);
     let action = if is_exact {
--- a/crates/transport/src/connection_activity.rs
+++ b/crates/transport/src/connection_activity.rs
@@ -1,4 +1,4 @@
-//! Watches what a caller's connection does, and tells when it has done nothing for too long.
+//! Monitors the activity of a caller's connection, and finds connections that exceed a time limit.
 
 use std::io;
 use std::pin::Pin;
@@ -21,7 +21,7 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// How long a connection may do nothing.
+/// Time limits of a connection.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct ActivityLimits {
     header_timeout: Duration,
@@ -29,7 +29,7 @@
 }
 
 impl ActivityLimits {
-    /// Takes the limits of the front.
+    /// Takes the limits from the settings of the front.
     pub(crate) fn new(front: &FrontSettings) -> Self {
         Self {
             header_timeout: millis(front.header_timeout_ms),
@@ -37,23 +37,23 @@
         }
     }
 
-    /// Returns how often a connection is to be looked at.
+    /// Returns the time between two checks of a connection.
     pub(crate) fn check_interval(&self) -> Duration {
         let shortest = self.header_timeout.min(self.idle_timeout);
         (shortest / 4).clamp(Duration::from_millis(5), Duration::from_secs(1))
     }
 }
 
-/// Why a connection is to be closed.
+/// Reason to close a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum CloseReason {
-    /// A request head began and did not end.
+    /// A request head did not end in time.
     HeaderTimeout,
-    /// Nothing was ever sent.
+    /// The caller has sent nothing since the connection was opened.
     NeverUsed,
-    /// No request followed the last one.
+    /// No further request arrived after the last one.
     Idle,
-    /// The caller takes no more bytes of its answer.
+    /// The caller has stopped reading its answer.
     NotReading,
 }
 
@@ -72,29 +72,29 @@
 #[derive(Debug)]
 struct State {
     opened_at: Instant,
-    used: bool,
+    has_received: bool,
     requests_in_progress: usize,
-    head_began_at: Option<Instant>,
-    last_moved_at: Instant,
+    head_started_at: Option<Instant>,
+    last_active_at: Instant,
     write_blocked_at: Option<Instant>,
 }
 
-/// What one connection does.
+/// Activity of one connection; clones share it.
 #[derive(Debug, Clone)]
 pub(crate) struct Activity {
     state: Arc<Mutex<State>>,
 }
 
 impl Activity {
-    /// Starts watching a connection that was just accepted.
+    /// Starts monitoring a connection that was just accepted.
     pub(crate) fn new() -> Self {
         let now = Instant::now();
         let state = State {
             opened_at: now,
-            used: false,
+            has_received: false,
             requests_in_progress: 0,
-            head_began_at: None,
-            last_moved_at: now,
+            head_started_at: None,
+            last_active_at: now,
             write_blocked_at: None,
         };
         Self {
@@ -102,61 +102,61 @@
         }
     }
 
-    /// Notes that a whole request head was read; the request lasts until the guard is dropped.
+    /// Records that a whole request head was read; the request lasts until the guard is dropped.
     pub(crate) fn begin_request(&self) -> RequestGuard {
         let mut state = self.lock();
         state.requests_in_progress += 1;
-        state.head_began_at = None;
+        state.head_started_at = None;
         drop(state);
         RequestGuard {
             activity: self.clone(),
         }
     }
 
-    /// Tells whether the connection is to be closed, and why.
+    /// Returns the reason to close the connection, if there is one.
     ///
-    /// A connection that waits for its answer is never closed here. One that blocks writes is,
-    /// also in the middle of an answer: its endpoint would keep a slot for a caller who left
-    /// without a word.
+    /// A connection that waits for its answer is not closed. A connection that blocks writes is closed
+    /// even in the middle of an answer: otherwise its endpoint would keep a slot for a caller that is
+    /// gone without having closed the connection.
     pub(crate) fn close_reason(&self, limits: &ActivityLimits) -> Option<CloseReason> {
         let now = Instant::now();
         let state = self.lock();
-        let longer_than = |since: Instant, limit| now.duration_since(since) >= limit;
+        let has_lasted = |since: Instant, limit| now.duration_since(since) >= limit;
         if let Some(since) = state.write_blocked_at {
-            return longer_than(since, limits.idle_timeout).then_some(CloseReason::NotReading);
+            return has_lasted(since, limits.idle_timeout).then_some(CloseReason::NotReading);
         }
         if state.requests_in_progress > 0 {
             return None;
         }
-        if let Some(since) = state.head_began_at {
-            let late = longer_than(since, limits.header_timeout);
-            return late.then_some(CloseReason::HeaderTimeout);
+        if let Some(since) = state.head_started_at {
+            let is_overdue = has_lasted(since, limits.header_timeout);
+            return is_overdue.then_some(CloseReason::HeaderTimeout);
         }
-        if !state.used {
-            let late = longer_than(state.opened_at, limits.header_timeout);
-            return late.then_some(CloseReason::NeverUsed);
+        if !state.has_received {
+            let is_overdue = has_lasted(state.opened_at, limits.header_timeout);
+            return is_overdue.then_some(CloseReason::NeverUsed);
         }
-        longer_than(state.last_moved_at, limits.idle_timeout).then_some(CloseReason::Idle)
+        has_lasted(state.last_active_at, limits.idle_timeout).then_some(CloseReason::Idle)
     }
 
-    fn note_read(&self) {
+    fn record_read(&self) {
         let now = Instant::now();
         let mut state = self.lock();
-        state.used = true;
-        state.last_moved_at = now;
+        state.has_received = true;
+        state.last_active_at = now;
         if state.requests_in_progress == 0 {
-            state.head_began_at.get_or_insert(now);
+            state.head_started_at.get_or_insert(now);
         }
     }
 
-    fn note_write(&self, blocked: bool) {
+    fn record_write(&self, blocked: bool) {
         let now = Instant::now();
         let mut state = self.lock();
         if blocked {
             state.write_blocked_at.get_or_insert(now);
         } else {
             state.write_blocked_at = None;
-            state.last_moved_at = now;
+            state.last_active_at = now;
         }
     }
 
@@ -165,7 +165,7 @@
     }
 }
 
-/// A request in progress.
+/// Marks a request as in progress until it is dropped.
 #[derive(Debug)]
 pub(crate) struct RequestGuard {
     activity: Activity,
@@ -175,11 +175,11 @@
     fn drop(&mut self) {
         let mut state = self.activity.lock();
         state.requests_in_progress -= 1;
-        state.last_moved_at = Instant::now();
+        state.last_active_at = Instant::now();
     }
 }
 
-/// The body of an answer; its request is in progress until the body has ended.
+/// The body of a response; its request is in progress until the body is dropped.
 #[derive(Debug)]
 pub(crate) struct GuardedBody<B> {
     body: B,
@@ -216,15 +216,15 @@
     }
 }
 
-/// A caller's socket whose reads and writes are watched.
+/// A caller's socket that records its reads and writes.
 #[derive(Debug)]
-pub(crate) struct WatchedStream {
+pub(crate) struct MonitoredStream {
     stream: TokioIo<TcpStream>,
     activity: Activity,
 }
 
-impl WatchedStream {
-    /// Watches a socket.
+impl MonitoredStream {
+    /// Wraps a socket.
     pub(crate) fn new(stream: TcpStream, activity: Activity) -> Self {
         Self {
             stream: TokioIo::new(stream),
@@ -237,34 +237,34 @@
         self.stream.into_inner()
     }
 
-    fn note_write<T>(&self, written: &Poll<io::Result<T>>) {
-        self.activity.note_write(written.is_pending());
+    fn record_write<T>(&self, written: &Poll<io::Result<T>>) {
+        self.activity.record_write(written.is_pending());
     }
 }
 
-impl Read for WatchedStream {
+impl Read for MonitoredStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
         buffer: ReadBufCursor<'_>,
     ) -> Poll<io::Result<()>> {
         let read = Pin::new(&mut self.stream).poll_read(context, buffer);
-        // The end of the stream counts as well; the connection ends at once then.
+        // The end of the stream also counts as a read; the connection ends at once then.
         if read.is_ready() {
-            self.activity.note_read();
+            self.activity.record_read();
         }
         read
     }
 }
 
-impl Write for WatchedStream {
+impl Write for MonitoredStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.stream).poll_write(context, bytes);
-        self.note_write(&written);
+        self.record_write(&written);
         written
     }
 
@@ -274,7 +274,7 @@
         slices: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.stream).poll_write_vectored(context, slices);
-        self.note_write(&written);
+        self.record_write(&written);
         written
     }
 
--- a/crates/transport/src/coordinator_calls.rs
+++ b/crates/transport/src/coordinator_calls.rs
@@ -1,4 +1,4 @@
-//! Calls of a coordinator to engines and routers, in a few threads of their own.
+//! Calls of a coordinator to engines and routers, in a few separate threads.
 
 use std::io;
 use std::net::SocketAddr;
@@ -32,20 +32,20 @@
 use crate::event_log::log_info;
 use crate::event_log::log_warn;
 
-/// Threads that call; an engine that hangs over an order holds one of them.
+/// Threads for calls; an engine that does not answer an order occupies one of them.
 const CALL_THREADS: usize = 8;
-/// Calls that may wait for a thread; one that finds no room counts as unanswered.
+/// Calls that may wait for a thread; a call beyond them is dropped and counts as unanswered.
 const CALL_CHANNEL_LEN: usize = 256;
-/// Longest time to open a connection.
+/// Longest time to open a connection to an engine or router.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Longest time for a call that an engine or router answers at once.
+/// Longest time for a call that an engine or router should answer at once.
 const SHORT_TIMEOUT: Duration = Duration::from_secs(2);
-/// Routers that are told of a drain; one would do, two outlive the loss of one.
+/// Routers to which a drain is announced. One is sufficient; with two, the drain survives the loss of one.
 const DRAIN_FANOUT: usize = 2;
-/// Most routers tried for one drain, so that a partition does not hold a thread for long.
+/// Most routers that are tried for one drain, so that a network partition does not occupy a thread for long.
 const MAX_DRAIN_TRIES: usize = 6;
 
-/// Longest state of an engine; a true one names what the engine serves.
+/// Longest state of an engine that is read; a valid one lists the models that the engine serves, and its role.
 const MAX_STATE_BYTES: u64 = 64 << 10;
 
 /// A call to make.
@@ -58,7 +58,7 @@
         /// Where the engine listens.
         address: SocketAddr,
     },
-    /// Ask whether an order is in effect.
+    /// Read back from the engine whether an order is in effect.
     ReadBack {
         /// The endpoint.
         endpoint: EndpointId,
@@ -69,7 +69,7 @@
         /// Where the engine listens.
         address: SocketAddr,
     },
-    /// Tell routers of a drain.
+    /// Announce a drain to routers.
     Drain {
         /// The endpoint.
         endpoint: EndpointId,
@@ -78,59 +78,60 @@
     },
 }
 
-/// Ring to the threads that call.
+/// Channel to the threads that call.
 #[derive(Debug)]
 pub struct CoordinatorCalls {
-    ring: SyncSender<CoordinatorCall>,
+    sender: SyncSender<CoordinatorCall>,
 }
 
 #[derive(Debug, Clone)]
-struct Caller<C> {
+struct CallThread<C> {
     clock: C,
     engines: Agent,
-    short: Agent,
+    short_calls: Agent,
     inputs: SyncSender<CoordinatorEvent>,
 }
 
 impl CoordinatorCalls {
-    /// Starts the threads; `answer_timeout` bounds the time for an engine to obey.
+    /// Starts the threads; `answer_timeout` is the longest time for an engine to answer an order.
     ///
     /// # Errors
     ///
-    /// Fails when a thread cannot be started.
+    /// Fails if a thread cannot be started.
     pub fn start<C: Clock + Clone + Send + 'static>(
         clock: C,
         answer_timeout: Duration,
         inputs: SyncSender<CoordinatorEvent>,
     ) -> io::Result<Self> {
-        let (ring, calls) = sync_channel(CALL_CHANNEL_LEN);
+        let (sender, calls) = sync_channel(CALL_CHANNEL_LEN);
         let calls = Arc::new(Mutex::new(calls));
-        let caller = Caller {
+        let call_thread = CallThread {
             clock,
             engines: agent(answer_timeout),
-            short: agent(SHORT_TIMEOUT),
+            short_calls: agent(SHORT_TIMEOUT),
             inputs,
         };
         for index in 0..CALL_THREADS {
             let calls = Arc::clone(&calls);
-            let caller = caller.clone();
+            let call_thread = call_thread.clone();
             thread::Builder::new()
                 .name(format!("coordinator-calls-{index}"))
-                .spawn(move || caller.run(&calls))?;
+                .spawn(move || call_thread.run(&calls))?;
         }
-        Ok(Self { ring })
+        Ok(Self { sender })
     }
 
-    /// Makes a call; one for which there is no room is left out and counted, as its part repeats it.
+    /// Starts a call. If the channel is full, the call is dropped and counted, as the part of the
+    /// coordinator that requested it repeats it.
     pub fn call(&self, call: CoordinatorCall) {
-        if self.ring.try_send(call).is_err() {
+        if self.sender.try_send(call).is_err() {
             counter!("sedgeridge_coordinator_calls_total", "result" => "no_room").increment(1);
         }
     }
 }
 
-/// Each call opens a connection of its own: one that is kept may have gone silent, and an order
-/// on it would arrive long after it was sent, or never.
+/// Creates a client that opens a new connection for each call: a kept connection may have gone silent, and an
+/// order sent on it would arrive long after it was sent, or never.
 fn agent(timeout: Duration) -> Agent {
     address_agent(
         address_config()
@@ -142,7 +143,7 @@
     )
 }
 
-impl<C: Clock> Caller<C> {
+impl<C: Clock> CallThread<C> {
     fn run(&self, calls: &Mutex<Receiver<CoordinatorCall>>) {
         loop {
             let next = calls.lock().expect("no caller panics").recv();
@@ -187,11 +188,11 @@
         }
     }
 
-    /// Sends an order unless the lease ends before a connection is sure to be open.
+    /// Sends an order, unless the lease may end before a connection is open.
     ///
-    /// The order may have waited in the ring, or the whole process may have been paused, since the
-    /// lease was last checked. Sent then, it would reach an engine that obeys the next holder by
-    /// now, and one that ignores fencing numbers would obey both.
+    /// Since the lease was last checked, the order may have waited in the channel, or the process may have
+    /// been paused. If it were sent after the lease, the engine could already follow the next holder, and
+    /// an engine that ignores fencing numbers would obey both.
     fn send(&self, order: &SendOrder, address: SocketAddr) -> EngineAnswer {
         let Some(body) = order_to_wire(&order.order, order.fencing) else {
             return EngineAnswer::Refused;
@@ -213,7 +214,7 @@
 
     fn read_back(&self, order: &EngineOrder, address: SocketAddr) -> Option<bool> {
         let url = format!("http://{address}{ORDERS_PATH}");
-        let mut response = self.short.get(url).call().ok()?;
+        let mut response = self.short_calls.get(url).call().ok()?;
         let body = response.body_mut().with_config().limit(MAX_STATE_BYTES);
         let body = body.read_to_vec().ok()?;
         let state: EngineState = serde_json::from_slice(&body).ok()?;
@@ -225,12 +226,12 @@
             endpoint: endpoint.to_string(),
         };
         let tries = routers.iter().take(MAX_DRAIN_TRIES);
-        let took =
-            tries.filter(|router| post(&self.short, **router, DRAIN_PATH, &body) == Some(202));
-        let told = took.take(DRAIN_FANOUT).count();
-        let result = if told == 0 { "failed" } else { "told" };
+        let accepted = tries
+            .filter(|router| post(&self.short_calls, **router, DRAIN_PATH, &body) == Some(202));
+        let announced = accepted.take(DRAIN_FANOUT).count();
+        let result = if announced == 0 { "failed" } else { "told" };
         counter!("sedgeridge_drain_announcements_total", "result" => result).increment(1);
-        if told == 0 {
+        if announced == 0 {
             log_warn(
                 LogEvent::DrainNotAnnounced,
                 format_args!("endpoint={endpoint}"),
@@ -241,9 +242,9 @@
     }
 }
 
-/// Posts JSON and returns the answer's status.
+/// Posts JSON and returns the status of the response; `None` if there is none.
 fn post(agent: &Agent, address: SocketAddr, path: &str, body: &impl Serialize) -> Option<u16> {
-    let body = serde_json::to_vec(body).expect("a call is plain data");
+    let body = serde_json::to_vec(body).expect("a call serialises to JSON");
     let sent = agent
         .post(format!("http://{address}{path}"))
         .header(http::header::CONTENT_TYPE, "application/json")
--- a/crates/transport/src/coordinator_core.rs
+++ b/crates/transport/src/coordinator_core.rs
@@ -1,4 +1,4 @@
-//! The coordinator's core thread: feeds events to its decisions and carries out their actions.
+//! The core thread of a coordinator: feeds events to its [`Coordinator`] and executes the actions that it returns.
 
 use std::io;
 use std::net::SocketAddr;
@@ -37,17 +37,17 @@
 use crate::table_calls::TableCalls;
 use crate::table_calls::TableClient;
 
-/// Events that may wait for the core.
+/// Capacity of the channel to the core thread.
 pub const COORDINATOR_CHANNEL_LEN: usize = 1_024;
 /// Time between two ticks.
-const TICK: Duration = Duration::from_millis(50);
-/// Longest time that a stopping coordinator tries to give its lease back; after it the next holder
-/// waits for the end of the term.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
+/// Longest time that a stopping coordinator tries to release its lease. If it fails, the next holder waits for
+/// the end of the term.
 const MAX_STOP_WAIT: Duration = Duration::from_secs(5);
-/// Threads for the lease's calls. They are its own, so that no other call makes a renewal wait.
-const LEASE_CALLERS: usize = 1;
-/// Threads for the sweep's calls; it makes one at a time.
-const SWEEP_CALLERS: usize = 1;
+/// Threads for calls of the lease. They are separate, so that no other call delays a renewal.
+const LEASE_CALL_THREADS: usize = 1;
+/// Threads for calls of the sweep, which makes one call at a time.
+const SWEEP_CALL_THREADS: usize = 1;
 
 /// State of the core thread.
 #[derive(Debug)]
@@ -68,11 +68,11 @@
 }
 
 impl<C: Clock + Clone + Send + 'static> CoordinatorCore<C> {
-    /// Creates the core of one coordinator run and starts the threads that it calls by.
+    /// Creates the core of one coordinator run and starts its threads for calls.
     ///
     /// # Errors
     ///
-    /// Fails when a thread cannot be started.
+    /// Fails if a thread cannot be started.
     pub fn new(
         clock: C,
         member: Member,
@@ -88,14 +88,14 @@
         let seed = member.incarnation.0;
         let configuration = &directory.settings;
         Ok(Self {
-            lease_table: TableCalls::start(&client, LEASE_CALLERS, inputs, |event| {
-                ended(CoordinatorPart::Lease, event)
+            lease_table: TableCalls::start(&client, LEASE_CALL_THREADS, inputs, |event| {
+                store_ended(CoordinatorPart::Lease, event)
             })?,
             order_table: TableCalls::start(&client, CALL_THREADS, inputs, |event| {
-                ended(CoordinatorPart::Orders, event)
+                store_ended(CoordinatorPart::Orders, event)
             })?,
-            sweep_table: TableCalls::start(&client, SWEEP_CALLERS, inputs, |event| {
-                ended(CoordinatorPart::Sweep, event)
+            sweep_table: TableCalls::start(&client, SWEEP_CALL_THREADS, inputs, |event| {
+                store_ended(CoordinatorPart::Sweep, event)
             })?,
             config_reads: ConfigReads::start(&client, inputs, CoordinatorEvent::ConfigRead)?,
             load_reads: LoadReads::start(inputs, |endpoint, load| CoordinatorEvent::LoadRead {
@@ -113,15 +113,15 @@
         })
     }
 
-    /// Runs until it was told to stop and the lease is given back.
+    /// Runs until a stop was requested and the lease is released, or [`MAX_STOP_WAIT`] has passed.
     pub fn run(mut self, inputs: &Receiver<CoordinatorEvent>) {
         loop {
-            let event = match inputs.recv_timeout(TICK) {
+            let event = match inputs.recv_timeout(TICK_INTERVAL) {
                 Ok(event) => event,
                 Err(RecvTimeoutError::Timeout) => CoordinatorEvent::Tick,
                 Err(RecvTimeoutError::Disconnected) => return,
             };
-            self.take(event);
+            self.handle_event(event);
             self.publish();
             if self.has_stopped() {
                 return;
@@ -129,7 +129,7 @@
         }
     }
 
-    fn take(&mut self, event: CoordinatorEvent) {
+    fn handle_event(&mut self, event: CoordinatorEvent) {
         match &event {
             CoordinatorEvent::LoadRead { endpoint, .. } => self.load_reads.read_ended(endpoint),
             CoordinatorEvent::StopRequested => {
@@ -146,7 +146,7 @@
         let now = self.clock.now();
         self.coordinator.handle(now, event, &mut actions);
         for action in actions {
-            self.act(action);
+            self.execute(action);
         }
     }
 
@@ -157,7 +157,7 @@
         self.coordinator.is_stopped() || since + MAX_STOP_WAIT <= self.clock.now()
     }
 
-    fn act(&mut self, action: CoordinatorAction) {
+    fn execute(&mut self, action: CoordinatorAction) {
         match action {
             CoordinatorAction::Store { part, action } => {
                 let table = match part {
@@ -166,11 +166,11 @@
                     CoordinatorPart::Sweep => &self.sweep_table,
                 };
                 if let Some(event) = table.call(action) {
-                    self.take(ended(part, event));
+                    self.handle_event(store_ended(part, event));
                 }
             }
             CoordinatorAction::Send(order) => {
-                if let Some(address) = self.address(&order.endpoint) {
+                if let Some(address) = self.endpoint_address(&order.endpoint) {
                     self.calls.call(CoordinatorCall::Order { order, address });
                 }
             }
@@ -179,7 +179,7 @@
                 number,
                 order,
             } => {
-                if let Some(address) = self.address(&endpoint) {
+                if let Some(address) = self.endpoint_address(&endpoint) {
                     self.calls.call(CoordinatorCall::ReadBack {
                         endpoint,
                         number,
@@ -189,7 +189,7 @@
                 }
             }
             CoordinatorAction::ReadLoad { endpoint } => {
-                if let Some(address) = self.address(&endpoint) {
+                if let Some(address) = self.endpoint_address(&endpoint) {
                     self.load_reads.start_read(&endpoint, address);
                 }
             }
@@ -225,16 +225,16 @@
                 endpoint,
                 number,
                 state,
-            } => log_end(&endpoint, number, state),
+            } => log_order_end(&endpoint, number, state),
         }
     }
 
-    fn address(&self, endpoint: &EndpointId) -> Option<SocketAddr> {
+    fn endpoint_address(&self, endpoint: &EndpointId) -> Option<SocketAddr> {
         Some(self.directory.endpoint(endpoint)?.address)
     }
 
-    /// Lists the routers, beginning with another one each time, so that one that is down or cut off
-    /// does not miss every announcement and no router takes them all.
+    /// Returns the routers' addresses, starting with another router each time, so that an unreachable router
+    /// does not cost time at every announcement and no router gets all of them.
     fn next_routers(&mut self) -> Vec<SocketAddr> {
         let hosts = &self.directory.settings.hosts;
         let mut routers: Vec<_> = hosts.iter().map(|h| h.operator_address).collect();
@@ -250,11 +250,11 @@
     }
 }
 
-fn ended(part: CoordinatorPart, event: StoreEvent) -> CoordinatorEvent {
+fn store_ended(part: CoordinatorPart, event: StoreEvent) -> CoordinatorEvent {
     CoordinatorEvent::StoreEnded { part, event }
 }
 
-fn log_end(endpoint: &EndpointId, number: u64, state: OrderState) {
+fn log_order_end(endpoint: &EndpointId, number: u64, state: OrderState) {
     let result = state.as_str();
     counter!("sedgeridge_orders_ended_total", "state" => result).increment(1);
     log_info(
--- a/crates/transport/src/coordinator_status.rs
+++ b/crates/transport/src/coordinator_status.rs
@@ -1,4 +1,4 @@
-//! What a coordinator publishes on its operator pages.
+//! Publishes a coordinator's state for its operator pages, and its gauges.
 
 use std::time::Duration;
 
@@ -13,9 +13,9 @@
 
 use crate::status::SharedStatus;
 
-/// Publishes a coordinator's state as it is now.
+/// Publishes a coordinator's current state.
 pub(crate) fn publish(
-    board: &SharedStatus<CoordinatorStatus>,
+    shared_status: &SharedStatus<CoordinatorStatus>,
     member: &Member,
     coordinator: &Coordinator,
     now: Duration,
@@ -34,7 +34,7 @@
     gauge!("sedgeridge_lease_held").set(if status.holding { 1.0 } else { 0.0 });
     gauge!("sedgeridge_lease_fencing_number").set(fencing as f64);
     gauge!("sedgeridge_orders_open").set(status.orders.len() as f64);
-    board.publish(status);
+    shared_status.publish(status);
 }
 
 fn lease_row(record: &LeaseRecord) -> LeaseRow {
--- a/crates/transport/src/core.rs
+++ b/crates/transport/src/core.rs
@@ -1,4 +1,4 @@
-//! The core thread: feeds events to the router's decisions and carries out their actions.
+//! The core thread of a router: feeds events to its [`Node`] and executes the actions that the node returns.
 
 mod actions;
 
@@ -59,15 +59,15 @@
 use crate::table_calls::TableCalls;
 use crate::table_calls::TableClient;
 
-/// Events that may wait for the core; a full ring refuses new requests.
+/// Capacity of the channel to the core thread; when it is full, new requests are refused.
 pub const CORE_CHANNEL_LEN: usize = 8_192;
 /// Longest time between two ticks.
-const MAX_TICK: Duration = Duration::from_millis(20);
-/// Shortest time between two ticks, so that a late timer cannot keep the thread busy.
-const MIN_TICK: Duration = Duration::from_millis(1);
-/// When to come back to a router that has no configuration yet.
+const MAX_TICK_INTERVAL: Duration = Duration::from_millis(20);
+/// Shortest time between two ticks, so that an overdue timer cannot keep the thread busy.
+const MIN_TICK_INTERVAL: Duration = Duration::from_millis(1);
+/// `Retry-After` of a router that has no configuration yet.
 const NOT_READY_RETRY_AFTER: Duration = Duration::from_secs(1);
-/// Longest time that a stopping router waits for the records of what ran.
+/// Longest time that a stopping router waits until the outcomes of requests are stored.
 const MAX_RECORD_WAIT: Duration = Duration::from_secs(5);
 /// Time between two updates of the operator pages.
 const PUBLISH_INTERVAL: Duration = Duration::from_millis(100);
@@ -75,22 +75,22 @@
 /// A request that the front accepted.
 #[derive(Debug)]
 pub struct NewRequest {
-    /// For the decisions.
+    /// Input of the scheduling decisions.
     pub arrival: Arrival,
-    /// For the endpoint.
+    /// Request to send to the endpoint.
     pub call: Call,
-    /// Its key, if it may not be repeated.
+    /// Idempotency claim of a non-repeatable request.
     pub claim: Option<ClaimKey>,
-    /// Where the answer goes.
+    /// Channel to the caller.
     pub answer: AnswerSender,
 }
 
-/// What the core thread is told.
+/// Input of the core thread.
 #[derive(Debug)]
 pub enum CoreInput {
     /// A caller sent a request.
     Arrived(Box<NewRequest>),
-    /// The caller of a request went away before its answer began.
+    /// The caller of a request disconnected before its answer began.
     CallerGone {
         /// The request.
         key: RequestKey,
@@ -101,12 +101,12 @@
     AttemptEnded {
         /// The attempt.
         attempt: AttemptKey,
-        /// How it ended.
-        ended: AttemptResult,
-        /// The worker, idle now.
+        /// Its result.
+        result: AttemptResult,
+        /// The worker, which is idle now.
         worker: WorkerId,
     },
-    /// A call of the table service ended.
+    /// A call to the table service ended.
     StoreEnded(StoreEvent),
     /// A read of the configuration ended.
     ConfigRead(ConfigEvent<ConfigContent>),
@@ -117,28 +117,28 @@
         /// The message.
         message: PeerMessage,
     },
-    /// Messages to another router were lost.
+    /// Messages to another router were lost, so its state must be sent again in full.
     PeerReset {
         /// The other router.
         host: HostId,
     },
     /// Another router sent a membership message.
     Membership(Box<Message>),
-    /// An attempt has received this much service so far.
+    /// Progress report of a running attempt.
     Progress {
         /// The attempt.
         attempt: AttemptKey,
-        /// Service received.
+        /// Tokens charged so far.
         charged_tokens: u64,
     },
-    /// An endpoint's load report was read, or could not be.
+    /// A read of an endpoint's load report ended.
     LoadRead {
         /// The endpoint.
         endpoint: EndpointId,
-        /// The report.
+        /// The report; `None` if it could not be read.
         load: Option<Load>,
     },
-    /// An operator drains an endpoint.
+    /// An operator or the coordinator requests a drain of an endpoint.
     DrainEndpoint {
         /// The endpoint.
         endpoint: EndpointId,
@@ -147,7 +147,7 @@
     Stop,
 }
 
-/// A request that the core has in hand.
+/// A request without a final answer.
 #[derive(Debug)]
 struct Pending {
     call: Call,
@@ -222,22 +222,22 @@
         })
     }
 
-    /// Runs until it was told to stop and every request has its answer.
+    /// Runs until a stop was requested and every request has its final answer.
     pub fn run(mut self, inputs: &Receiver<CoreInput>) {
         let mut next_publish = Duration::ZERO;
         let mut last_tick = Duration::ZERO;
         loop {
-            let wake = self.node.next_wake().min(last_tick + MAX_TICK);
-            let wake = wake.max(last_tick + MIN_TICK);
+            let wake = self.node.next_wake().min(last_tick + MAX_TICK_INTERVAL);
+            let wake = wake.max(last_tick + MIN_TICK_INTERVAL);
             match inputs.recv_timeout(wake.saturating_sub(self.clock.now())) {
-                Ok(input) => self.input(input),
+                Ok(input) => self.handle_input(input),
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return,
             }
             let now = self.clock.now();
             if now >= wake {
                 last_tick = now;
-                self.event(NodeEvent::Tick);
+                self.handle_event(NodeEvent::Tick);
             }
             if now >= next_publish {
                 next_publish = now + PUBLISH_INTERVAL;
@@ -250,9 +250,9 @@
         }
     }
 
-    /// Tells whether a stopping router may end: every caller has its answer, and every outcome that
-    /// a repeat would ask for is on record. A table that is down does not hold the stop up for
-    /// ever; a repeat of a request without a record is answered as unknown.
+    /// Tells whether a stopping router may exit: every caller has its answer, and every outcome that
+    /// a repeat of a request would ask for is stored. An outage of the table service delays the exit
+    /// by [`MAX_RECORD_WAIT`] at most; a repeat of a request without a record is answered as unknown.
     fn has_finished(&mut self, now: Duration) -> bool {
         if !self.stopping || !self.pending.is_empty() {
             return false;
@@ -261,7 +261,7 @@
         self.node.is_settled() || now >= answered_at + MAX_RECORD_WAIT
     }
 
-    fn input(&mut self, input: CoreInput) {
+    fn handle_input(&mut self, input: CoreInput) {
         match input {
             CoreInput::Arrived(new) => {
                 let NewRequest {
@@ -275,9 +275,9 @@
                         reason: RefusalReason::NotReady,
                         outcome: Outcome::NotRun,
                         retry_after: Some(NOT_READY_RETRY_AFTER),
-                        detail: "no configuration is in force here yet".to_owned(),
+                        detail: "this router has not loaded a configuration yet".to_owned(),
                     };
-                    count_refusal(arrival.key, &not_ready);
+                    report_refusal(arrival.key, &not_ready);
                     let _ = answer.try_send(AnswerPart::Refusal(not_ready));
                     return;
                 }
@@ -287,40 +287,42 @@
                     deadline: arrival.deadline,
                 };
                 self.pending.insert(arrival.key, pending);
-                self.event(NodeEvent::Arrived { arrival, claim });
+                self.handle_event(NodeEvent::Arrived { arrival, claim });
             }
             CoreInput::CallerGone { key } => {
                 if !self.running.values().any(|running| *running == key) {
                     self.pending.remove(&key);
-                    self.event(NodeEvent::CallerGone { key });
+                    self.handle_event(NodeEvent::CallerGone { key });
                 }
             }
             CoreInput::AttemptEnded {
                 attempt,
-                ended,
+                result,
                 worker,
             } => {
                 self.workers.release(worker);
-                self.attempt_ended(attempt, ended);
+                self.end_attempt(attempt, result);
             }
-            CoreInput::StoreEnded(event) => self.event(NodeEvent::StoreEnded(event)),
-            CoreInput::ConfigRead(event) => self.event(NodeEvent::ConfigRead(event)),
-            CoreInput::Peer { from, message } => self.event(NodeEvent::Peer { from, message }),
-            CoreInput::PeerReset { host } => self.event(NodeEvent::PeerReset { host }),
-            CoreInput::Membership(message) => self.event(NodeEvent::Membership(*message)),
+            CoreInput::StoreEnded(event) => self.handle_event(NodeEvent::StoreEnded(event)),
+            CoreInput::ConfigRead(event) => self.handle_event(NodeEvent::ConfigRead(event)),
+            CoreInput::Peer { from, message } => {
+                self.handle_event(NodeEvent::Peer { from, message })
+            }
+            CoreInput::PeerReset { host } => self.handle_event(NodeEvent::PeerReset { host }),
+            CoreInput::Membership(message) => self.handle_event(NodeEvent::Membership(*message)),
             CoreInput::Progress {
                 attempt,
                 charged_tokens,
-            } => self.event(NodeEvent::Progress {
+            } => self.handle_event(NodeEvent::Progress {
                 attempt,
                 charged_tokens,
             }),
             CoreInput::LoadRead { endpoint, load } => {
                 self.load_reads.read_ended(&endpoint);
-                self.event(NodeEvent::LoadRead { endpoint, load });
+                self.handle_event(NodeEvent::LoadRead { endpoint, load });
             }
-            CoreInput::HostList(hosts) => self.event(NodeEvent::HostList(hosts)),
-            CoreInput::DrainEndpoint { endpoint } => self.event(NodeEvent::DrainEndpoint {
+            CoreInput::HostList(hosts) => self.handle_event(NodeEvent::HostList(hosts)),
+            CoreInput::DrainEndpoint { endpoint } => self.handle_event(NodeEvent::DrainEndpoint {
                 endpoint,
                 since_unix_ms: unix_ms(),
             }),
@@ -330,24 +332,24 @@
                     LogEvent::StopRequested,
                     format_args!("in_hand={}", self.pending.len()),
                 );
-                self.event(NodeEvent::StopRequested);
+                self.handle_event(NodeEvent::StopRequested);
                 self.publish();
             }
         }
     }
 
-    fn attempt_ended(&mut self, attempt: AttemptKey, ended: AttemptResult) {
+    fn end_attempt(&mut self, attempt: AttemptKey, result: AttemptResult) {
         let Some(key) = self.running.remove(&attempt) else {
             return;
         };
-        let AttemptResult { end, recorded } = ended;
+        let AttemptResult { end, recorded } = result;
         if matches!(
             end,
             AttemptEnd::Finished { .. } | AttemptEnd::CallerGone { .. }
         ) {
             self.pending.remove(&key);
         }
-        self.event(NodeEvent::AttemptEnded {
+        self.handle_event(NodeEvent::AttemptEnded {
             key,
             attempt,
             end,
@@ -355,11 +357,11 @@
         });
     }
 
-    fn event(&mut self, event: NodeEvent) {
+    fn handle_event(&mut self, event: NodeEvent) {
         let mut actions = Vec::new();
         self.node.handle(self.clock.now(), event, &mut actions);
         for action in actions {
-            self.act(action);
+            self.execute(action);
         }
     }
 
@@ -374,10 +376,10 @@
     }
 }
 
-fn count_refusal(key: RequestKey, given_up: &Refusal) {
-    let reason = given_up.reason.as_str();
+fn report_refusal(key: RequestKey, refusal: &Refusal) {
+    let reason = refusal.reason.as_str();
     counter!("sedgeridge_refusals_total", "reason" => reason).increment(1);
-    let outcome = given_up.outcome.as_str();
+    let outcome = refusal.outcome.as_str();
     log_info(
         LogEvent::RequestGivenUp,
         format_args!("request={} reason={reason} outcome={outcome}", key.0),
--- a/crates/transport/src/core/actions.rs
+++ b/crates/transport/src/core/actions.rs
@@ -1,4 +1,4 @@
-//! Carries out what the decisions want done.
+//! Executes the actions that a router's node returns.
 
 use metrics::counter;
 use sedgeridge_coordination::clock::Clock;
@@ -20,7 +20,7 @@
 use crate::answer::Refusal;
 use crate::core::Core;
 use crate::core::CoreInput;
-use crate::core::count_refusal;
+use crate::core::report_refusal;
 use crate::endpoint_call::AttemptResult;
 use crate::endpoint_call::AttemptSpec;
 use crate::event_log::LogEvent;
@@ -28,20 +28,20 @@
 use crate::event_log::log_warn;
 use crate::peers::OutgoingMessage;
 use crate::peers::PeerPayload;
-use crate::recorded::replayed;
+use crate::recorded::replay_parts;
 
 impl<C: Clock> Core<C> {
-    pub(super) fn act(&mut self, action: NodeAction) {
+    pub(super) fn execute(&mut self, action: NodeAction) {
         match action {
-            NodeAction::Start(start) => self.start(&start),
+            NodeAction::Start(start) => self.start_attempt(&start),
             NodeAction::GiveUp(give_up) => {
-                let given_up = Refusal {
+                let refusal = Refusal {
                     reason: give_up.reason,
                     outcome: give_up.outcome,
                     retry_after: give_up.retry_after,
                     detail: String::new(),
                 };
-                self.give_up(give_up.key, given_up);
+                self.give_up(give_up.key, refusal);
             }
             NodeAction::Replay { key, answer } => self.replay(key, &answer),
             NodeAction::Retried { key, reason } => {
@@ -51,7 +51,7 @@
             }
             NodeAction::Store(action) => {
                 if let Some(event) = self.table.call(action) {
-                    self.event(NodeEvent::StoreEnded(event));
+                    self.handle_event(NodeEvent::StoreEnded(event));
                 }
             }
             NodeAction::ReadConfig(read) => self.config_reads.read(read),
@@ -78,13 +78,14 @@
                 self.publish();
             }
             NodeAction::SendMembership { to, message } => {
-                // A membership message may be lost; the ring's end is counted like the network's.
+                // Membership messages may be lost. A message dropped for a full channel is counted but not
+                // reported to the node, like one lost in the network.
                 let payload = PeerPayload::Datagram(membership::encode(&message));
-                self.send_out(to, payload);
+                self.hand_to_peers(to, payload);
             }
             NodeAction::ReadLoad { endpoint } => {
-                if let Some(known) = self.directory.endpoint(&endpoint) {
-                    self.load_reads.start_read(&endpoint, known.address);
+                if let Some(settings) = self.directory.endpoint(&endpoint) {
+                    self.load_reads.start_read(&endpoint, settings.address);
                 }
             }
             NodeAction::MembersChanged(live) => {
@@ -96,16 +97,16 @@
             }
             NodeAction::Outranked => {
                 log_warn(LogEvent::Outranked, "");
-                self.input(CoreInput::Stop);
+                self.handle_input(CoreInput::Stop);
             }
             NodeAction::Send { to, message } => self.send(to, &message),
         }
     }
 
-    pub(super) fn start(&mut self, start: &StartAttempt) {
+    pub(super) fn start_attempt(&mut self, start: &StartAttempt) {
         self.running.insert(start.attempt, start.key);
-        let order = self.order(start);
-        let started = order.is_some_and(|order| self.workers.start(order).is_ok());
+        let spec = self.attempt_spec(start);
+        let started = spec.is_some_and(|spec| self.workers.start(spec).is_ok());
         if !started {
             let end = AttemptEnd::Failed {
                 failure: AttemptFailure::NotStarted,
@@ -113,15 +114,15 @@
                 charged_tokens: 0,
                 head_sent: start.head_sent,
             };
-            let ended = AttemptResult {
+            let result = AttemptResult {
                 end,
                 recorded: None,
             };
-            self.attempt_ended(start.attempt, ended);
+            self.end_attempt(start.attempt, result);
         }
     }
 
-    pub(super) fn order(&self, start: &StartAttempt) -> Option<AttemptSpec> {
+    pub(super) fn attempt_spec(&self, start: &StartAttempt) -> Option<AttemptSpec> {
         let pending = self.pending.get(&start.key)?;
         let endpoint = self.directory.endpoint(&start.endpoint)?;
         let attempt_id = AttemptId {
@@ -147,41 +148,41 @@
         let Some(pending) = self.pending.remove(&key) else {
             return;
         };
-        for part in replayed(recorded, pending.call.form) {
-            // The ring is empty and holds more than a replay has parts.
+        for part in replay_parts(recorded, pending.call.form) {
+            // The channel is empty and has room for every part of a replay.
             let _ = pending.answer.try_send(part);
         }
     }
 
-    pub(super) fn give_up(&mut self, key: RequestKey, given_up: Refusal) {
-        count_refusal(key, &given_up);
+    pub(super) fn give_up(&mut self, key: RequestKey, refusal: Refusal) {
+        report_refusal(key, &refusal);
         if let Some(pending) = self.pending.remove(&key) {
-            // A ring that is full belongs to a caller who stopped reading in the middle of a
-            // stream; dropping the sender ends the stream without its end mark.
-            let _ = pending.answer.try_send(AnswerPart::Refusal(given_up));
+            // A full channel means that the caller stopped reading in the middle of a stream. Dropping
+            // the sender then ends the stream without its end mark.
+            let _ = pending.answer.try_send(AnswerPart::Refusal(refusal));
         }
     }
 
     pub(super) fn send(&mut self, to: Member, message: &PeerMessage) {
         counter!("sedgeridge_peer_sent_total", "kind" => message.kind()).increment(1);
         let payload = PeerPayload::Stream(encode(message));
-        if !self.send_out(to.host.clone(), payload) {
-            self.event(NodeEvent::PeerReset { host: to.host });
+        if !self.hand_to_peers(to.host.clone(), payload) {
+            self.handle_event(NodeEvent::PeerReset { host: to.host });
         }
     }
 
-    /// Hands a message to the peers thread; false when it is lost.
-    pub(super) fn send_out(&self, to: HostId, payload: PeerPayload) -> bool {
-        let Some(known) = self.directory.settings.host(to.as_str()) else {
+    /// Hands a message to the peers thread; false if its channel is full and the message is lost.
+    pub(super) fn hand_to_peers(&self, to: HostId, payload: PeerPayload) -> bool {
+        let Some(host) = self.directory.settings.host(to.as_str()) else {
             counter!("sedgeridge_peer_drops_total", "reason" => "unknown_host").increment(1);
             return true;
         };
-        let out = OutgoingMessage {
-            address: known.peer_address,
+        let outgoing = OutgoingMessage {
+            address: host.peer_address,
             to,
             payload,
         };
-        let sent = self.peers.try_send(out).is_ok();
+        let sent = self.peers.try_send(outgoing).is_ok();
         if !sent {
             counter!("sedgeridge_peer_drops_total", "reason" => "ring_full").increment(1);
         }
--- a/crates/transport/src/directory.rs
+++ b/crates/transport/src/directory.rs
@@ -1,4 +1,4 @@
-//! Looks up accounts by key and services by name, under the configuration in force.
+//! Lookup of accounts by key, and of services and endpoints by name, in the current configuration.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,24 +14,24 @@
 use sedgeridge_state::settings::ServiceSettings;
 use sedgeridge_state::settings::Settings;
 
-/// Index over a configuration.
+/// Index of a configuration.
 #[derive(Debug, Clone)]
 pub struct Directory {
     accounts_by_key: BTreeMap<String, AccountId>,
     services: BTreeMap<String, DirectoryService>,
     endpoints: BTreeMap<EndpointId, EndpointSettings>,
-    /// The configuration.
+    /// The indexed configuration.
     pub settings: Settings,
 }
 
-/// The directory in force, shared by the threads of a router.
+/// The directory of the current configuration, shared by the threads of a router.
 #[derive(Debug, Clone)]
 pub struct SharedDirectory {
     current: Arc<RwLock<Arc<Directory>>>,
 }
 
 impl SharedDirectory {
-    /// Puts the first configuration in force.
+    /// Creates the directory of the first configuration.
     pub fn new(settings: Settings) -> Self {
         let directory = Arc::new(Directory::new(settings));
         Self {
@@ -39,12 +39,12 @@
         }
     }
 
-    /// Returns the directory in force. A request keeps the one it began with.
+    /// Returns the current directory. A request keeps the directory with which it began.
     pub fn current(&self) -> Arc<Directory> {
         Arc::clone(&self.current.read().expect("no writer panics"))
     }
 
-    /// Puts another configuration in force.
+    /// Replaces the configuration and returns its directory.
     pub fn replace(&self, settings: Settings) -> Arc<Directory> {
         let directory = Arc::new(Directory::new(settings));
         *self.current.write().expect("no writer panics") = Arc::clone(&directory);
@@ -57,7 +57,7 @@
 pub struct DirectoryService {
     /// The service.
     pub service: ServiceSettings,
-    /// What its endpoints speak.
+    /// The protocol of its endpoints.
     pub kind: PoolKind,
 }
 
@@ -113,7 +113,7 @@
     }
 }
 
-/// Hashes an account key as the configuration holds it.
+/// Returns the hash of an account key in the form used in the configuration.
 ///
 /// ```
 /// let hash = sedgeridge_transport::directory::key_sha256("secret");
--- a/crates/transport/src/endpoint_call.rs
+++ b/crates/transport/src/endpoint_call.rs
@@ -1,4 +1,4 @@
-//! One attempt to run a request on an endpoint.
+//! Runs one attempt of a request on an endpoint.
 
 use std::io;
 use std::io::ErrorKind;
@@ -21,55 +21,55 @@
 use crate::address_agent::address_agent;
 use crate::address_agent::address_config;
 use crate::answer::AnswerSender;
-use crate::answer_forwarding::pass_stream;
-use crate::answer_forwarding::pass_whole;
+use crate::answer_forwarding::forward_stream;
+use crate::answer_forwarding::forward_whole;
 use crate::answer_memory::MAX_HELD_ANSWER_BYTES;
-use crate::answer_memory::WholeRoom;
+use crate::answer_memory::WholeAnswerMemory;
 use crate::byte_budget::ByteBudget;
 use crate::call::AnswerForm;
 use crate::call::Call;
 use crate::core::CoreInput;
 use crate::recorded::Recorder;
 
-/// Time after which an unused connection is not used again: what stands between the two ends may
-/// have forgotten it, and a request sent on it would wait for an answer that never comes.
+/// Idle time after which a connection is not reused: a device between the two ends may have dropped its state
+/// of the connection, and a request sent on it would wait for an answer that never comes.
 const MAX_CONNECTION_IDLE: Duration = Duration::from_secs(4);
-/// Unused connections kept in all; at the 30 KB of resident memory that one was measured to take, 15 MB.
+/// Most idle connections that are kept to all endpoints together; they take 15 MB at 30 KB of resident memory each.
 const MAX_IDLE_CONNECTIONS: usize = 512;
-/// Unused connections kept to one endpoint.
+/// Most idle connections that are kept to one endpoint.
 const MAX_IDLE_CONNECTIONS_PER_ENDPOINT: usize = 64;
 
-/// What one attempt is to do.
+/// Parameters of one attempt.
 #[derive(Debug, Clone)]
 pub struct AttemptSpec {
     /// The attempt.
     pub attempt: AttemptKey,
-    /// What to send.
+    /// The request to send.
     pub call: Call,
-    /// Where to send it.
+    /// Address of the endpoint.
     pub address: SocketAddr,
-    /// Identifies the attempt towards the endpoint.
+    /// Id of the attempt as sent to the endpoint.
     pub attempt_id: String,
-    /// Output tokens that the caller already holds.
+    /// Output tokens that the caller already has.
     pub resume_after_tokens: u64,
-    /// Whether the caller already holds the head of the answer.
+    /// Whether the caller already has the head of the answer.
     pub head_sent: bool,
-    /// Whether a server error is passed on, since no attempt follows.
+    /// Whether a server error is forwarded to the caller, as no further attempt follows.
     pub last_attempt: bool,
     /// Time left until the request's deadline.
     pub time_left: Duration,
-    /// Weight of one output token against one uncached input token.
+    /// Cost of one output token relative to one uncached input token.
     pub output_token_factor: u64,
-    /// Where the answer goes.
+    /// Channel to the caller.
     pub answer: AnswerSender,
 }
 
-/// How an attempt ended, with the answer to keep for repeats.
+/// Result of an attempt, with the answer to record for repeats of the request.
 #[derive(Debug)]
 pub struct AttemptResult {
     /// How it ended.
     pub end: AttemptEnd,
-    /// The whole answer, if the request may not be repeated.
+    /// The complete answer of a non-repeatable request.
     pub recorded: Option<RecordedAnswer>,
 }
 
@@ -83,7 +83,7 @@
 }
 
 impl EndpointClients {
-    /// Creates the clients under the health settings.
+    /// Creates the clients with the timeouts of the health settings.
     pub fn new(health: &HealthSettings) -> Self {
         let config = || {
             address_config()
@@ -104,13 +104,13 @@
         }
     }
 
-    /// Runs one attempt, tells `core` of its progress and returns how it ended.
-    pub fn run(&self, order: &AttemptSpec, core: &SyncSender<CoreInput>) -> AttemptResult {
-        let mut recorder = Recorder::new(order.call.repeatable);
-        let mut end = self.run_recorded(order, core, &mut recorder);
+    /// Runs one attempt, reports its progress to `core` and returns its result.
+    pub fn run(&self, spec: &AttemptSpec, core: &SyncSender<CoreInput>) -> AttemptResult {
+        let mut recorder = Recorder::new(spec.call.repeatable);
+        let mut end = self.run_recorded(spec, core, &mut recorder);
         if let AttemptEnd::Failed { failure, .. } = &mut end
             && *failure == AttemptFailure::ConnectionLost
-            && self.refuses_connections(order.address)
+            && self.refuses_connections(spec.address)
         {
             *failure = AttemptFailure::Crashed;
         }
@@ -120,10 +120,10 @@
         }
     }
 
-    /// Tells whether an endpoint that lost a connection refuses new ones.
+    /// Returns whether an endpoint that lost a connection refuses new ones, which means that it crashed.
     ///
-    /// A request that crashes each endpoint which runs it is known by this only: the home ejects the
-    /// endpoint at once, so that no later attempt would find it down.
+    /// Only this check detects requests that crash every endpoint which runs them: the home ejects a
+    /// crashed endpoint at once, so no later attempt would find it down.
     fn refuses_connections(&self, address: SocketAddr) -> bool {
         let connected = TcpStream::connect_timeout(&address, self.connect_timeout);
         connected.is_err_and(|error| error.kind() == ErrorKind::ConnectionRefused)
@@ -131,47 +131,47 @@
 
     fn run_recorded(
         &self,
-        order: &AttemptSpec,
+        spec: &AttemptSpec,
         core: &SyncSender<CoreInput>,
         recorder: &mut Recorder,
     ) -> AttemptEnd {
         let started = Instant::now();
-        let response = match self.send(order) {
+        let response = match self.send(spec) {
             Ok(response) => response,
-            Err(error) => return failed(order, send_failure(&error)),
+            Err(error) => return failed(spec, send_failure(&error)),
         };
         if response.headers().contains_key(headers::NOT_STARTED) {
-            return failed(order, AttemptFailure::NotStarted);
+            return failed(spec, AttemptFailure::NotStarted);
         }
-        if !belongs_to(&response, &order.attempt_id) {
-            return failed(order, AttemptFailure::AnswerCrossed);
+        if !belongs_to(&response, &spec.attempt_id) {
+            return failed(spec, AttemptFailure::AnswerCrossed);
         }
         let status = response.status();
-        // A caller that holds the head of a stream cannot be given another status.
-        let unusable = order.head_sent && !status.is_success();
-        if unusable || status.is_server_error() && !order.last_attempt {
-            return failed(order, AttemptFailure::ServerError);
+        // A caller that has the head of a stream cannot get another status.
+        let unusable = spec.head_sent && !status.is_success();
+        if unusable || status.is_server_error() && !spec.last_attempt {
+            return failed(spec, AttemptFailure::ServerError);
         }
         let first_byte = started.elapsed();
-        match order.call.form {
+        match spec.call.form {
             AnswerForm::ChatStream if response.status().is_success() => {
-                pass_stream(order, response, first_byte, core, recorder)
+                forward_stream(spec, response, first_byte, core, recorder)
             }
             _ => {
-                let room = WholeRoom {
+                let memory = WholeAnswerMemory {
                     budget: &self.held_answers,
-                    deadline: started + order.time_left,
+                    deadline: started + spec.time_left,
                 };
-                pass_whole(order, response, first_byte, &room, recorder)
+                forward_whole(spec, response, first_byte, &memory, recorder)
             }
         }
     }
 
-    fn send(&self, order: &AttemptSpec) -> Result<http::Response<Body>, ureq::Error> {
-        let call = &order.call;
-        // A request that may not be repeated gets a connection of its own. On a reused one that
-        // the endpoint just closed, a failed write cannot be told from a lost answer, and the
-        // caller would be told "unknown" for a request that never left.
+    fn send(&self, spec: &AttemptSpec) -> Result<http::Response<Body>, ureq::Error> {
+        let call = &spec.call;
+        // A non-repeatable request gets a new connection. On a reused connection that the endpoint has
+        // just closed, a failed write cannot be told from a lost answer, and the caller would get the
+        // outcome "unknown" for a request that was never sent.
         let agent = if call.repeatable {
             &self.pooled
         } else {
@@ -179,39 +179,39 @@
         };
         let mut request = http::Request::builder()
             .method(call.method.clone())
-            .uri(format!("http://{}{}", order.address, call.path))
+            .uri(format!("http://{}{}", spec.address, call.path))
             .header(http::header::CONTENT_TYPE, &*call.content_type)
             .header(headers::REQUEST_ID, call.request_id.as_str())
-            .header(headers::ATTEMPT_ID, &order.attempt_id)
+            .header(headers::ATTEMPT_ID, &spec.attempt_id)
             .header(headers::ACCOUNT, call.account.as_str());
         if let Some(key) = &call.idempotency_key {
             request = request.header(headers::IDEMPOTENCY_KEY, &**key);
         }
-        if order.resume_after_tokens > 0 {
-            request = request.header(headers::RESUME_AFTER_TOKENS, order.resume_after_tokens);
+        if spec.resume_after_tokens > 0 {
+            request = request.header(headers::RESUME_AFTER_TOKENS, spec.resume_after_tokens);
         }
         let request = request.body(&call.body[..]).map_err(ureq::Error::Http)?;
         let configured = agent
             .configure_request(request)
-            .timeout_global(Some(order.time_left))
+            .timeout_global(Some(spec.time_left))
             .allow_non_standard_methods(true)
             .build();
         agent.run(configured)
     }
 }
 
-/// Tells what a request that got no answer died of. Only errors that prove that no byte of it left
-/// count as a failed connection.
+/// Classifies the failure of a request that got no answer. Only errors that prove that no byte of the
+/// request was sent count as a failed connection.
 fn send_failure(error: &ureq::Error) -> AttemptFailure {
-    if never_sent(error) {
+    if proves_unsent(error) {
         AttemptFailure::ConnectFailed
     } else {
         read_failure(error)
     }
 }
 
-/// Tells whether an error proves that no byte of the request left.
-pub(crate) fn never_sent(error: &ureq::Error) -> bool {
+/// Returns whether an error proves that no byte of the request was sent.
+pub(crate) fn proves_unsent(error: &ureq::Error) -> bool {
     match error {
         ureq::Error::Io(error) => is_connect_error(error),
         ureq::Error::Timeout(ureq::Timeout::Connect)
@@ -222,7 +222,7 @@
     }
 }
 
-/// Tells what an answer under way died of.
+/// Classifies a failure while an answer is read.
 pub(crate) fn read_failure(error: &ureq::Error) -> AttemptFailure {
     match error {
         ureq::Error::Timeout(ureq::Timeout::Global) => AttemptFailure::DeadlinePassed,
@@ -231,7 +231,7 @@
     }
 }
 
-/// Tells what a body under way died of.
+/// Classifies a failure while a body is read.
 pub(crate) fn body_failure(error: io::Error) -> AttemptFailure {
     read_failure(&ureq::Error::from(error))
 }
@@ -246,19 +246,19 @@
     )
 }
 
-/// Tells whether an answer is for this attempt. An endpoint that crossed two answers would else
-/// show one account's answer to another; endpoints that do not echo the id are trusted to their
-/// connection, which carries one attempt at a time.
+/// Returns whether an answer is for this attempt. Otherwise an endpoint that mixes up two answers would
+/// expose one account's answer to another. Endpoints need not echo the id: without it, the answer counts
+/// as that of its connection, which carries one attempt at a time.
 fn belongs_to(response: &http::Response<Body>, attempt_id: &str) -> bool {
     let echoed = response.headers().get(headers::ATTEMPT_ID);
     echoed.is_none_or(|echoed| echoed.as_bytes() == attempt_id.as_bytes())
 }
 
-fn failed(order: &AttemptSpec, failure: AttemptFailure) -> AttemptEnd {
+fn failed(spec: &AttemptSpec, failure: AttemptFailure) -> AttemptEnd {
     AttemptEnd::Failed {
         failure,
-        sent_tokens: order.resume_after_tokens,
+        sent_tokens: spec.resume_after_tokens,
         charged_tokens: 0,
-        head_sent: order.head_sent,
+        head_sent: spec.head_sent,
     }
 }
--- a/crates/transport/src/endpoint_workers.rs
+++ b/crates/transport/src/endpoint_workers.rs
@@ -1,4 +1,4 @@
-//! A pool of worker threads; each runs one attempt at a time.
+//! The pool of worker threads that run attempts, one at a time each.
 
 use std::io;
 use std::sync::mpsc::SyncSender;
@@ -9,22 +9,23 @@
 use crate::endpoint_call::AttemptSpec;
 use crate::endpoint_call::EndpointClients;
 
-/// Stack of a worker: it holds no large values, and a router has one for each request that runs.
+/// Stack size of a worker. It is small because a worker has no large values on its stack, and a router has one
+/// worker for each running request.
 const WORKER_STACK_BYTES: usize = 256 << 10;
 
 /// Identifies a worker thread.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WorkerId(usize);
 
-/// Starts attempts on idle workers, and new workers when none is idle.
+/// Runs attempts on idle workers, and starts a new worker when none is idle.
 ///
-/// The slots granted to the router bound the number of workers.
+/// The number of workers is bounded by the slots that are granted to the router.
 #[derive(Debug)]
 pub struct EndpointWorkers {
     clients: EndpointClients,
     core: SyncSender<CoreInput>,
     workers: Vec<SyncSender<AttemptSpec>>,
-    idle: Vec<WorkerId>,
+    idle_workers: Vec<WorkerId>,
 }
 
 impl EndpointWorkers {
@@ -34,7 +35,7 @@
             clients,
             core,
             workers: Vec::new(),
-            idle: Vec::new(),
+            idle_workers: Vec::new(),
         }
     }
 
@@ -42,38 +43,38 @@
     ///
     /// # Errors
     ///
-    /// Fails when a new thread is needed and cannot be started; the attempt has not begun then.
-    pub fn start(&mut self, order: AttemptSpec) -> io::Result<()> {
-        let id = match self.idle.pop() {
+    /// Fails if a new thread is needed and cannot be started; the attempt has not begun in that case.
+    pub fn start(&mut self, spec: AttemptSpec) -> io::Result<()> {
+        let id = match self.idle_workers.pop() {
             Some(id) => id,
             None => self.spawn()?,
         };
         self.workers[id.0]
-            .send(order)
+            .send(spec)
             .map_err(|_| io::Error::other("endpoint worker has ended"))
     }
 
-    /// Takes a worker back that finished its attempt.
+    /// Returns a worker that has finished its attempt to the pool.
     pub fn release(&mut self, id: WorkerId) {
-        self.idle.push(id);
+        self.idle_workers.push(id);
     }
 
     fn spawn(&mut self) -> io::Result<WorkerId> {
         let id = WorkerId(self.workers.len());
-        let (orders, inbox) = sync_channel::<AttemptSpec>(1);
+        let (sender, inbox) = sync_channel::<AttemptSpec>(1);
         let clients = self.clients.clone();
         let core = self.core.clone();
         thread::Builder::new()
             .name(format!("endpoint-{}", id.0))
             .stack_size(WORKER_STACK_BYTES)
             .spawn(move || {
-                for order in inbox {
-                    let attempt = order.attempt;
-                    let ended = clients.run(&order, &core);
-                    drop(order);
+                for spec in inbox {
+                    let attempt = spec.attempt;
+                    let result = clients.run(&spec, &core);
+                    drop(spec);
                     let input = CoreInput::AttemptEnded {
                         attempt,
-                        ended,
+                        result,
                         worker: id,
                     };
                     if core.send(input).is_err() {
@@ -81,7 +82,7 @@
                     }
                 }
             })?;
-        self.workers.push(orders);
+        self.workers.push(sender);
         Ok(id)
     }
 }
--- a/crates/transport/src/event_log.rs
+++ b/crates/transport/src/event_log.rs
@@ -61,7 +61,7 @@
     }
 }
 
-/// Sends the log to standard error, one event a line: time, level, number, name, `key=value`.
+/// Directs the log to standard error, one line for each event: time, level, number, name, `key=value` fields.
 pub fn start_log() {
     let formatter = PatternFormatter::new(pattern!(
         "{date}T{time}.{millisecond} {level} {payload}{eol}"
@@ -80,12 +80,12 @@
     }
 }
 
-/// Logs an event that needs nobody's attention.
+/// Logs an event that requires no attention.
 pub fn log_info(event: LogEvent, fields: impl fmt::Display) {
     info!("{event} {fields}");
 }
 
-/// Logs an event that somebody may want to look at.
+/// Logs an event that may require an operator's attention.
 pub fn log_warn(event: LogEvent, fields: impl fmt::Display) {
     warn!("{event} {fields}");
 }
--- a/crates/transport/src/front.rs
+++ b/crates/transport/src/front.rs
@@ -1,6 +1,6 @@
-//! The front: takes callers' requests and gives them their answers.
+//! The front: the HTTP server that accepts callers' requests and returns their answers.
 //!
-//! It runs in one thread on a current-thread runtime, so that a caller who sends half a header or
+//! It runs in one thread on a current-thread runtime, so that a caller who sends an incomplete head or
 //! reads slowly costs a socket and a little memory, not a thread.
 
 use std::io;
@@ -57,12 +57,12 @@
 
 /// Pause after a failed accept, for instance when no file descriptor is free.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// Connections beyond the limit that are told so; still more are closed without an answer.
+/// Connections beyond the limit that get a refusal; further ones are closed without an answer.
 const MAX_REFUSING_CONNECTIONS: usize = 64;
-/// Longest time for open connections to finish after the core has answered every request.
+/// Longest time for open connections to send their last bytes after the core has answered every request.
 const LAST_BYTES_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What the front needs from the rest of the router.
+/// State of the front, and its connections to the rest of the router.
 #[derive(Debug)]
 pub struct Front<C> {
     /// The process clock.
@@ -71,11 +71,11 @@
     pub member: Member,
     /// The configuration in force.
     pub directory: SharedDirectory,
-    /// Ring to the core.
+    /// Channel to the core thread.
     pub core: SyncSender<CoreInput>,
-    /// Number of requests so far, which also names them.
+    /// Key of the next request; counts the requests so far.
     pub next_request: AtomicU64,
-    /// Memory for the bodies of requests that wait and run.
+    /// Memory for the bodies of waiting and running requests.
     pub held_bodies: HeldBodies,
 }
 
@@ -83,7 +83,7 @@
 ///
 /// # Errors
 ///
-/// Fails when the address is not to be had, so that the process ends before anything started.
+/// Fails if the address cannot be bound, so that the process ends before it has started anything.
 pub fn bind(address: SocketAddr) -> io::Result<StdListener> {
     let listener = StdListener::bind(address)?;
     listener.set_nonblocking(true)?;
@@ -95,7 +95,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when the runtime cannot be set up.
+    /// Fails if the runtime cannot be set up.
     pub fn run(self, listener: StdListener, stop: watch::Receiver<bool>) -> io::Result<()> {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
@@ -145,8 +145,8 @@
         });
     }
     drop(listener);
-    // Every request has its final answer queued by now or gets it from the core, which is still
-    // running; connections close when the last byte is out.
+    // Every request has its final answer queued, or gets it from the core, which still runs. Connections
+    // close after their last byte is sent.
     let all = permits.acquire_many(max_connections);
     let _ = tokio::time::timeout(front.shutdown_timeout(), all).await;
     Ok(())
@@ -157,8 +157,8 @@
         millis(self.directory.current().settings.front.max_deadline_ms) + LAST_BYTES_TIMEOUT
     }
 
-    /// Gives a request its answer, or the beginning of it.
-    pub(crate) async fn request(
+    /// Handles a request and returns its response, whose body may still be streaming.
+    pub(crate) async fn handle_request(
         &self,
         request: Request<Incoming>,
         admission: Admission,
@@ -176,14 +176,14 @@
             Err(bad) => return self.refuse_bad(&fallback_id, bad),
         };
         let request_id = caller.request_id.as_str().to_owned();
-        match self.queue(key, &parts, body, caller, &directory).await {
+        match self.submit(key, &parts, body, caller, &directory).await {
             Ok(answer) => self.answer(key, &request_id, answer).await,
             Err(bad) => self.refuse_bad(&request_id, bad),
         }
     }
 
-    /// Refuses a connection too many. Its body is read first: closing a socket that holds unread
-    /// bytes resets it, and the caller could lose the answer.
+    /// Refuses a request on a connection beyond the limit. Its body is read first: closing a socket with unread
+    /// bytes resets the connection, and the caller could lose the answer.
     async fn refuse_connection(
         &self,
         request_id: &str,
@@ -194,7 +194,7 @@
         let max = directory.settings.front.max_connections;
         let bad = BadRequest {
             reason: RefusalReason::TooManyConnections,
-            detail: format!("connections: found more than {max}, the most that are served"),
+            detail: format!("connections: found more than {max}, expected at most {max}"),
         };
         let mut response = self.refuse_bad(request_id, bad);
         let close = HeaderValue::from_static("close");
@@ -202,7 +202,7 @@
         response
     }
 
-    async fn queue(
+    async fn submit(
         &self,
         key: RequestKey,
         parts: &Parts,
@@ -210,22 +210,22 @@
         caller: Caller,
         directory: &Directory,
     ) -> Result<AnswerReceiver, BadRequest> {
-        let room = self.held_bodies.account_budget(&caller.account);
-        let body = read_body(body, &room, &directory.settings.front).await?;
+        let budget = self.held_bodies.account_budget(&caller.account);
+        let body = read_body(body, &budget, &directory.settings.front).await?;
         let now = self.clock.now();
-        let accepted = parse_request(parts, body, caller, directory, key, now)?;
+        let parsed = parse_request(parts, body, caller, directory, key, now)?;
         let (sender, receiver) = mpsc::channel(ANSWER_CHANNEL_LEN);
         let arrived = CoreInput::Arrived(Box::new(NewRequest {
-            arrival: accepted.arrival,
-            call: accepted.call,
-            claim: accepted.claim,
+            arrival: parsed.arrival,
+            call: parsed.call,
+            claim: parsed.claim,
             answer: sender,
         }));
         match self.core.try_send(arrived) {
             Ok(()) => Ok(receiver),
             Err(TrySendError::Full(_)) => Err(BadRequest {
                 reason: RefusalReason::QueueFull,
-                detail: "the router's ring of new requests is full".to_owned(),
+                detail: "the router's queue of new requests is full".to_owned(),
             }),
             Err(TrySendError::Disconnected(_)) => Err(BadRequest {
                 reason: RefusalReason::Draining,
@@ -263,8 +263,8 @@
                     .body(FrontBody::Parts(Some(answer)));
                 response.expect("status and headers came from a valid answer")
             }
-            Some(AnswerPart::Refusal(given_up)) => refusal(request_id, &given_up),
-            Some(AnswerPart::Chunk(_) | AnswerPart::End) | None => refusal(
+            Some(AnswerPart::Refusal(refusal)) => refusal_response(request_id, &refusal),
+            Some(AnswerPart::Chunk(_) | AnswerPart::End) | None => refusal_response(
                 request_id,
                 &Refusal {
                     reason: RefusalReason::EndpointFailed,
@@ -278,7 +278,7 @@
 
     fn refuse_bad(&self, request_id: &str, bad: BadRequest) -> Response<FrontBody> {
         count_refusal(bad.reason);
-        let given_up = Refusal {
+        let refusal = Refusal {
             reason: bad.reason,
             outcome: Outcome::NotRun,
             retry_after: bad
@@ -287,12 +287,12 @@
                 .then_some(Duration::from_secs(1)),
             detail: bad.detail,
         };
-        refusal(request_id, &given_up)
+        refusal_response(request_id, &refusal)
     }
 }
 
-/// Tells the core when a caller goes away before its answer began. Without it, requests that
-/// nobody waits for would fill the queue and run on endpoints.
+/// Notifies the core if a caller disconnects before its answer begins. Without the notification, requests
+/// without a caller would fill the queue and run on endpoints.
 struct CallerGuard<'a> {
     key: RequestKey,
     core: &'a SyncSender<CoreInput>,
@@ -302,7 +302,7 @@
 impl Drop for CallerGuard<'_> {
     fn drop(&mut self) {
         if self.waiting {
-            // On a full ring the request stays until its deadline, which bounds the loss.
+            // If the channel is full, the request stays until its deadline, which bounds the loss.
             let _ = self.core.try_send(CoreInput::CallerGone { key: self.key });
         }
     }
@@ -312,23 +312,23 @@
     counter!("sedgeridge_refusals_total", "reason" => reason.as_str()).increment(1);
 }
 
-fn refusal(request_id: &str, given_up: &Refusal) -> Response<FrontBody> {
-    let reason = given_up.reason.as_str();
-    let outcome = given_up.outcome.as_str();
+fn refusal_response(request_id: &str, refusal: &Refusal) -> Response<FrontBody> {
+    let reason = refusal.reason.as_str();
+    let outcome = refusal.outcome.as_str();
     let error = serde_json::json!({
-        "error": { "type": reason, "message": given_up.detail, "outcome": outcome }
+        "error": { "type": reason, "message": refusal.detail, "outcome": outcome }
     });
     let mut response = Response::builder()
-        .status(given_up.reason.status())
+        .status(refusal.reason.status())
         .header(http::header::CONTENT_TYPE, "application/json")
         .header(headers::REQUEST_ID, request_id)
         .header(headers::OUTCOME, outcome)
         .header(headers::REASON, reason);
-    if given_up.reason == RefusalReason::Draining {
-        // A caller that keeps its connection would come back to the host that is going.
+    if refusal.reason == RefusalReason::Draining {
+        // A caller that keeps its connection would send its next request to this stopping host.
         response = response.header(CONNECTION, "close");
     }
-    if let Some(retry_after) = given_up.retry_after {
+    if let Some(retry_after) = refusal.retry_after {
         let seconds = retry_after.as_secs_f64().ceil().max(1.0) as u64;
         response = response.header(http::header::RETRY_AFTER, seconds);
     }
--- a/crates/transport/src/front_body.rs
+++ b/crates/transport/src/front_body.rs
@@ -1,4 +1,4 @@
-//! Bodies of answers to callers.
+//! Bodies of HTTP responses to callers.
 
 use std::convert::Infallible;
 use std::pin::Pin;
@@ -17,12 +17,12 @@
 use crate::answer::AnswerReceiver;
 use crate::answer::Refusal;
 
-/// The body of an answer: whole already, or still coming from an endpoint.
+/// The body of a response: complete, or still arriving from an endpoint.
 #[derive(Debug)]
 pub enum FrontBody {
-    /// All of it is here.
+    /// The complete body; `None` once it was sent.
     Whole(Option<Bytes>),
-    /// Parts come as the endpoint sends them.
+    /// The channel of the parts that the endpoint sends; `None` after the last one.
     Parts(Option<AnswerReceiver>),
 }
 
@@ -40,8 +40,8 @@
             Self::Parts(parts @ Some(_)) => {
                 let receiver = parts.as_mut().expect("matched above");
                 let part = ready!(receiver.poll_recv(context));
-                let (bytes, last) = frame_of(part);
-                if last {
+                let (bytes, is_last) = frame_bytes(part);
+                if is_last {
                     *parts = None;
                 }
                 Poll::Ready(bytes.map(|bytes| Ok(Frame::data(bytes))))
@@ -63,18 +63,20 @@
     }
 }
 
-/// Returns the bytes of a part and whether it is the last.
-fn frame_of(part: Option<AnswerPart>) -> (Option<Bytes>, bool) {
+/// Returns the bytes of a part and whether it is the last one.
+fn frame_bytes(part: Option<AnswerPart>) -> (Option<Bytes>, bool) {
     match part {
         Some(AnswerPart::Chunk(bytes)) => (Some(bytes), false),
         Some(AnswerPart::End) => (None, true),
-        Some(AnswerPart::Refusal(given_up)) => (Some(partial_mark(&given_up)), true),
-        // A sender that went away, or a part that cannot follow: the answer is not whole.
-        Some(AnswerPart::Head { .. }) | None => (Some(partial_mark(&cut_off())), true),
+        Some(AnswerPart::Refusal(refusal)) => (Some(partial_answer_event(&refusal)), true),
+        // The sender was dropped, or a second head followed: the answer is not complete.
+        Some(AnswerPart::Head { .. }) | None => {
+            (Some(partial_answer_event(&endpoint_failed())), true)
+        }
     }
 }
 
-fn cut_off() -> Refusal {
+fn endpoint_failed() -> Refusal {
     Refusal {
         reason: RefusalReason::EndpointFailed,
         outcome: Outcome::Unknown,
@@ -83,16 +85,16 @@
     }
 }
 
-/// Makes the event that ends a stream which broke off after part of the answer went out.
+/// Returns the event that ends a stream which failed after a part of the answer was sent.
 ///
-/// Without it, a caller whose stream just stops could take half an answer for a whole one: this
-/// event comes in place of `[DONE]`, and no whole answer holds one of its kind.
-fn partial_mark(given_up: &Refusal) -> Bytes {
+/// Without it, a caller whose stream just stops could take an incomplete answer for a complete one. The
+/// event is sent instead of `[DONE]`, and no complete answer contains an event of this kind.
+fn partial_answer_event(refusal: &Refusal) -> Bytes {
     let error = serde_json::json!({
         "error": {
             "type": "partial_answer",
-            "reason": given_up.reason.as_str(),
-            "outcome": given_up.outcome.as_str(),
+            "reason": refusal.reason.as_str(),
+            "outcome": refusal.outcome.as_str(),
         }
     });
     Bytes::from(format!("event: error\ndata: {error}\n\n"))
--- a/crates/transport/src/front_request.rs
+++ b/crates/transport/src/front_request.rs
@@ -1,4 +1,4 @@
-//! Reads a caller's request: who asks, for which service, and what goes to the endpoint.
+//! Parses a caller's request: identifies the caller and the service, and prepares the call to the endpoint.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,14 +23,14 @@
 
 use crate::call::AnswerForm;
 use crate::call::Call;
-use crate::caller_headers::account_of;
+use crate::caller_headers::authenticate;
 use crate::caller_headers::check_encoding;
-use crate::caller_headers::deadline;
 use crate::caller_headers::id_header;
 use crate::caller_headers::number_header;
-use crate::caller_headers::shown;
+use crate::caller_headers::quoted;
+use crate::caller_headers::request_timeout;
 use crate::caller_headers::text_header;
-use crate::chat_body::read_chat_body;
+use crate::chat_body::parse_chat_body;
 use crate::directory::Directory;
 use crate::directory::DirectoryService;
 
@@ -38,55 +38,55 @@
 pub const PLAIN_PREFIX: &str = "/services/";
 /// Cost of a plain request whose caller gives no hint.
 const DEFAULT_PLAIN_HINT_TOKENS: u64 = 100;
-/// Output tokens expected of a chat request that sets no limit.
+/// Output tokens assumed for a chat request without `max_tokens`.
 const DEFAULT_OUTPUT_TOKENS: u64 = 128;
-/// Largest cost hint that is believed.
+/// Largest cost hint that is used; larger ones count as this.
 const MAX_HINT_TOKENS: u64 = 10_000_000;
-/// Rough length of one input token.
+/// Assumed length of one input token.
 const BYTES_PER_TOKEN: usize = 6;
-/// Part of the first messages that requests with the same cached prefix share.
+/// Bytes at the start of a conversation that are hashed to find requests with the same cached prefix.
 const PREFIX_BYTES: usize = 256;
 
-/// A request that cannot be accepted, and what exactly is wrong with it.
+/// Why a request is refused before it is queued.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BadRequest {
-    /// Why.
+    /// The reason.
     pub reason: RefusalReason,
     /// What was found and what was expected.
     pub detail: String,
 }
 
-/// Who asks and under which name.
+/// The client account of a request and the request's id.
 #[derive(Debug, Clone)]
 pub struct Caller {
     /// The client account.
     pub account: AccountId,
-    /// The request.
+    /// Id of the request.
     pub request_id: RequestId,
 }
 
-/// A request that can be queued.
+/// A valid request, ready to be queued.
 #[derive(Debug)]
 pub struct ParsedRequest {
-    /// For the decisions.
+    /// Input of the scheduling decisions.
     pub arrival: Arrival,
-    /// For the endpoint.
+    /// Request to send to the endpoint.
     pub call: Call,
-    /// Its key, if it may not be repeated.
+    /// Idempotency claim of a non-repeatable request.
     pub claim: Option<ClaimKey>,
 }
 
-/// Tells who sends a request.
+/// Identifies the caller of a request by its key.
 ///
 /// # Errors
 ///
-/// Refuses a request without a known key or with a malformed request id.
+/// Refuses a request without a known key, or with a malformed request id.
 pub fn identify_caller(
     parts: &Parts,
     directory: &Directory,
     fallback_id: &str,
 ) -> Result<Caller, BadRequest> {
-    let account = account_of(&parts.headers, directory)?;
+    let account = authenticate(&parts.headers, directory)?;
     let request_id = id_header(&parts.headers, headers::REQUEST_ID)?;
     Ok(Caller {
         account,
@@ -94,11 +94,11 @@
     })
 }
 
-/// Reads a request of a known caller.
+/// Parses a request of an identified caller.
 ///
 /// # Errors
 ///
-/// Refuses an unknown path or service, a malformed body or header.
+/// Refuses an unknown path or service, and a malformed body or header.
 pub fn parse_request(
     parts: &Parts,
     body: Bytes,
@@ -110,18 +110,18 @@
     check_target(parts)?;
     check_encoding(&parts.headers)?;
     let path = parts.uri.path();
-    let read = if path == CHAT_PATH {
-        read_chat(parts, &body, directory)?
+    let service_call = if path == CHAT_PATH {
+        parse_chat(parts, &body, directory)?
     } else if let Some(rest) = path.strip_prefix(PLAIN_PREFIX) {
-        read_plain(parts, rest, directory)?
+        parse_plain(parts, rest, directory)?
     } else {
-        let found = shown(path);
+        let found = quoted(path);
         let detail = format!("path: found {found}, expected {CHAT_PATH} or {PLAIN_PREFIX}NAME/");
         return Err(bad_request(RefusalReason::UnknownService, detail));
     };
     let idempotency_key = id_header(&parts.headers, headers::IDEMPOTENCY_KEY)?;
     let idempotency_key: Option<Arc<str>> = idempotency_key.map(Arc::from);
-    let service = &read.service.service;
+    let service = &service_call.service.service;
     if !service.repeatable && idempotency_key.is_none() {
         let name = headers::IDEMPOTENCY_KEY;
         let service = &service.id;
@@ -133,7 +133,7 @@
         &caller.account,
         service,
         idempotency_key.as_ref(),
-        &read.path,
+        &service_call.path,
         &body,
     );
     let arrival = Arrival {
@@ -142,20 +142,20 @@
         pool: service.pool.clone(),
         class: service.class,
         repeatable: service.repeatable,
-        hint_tokens: read.hint_tokens.clamp(1, MAX_HINT_TOKENS),
-        prefix: read.prefix,
+        hint_tokens: service_call.hint_tokens.clamp(1, MAX_HINT_TOKENS),
+        prefix: service_call.prefix,
         fingerprint: Fingerprint::of(&caller.account, &body),
-        deadline: now + deadline(&parts.headers, &directory.settings.front)?,
+        deadline: now + request_timeout(&parts.headers, &directory.settings.front)?,
     };
     let call = Call {
         account: caller.account,
         request_id: caller.request_id,
         method: parts.method.clone(),
-        path: read.path,
+        path: service_call.path,
         content_type: Arc::from(content_type.unwrap_or("application/json")),
         idempotency_key,
         body,
-        form: read.form,
+        form: service_call.form,
         repeatable: service.repeatable,
         hint_tokens: arrival.hint_tokens,
     };
@@ -166,19 +166,20 @@
     })
 }
 
-/// Refuses a request that names another server, as a forward proxy gets them: whoever sent it does
-/// not mean this fleet, and must not get its answer.
+/// Refuses a request whose target names a server, as requests to a forward proxy do: its sender means
+/// another server and must not get an answer of this fleet.
 fn check_target(parts: &Parts) -> Result<(), BadRequest> {
     if parts.uri.authority().is_none() {
         return Ok(());
     }
-    let found = shown(&parts.uri.to_string());
+    let found = quoted(&parts.uri.to_string());
     let detail = format!("request target: found {found}, expected a path without a server");
     Err(bad_request(RefusalReason::BadRequest, detail))
 }
 
-/// Refuses a path that an endpoint may resolve to one above its own. The key of a non-repeatable
-/// request covers the path as written, so two spellings of one path would be two requests.
+/// Refuses a path with `.` or `..` segments, which an endpoint may resolve to a path outside the service. The
+/// claim of a non-repeatable request covers the path as written, so two spellings of one path would count as
+/// two requests.
 fn check_path(path: &str) -> Result<(), BadRequest> {
     let decoded = path.to_ascii_lowercase().replace("%2e", ".");
     let decoded = decoded.replace("%2f", "/").replace("%5c", "/");
@@ -186,13 +187,13 @@
     if !segments.any(|segment| [".", ".."].contains(&segment)) {
         return Ok(());
     }
-    let found = shown(path);
+    let found = quoted(path);
     let detail = format!("path: found {found}, expected no `.` or `..` segment");
     Err(bad_request(RefusalReason::BadRequest, detail))
 }
 
-/// Makes the claim of a request that may not be repeated. What is asked for is the path as well as
-/// the body: the same key on another path is another request.
+/// Returns the idempotency claim of a non-repeatable request. The claim covers the path and the body: the same
+/// key with another path is another request.
 fn claim_key(
     account: &AccountId,
     service: &ServiceSettings,
@@ -203,15 +204,15 @@
     if service.repeatable {
         return None;
     }
-    let asked = [service.id.as_str().as_bytes(), path.as_bytes(), body].join(&0);
-    let Fingerprint(hash) = Fingerprint::of(account, &asked);
+    let claimed = [service.id.as_str().as_bytes(), path.as_bytes(), body].join(&0);
+    let Fingerprint(hash) = Fingerprint::of(account, &claimed);
     Some(ClaimKey {
         idempotency_key: Arc::clone(idempotency_key?),
         body_hash: BodyHash((hash >> 64) as u64),
     })
 }
 
-struct ReadCall<'a> {
+struct ServiceCall<'a> {
     service: &'a DirectoryService,
     path: Arc<str>,
     form: AnswerForm,
@@ -219,22 +220,22 @@
     prefix: Option<PrefixHash>,
 }
 
-fn read_chat<'a>(
+fn parse_chat<'a>(
     parts: &Parts,
     body: &[u8],
     directory: &'a Directory,
-) -> Result<ReadCall<'a>, BadRequest> {
+) -> Result<ServiceCall<'a>, BadRequest> {
     if parts.method != Method::POST {
-        let found = shown(parts.method.as_str());
+        let found = quoted(parts.method.as_str());
         let detail = format!("method: found {found}, expected POST on {CHAT_PATH}");
         return Err(bad_request(RefusalReason::MethodNotAllowed, detail));
     }
-    let request = read_chat_body(&parts.headers, body)?;
-    let service = find(directory, &request.model, PoolKind::Model)?;
+    let request = parse_chat_body(&parts.headers, body)?;
+    let service = find_service(directory, &request.model, PoolKind::Model)?;
     let input_tokens = body.len() / BYTES_PER_TOKEN;
     let output_tokens = request.max_tokens.map_or(DEFAULT_OUTPUT_TOKENS, u64::from);
     let factor = u64::from(directory.settings.fair.output_token_factor);
-    Ok(ReadCall {
+    Ok(ServiceCall {
         service,
         path: Arc::from(CHAT_PATH),
         form: if request.stream {
@@ -243,26 +244,26 @@
             AnswerForm::ChatWhole
         },
         hint_tokens: input_tokens as u64 + factor * output_tokens,
-        prefix: Some(prefix_of(&request)),
+        prefix: Some(prefix_hash(&request)),
     })
 }
 
-fn read_plain<'a>(
+fn parse_plain<'a>(
     parts: &Parts,
     rest: &str,
     directory: &'a Directory,
-) -> Result<ReadCall<'a>, BadRequest> {
+) -> Result<ServiceCall<'a>, BadRequest> {
     if [Method::CONNECT, Method::TRACE].contains(&parts.method) {
         let found = &parts.method;
         let detail = format!("method: found {found}, expected one that services take");
         return Err(bad_request(RefusalReason::MethodNotAllowed, detail));
     }
     let (name, path) = rest.split_once('/').unwrap_or((rest, ""));
-    let service = find(directory, name, PoolKind::Plain)?;
+    let service = find_service(directory, name, PoolKind::Plain)?;
     check_path(path)?;
     let query = parts.uri.query().map_or(String::new(), |q| format!("?{q}"));
     let hint = number_header(&parts.headers, headers::COST_HINT_TOKENS)?;
-    Ok(ReadCall {
+    Ok(ServiceCall {
         service,
         path: Arc::from(format!("/{path}{query}")),
         form: AnswerForm::Plain,
@@ -271,7 +272,7 @@
     })
 }
 
-fn find<'a>(
+fn find_service<'a>(
     directory: &'a Directory,
     name: &str,
     kind: PoolKind,
@@ -284,14 +285,14 @@
                 PoolKind::Model => ("model", "model"),
                 PoolKind::Plain => ("path", "plain"),
             };
-            let found = shown(name);
+            let found = quoted(name);
             let detail = format!("{field}: found {found}, expected the name of a {kind} service");
             bad_request(RefusalReason::UnknownService, detail)
         })
 }
 
-/// Hashes the first part of the conversation (64-bit FNV-1a).
-fn prefix_of(request: &ChatRequest) -> PrefixHash {
+/// Hashes the model and the first [`PREFIX_BYTES`] of the conversation with 64-bit FNV-1a.
+fn prefix_hash(request: &ChatRequest) -> PrefixHash {
     const OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0000_0100_0000_01b3;
     let first = request.messages.iter().flat_map(|m| m.content.bytes());
--- a/crates/transport/src/held_bodies.rs
+++ b/crates/transport/src/held_bodies.rs
@@ -1,4 +1,4 @@
-//! Memory for the bodies of requests that wait and run, shared by client accounts.
+//! Memory for the bodies of waiting and running requests, shared by client accounts.
 
 use std::collections::BTreeMap;
 use std::sync::Mutex;
@@ -8,13 +8,13 @@
 
 use crate::byte_budget::ByteBudget;
 
-/// Fewest accounts on record at which those that hold nothing are forgotten.
+/// Fewest accounts in the table at which unused budgets are removed.
 const MIN_SWEEP_LEN: usize = 64;
 
-/// What a router may hold of bodies, in all and of each client account.
+/// Limits on the bytes of bodies that a router keeps in memory, in total and for each client account.
 ///
-/// Without the accounts' parts, one that floods the router with long requests has those of all others
-/// refused.
+/// Without the limit for each account, an account that floods the router with long requests would cause the
+/// requests of all others to be refused.
 ///
 /// ```
 /// use sedgeridge_state::settings::FrontSettings;
@@ -29,7 +29,7 @@
 /// ```
 #[derive(Debug)]
 pub struct HeldBodies {
-    all: ByteBudget,
+    total: ByteBudget,
     max_account_bytes: u64,
     accounts: Mutex<Accounts>,
 }
@@ -41,10 +41,10 @@
 }
 
 impl HeldBodies {
-    /// Creates a record of which nothing is held.
+    /// Creates the limits with nothing reserved.
     pub fn new(limits: &FrontSettings) -> Self {
         Self {
-            all: ByteBudget::new(limits.max_held_body_bytes),
+            total: ByteBudget::new(limits.max_held_body_bytes),
             max_account_bytes: limits.max_held_body_bytes_per_account,
             accounts: Mutex::new(Accounts {
                 budgets: BTreeMap::new(),
@@ -53,22 +53,22 @@
         }
     }
 
-    /// Returns the part of an account.
+    /// Returns the budget of an account.
     pub fn account_budget(&self, account: &AccountId) -> ByteBudget {
         let mut accounts = self.accounts.lock().expect("no holder panics");
         if let Some(budget) = accounts.budgets.get(account) {
             return budget.clone();
         }
         accounts.sweep();
-        let budget = self.all.sub_budget(self.max_account_bytes);
+        let budget = self.total.sub_budget(self.max_account_bytes);
         accounts.budgets.insert(account.clone(), budget.clone());
         budget
     }
 }
 
 impl Accounts {
-    /// Forgets accounts that hold nothing, each time that as many again are on record: accounts come
-    /// and go, and their number has no other bound.
+    /// Removes unused budgets each time that the number of budgets has doubled. Accounts come and go, and the
+    /// number of their budgets has no other bound.
     fn sweep(&mut self) {
         if self.budgets.len() < self.sweep_len {
             return;
--- a/crates/transport/src/host_list_reads.rs
+++ b/crates/transport/src/host_list_reads.rs
@@ -1,4 +1,4 @@
-//! Reads the platform's list of live and leaving hosts in a thread of its own.
+//! Reads the platform's list of live and leaving hosts in a separate thread.
 
 use std::io;
 use std::net::SocketAddr;
@@ -22,17 +22,17 @@
 /// Time between two reads.
 const READ_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Longest list: 400 hosts and 2,200 endpoints of some 100 bytes each, eight times over.
+/// Longest list that is read: eight times the list of 400 hosts and 2,200 endpoints at about 100 bytes each.
 const MAX_LIST_BYTES: u64 = 2 << 20;
 
-/// Starts the thread; each list that could be read goes to `inputs` by way of `wrap`.
+/// Starts the thread. It converts each list that it reads with `wrap` and sends it to `inputs`.
 ///
-/// A list that cannot be read changes nothing: what it said last stays believed, since an outage
-/// of the platform says nothing about a host.
+/// A failed read changes nothing: the last list stays in use, since an outage of the platform says nothing
+/// about the hosts.
 ///
 /// # Errors
 ///
-/// Fails when the thread cannot be started.
+/// Fails if the thread cannot be started.
 pub fn start_host_list_reads<I: Send + 'static>(
     address: SocketAddr,
     call_timeout: Duration,
@@ -43,11 +43,11 @@
     let agent = address_agent(address_config().timeout_global(Some(call_timeout)).build());
     thread::Builder::new()
         .name("host-list".into())
-        .spawn(move || read_all(&agent, address, &inputs, wrap))?;
+        .spawn(move || run_reads(&agent, address, &inputs, wrap))?;
     Ok(())
 }
 
-fn read_all<I>(
+fn run_reads<I>(
     agent: &Agent,
     address: SocketAddr,
     inputs: &SyncSender<I>,
--- a/crates/transport/src/host_options.rs
+++ b/crates/transport/src/host_options.rs
@@ -1,4 +1,4 @@
-//! Command line of a process that runs on a host of the settings.
+//! Command line of a process that runs on a host listed in the settings.
 
 use std::ffi::OsString;
 use std::path::PathBuf;
@@ -24,16 +24,16 @@
 EXIT CODES:
     0 stopped on request    1 failed while running    2 bad command line or settings, nothing started";
 
-/// A program and what it does, as its help says.
+/// A program's name and purpose, as shown in its help.
 #[derive(Debug, Clone, Copy)]
 pub struct Program {
-    /// Its name.
+    /// Name of the program.
     pub name: &'static str,
-    /// What it does, in a line.
+    /// One-line description.
     pub purpose: &'static str,
 }
 
-/// A usable command line.
+/// Options of a valid command line.
 #[derive(Debug)]
 pub struct Options {
     /// Base settings file.
@@ -42,26 +42,26 @@
     pub overlay: Option<PathBuf>,
     /// Name of this host.
     pub host: String,
-    /// Overrides, as given.
+    /// Unparsed values of `--set`.
     pub overrides: Vec<String>,
 }
 
-/// What the command line asks for.
+/// Action that the command line requests.
 #[derive(Debug)]
 pub enum ParsedArguments {
     /// Run the process.
     Run(Options),
-    /// Print a text and end.
+    /// Print a text and exit.
     Print(String),
 }
 
-/// Why a command line cannot be used.
+/// Error in the command line.
 #[derive(Debug, Error)]
 pub enum OptionsError {
     /// An option is missing or malformed.
     #[error("{0}; see --help")]
     Malformed(#[from] pico_args::Error),
-    /// Something was given that is no option.
+    /// An argument that is not an option.
     #[error("unexpected argument {0:?}; see --help")]
     Unexpected(OsString),
 }
--- a/crates/transport/src/host_start.rs
+++ b/crates/transport/src/host_start.rs
@@ -1,4 +1,4 @@
-//! Start of a process that runs on a host of the settings, up to its exit code.
+//! Starts a process that runs on a host listed in the settings, and returns its exit code.
 
 use std::env;
 use std::io;
@@ -22,27 +22,27 @@
 /// Exit code for a failure while running.
 const EXIT_FAILURE: u8 = 1;
 
-/// Why the process ended with a failure.
+/// Failure of a process.
 #[derive(Debug, Error)]
 pub enum RunError {
     /// The settings cannot be used.
     #[error("settings refused, nothing started\n{0}")]
     Settings(#[from] ReadSettingsError),
-    /// A `--set` cannot be read.
+    /// A `--set` option is malformed.
     #[error(transparent)]
     Override(#[from] OverrideError),
-    /// The settings know no host of this name.
+    /// The settings have no host of this name.
     #[error("--host {0}: the settings have no section [host.{0}]")]
     UnknownHost(String),
-    /// The settings give this host no such process.
+    /// The settings of this host do not include this process.
     #[error("--host {host}: [host.{host}] has no {key}, so this process does not run there")]
     NotOnHost {
         /// The host.
         host: String,
-        /// The key that would say where it runs.
+        /// The missing key, which would contain the process's address.
         key: &'static str,
     },
-    /// Something the process needs from the system failed.
+    /// A system call failed.
     #[error("{0}")]
     System(#[from] io::Error),
 }
@@ -60,7 +60,7 @@
     }
 }
 
-/// Reads the command line and the settings and runs `serve` until the process is told to stop.
+/// Parses the command line, reads the settings and runs `serve` until the process is told to stop.
 ///
 /// ```no_run
 /// use sedgeridge_transport::host_options::Program;
@@ -97,14 +97,14 @@
     options: &Options,
     serve: fn(Settings, &HostSettings) -> Result<(), RunError>,
 ) -> Result<(), RunError> {
-    let settings = settings(options)?;
+    let settings = load_settings(options)?;
     let host = settings.host(&options.host).cloned();
     let host = host.ok_or_else(|| RunError::UnknownHost(options.host.clone()))?;
     start_log();
     serve(settings, &host)
 }
 
-fn settings(options: &Options) -> Result<Settings, RunError> {
+fn load_settings(options: &Options) -> Result<Settings, RunError> {
     let mut overrides = Vec::new();
     for text in &options.overrides {
         overrides.push(Override::parse(text)?);
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -1,7 +1,8 @@
-//! Sockets, threads, logs and metrics around the decisions of the `sedgeridge-coordination` crate.
+//! Sockets, threads, logs and metrics for the router and coordinator processes, whose decisions are in the
+//! `sedgeridge-coordination` crate.
 //!
-//! docs/ARCHITECTURE.md names every thread and ring. Each duty has a thread of its own, and bounded rings join them: `front` (callers), `core`
-//! (decisions), `endpoint workers` (one attempt each) and `operator` (pages and metrics).
+//! Each task has its own thread, and bounded channels connect the threads: `front` (callers), `core` (decisions), `endpoint workers`
+//! (one attempt each) and `operator` (pages and metrics). docs/ARCHITECTURE.md lists every thread and channel.
 
 mod address_agent;
 pub mod answer;
--- a/crates/transport/src/load_reads.rs
+++ b/crates/transport/src/load_reads.rs
@@ -1,4 +1,4 @@
-//! Reads endpoints' load reports in a few threads of their own.
+//! Reads of endpoints' load reports, in a few separate threads.
 
 use std::collections::BTreeSet;
 use std::io;
@@ -21,15 +21,16 @@
 use crate::address_agent::address_agent;
 use crate::address_agent::address_config;
 
-/// Threads that read reports; one that hangs on a silent endpoint holds up only a part of them.
-const READERS: usize = 4;
-/// Reads that may wait for a reader; a read that finds no room is left out, the next is soon due.
+/// Threads that read reports. With several, a thread that waits for a silent endpoint delays only a part of
+/// the reads.
+const READ_THREADS: usize = 4;
+/// Reads that may wait for a thread. A read beyond them is dropped, as the next one is due soon.
 const READ_CHANNEL_LEN: usize = 256;
 /// Longest time for one read.
 const READ_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Longest report; a true one has some 80 bytes. An endpoint that sends more, up to the library's 10 MiB,
-/// would take as much of its home's memory.
+/// Longest report that is read; a valid one has about 80 bytes. With the library's limit of 10 MiB, a faulty
+/// endpoint could take as much of its home's memory.
 const MAX_REPORT_BYTES: u64 = 16 << 10;
 
 /// A report to read.
@@ -39,24 +40,24 @@
     address: SocketAddr,
 }
 
-/// Ring to the threads that read load reports.
+/// Channel to the threads that read load reports.
 #[derive(Debug)]
 pub struct LoadReads {
-    ring: SyncSender<LoadRead>,
-    under_way: BTreeSet<EndpointId>,
+    sender: SyncSender<LoadRead>,
+    in_progress: BTreeSet<EndpointId>,
 }
 
 impl LoadReads {
-    /// Starts the readers; each end of a read goes to `inputs` by way of `wrap`.
+    /// Starts the threads. They convert the result of each read with `wrap` and send it to `inputs`.
     ///
     /// # Errors
     ///
-    /// Fails when a thread cannot be started.
+    /// Fails if a thread cannot be started.
     pub fn start<I: Send + 'static>(
         inputs: &SyncSender<I>,
         wrap: fn(EndpointId, Option<Load>) -> I,
     ) -> io::Result<Self> {
-        let (ring, reads) = sync_channel(READ_CHANNEL_LEN);
+        let (sender, reads) = sync_channel(READ_CHANNEL_LEN);
         let reads = Arc::new(Mutex::new(reads));
         let agent = address_agent(
             address_config()
@@ -64,42 +65,42 @@
                 .http_status_as_error(true)
                 .build(),
         );
-        for index in 0..READERS {
+        for index in 0..READ_THREADS {
             let reads = Arc::clone(&reads);
             let inputs = inputs.clone();
             let agent = agent.clone();
             thread::Builder::new()
                 .name(format!("load-reads-{index}"))
-                .spawn(move || read_all(&agent, &reads, &inputs, wrap))?;
+                .spawn(move || run_reads(&agent, &reads, &inputs, wrap))?;
         }
         Ok(Self {
-            ring,
-            under_way: BTreeSet::new(),
+            sender,
+            in_progress: BTreeSet::new(),
         })
     }
 
-    /// Asks for a report, unless one of the endpoint is being read already.
+    /// Starts to read the report of an endpoint, unless a read of it is in progress.
     pub fn start_read(&mut self, endpoint: &EndpointId, address: SocketAddr) {
-        if !self.under_way.insert(endpoint.clone()) {
+        if !self.in_progress.insert(endpoint.clone()) {
             return;
         }
         let read = LoadRead {
             endpoint: endpoint.clone(),
             address,
         };
-        if self.ring.try_send(read).is_err() {
+        if self.sender.try_send(read).is_err() {
             counter!("sedgeridge_load_reads_total", "result" => "no_room").increment(1);
-            self.under_way.remove(endpoint);
+            self.in_progress.remove(endpoint);
         }
     }
 
-    /// Notes that a read ended.
+    /// Records that the read of an endpoint's report ended.
     pub fn read_ended(&mut self, endpoint: &EndpointId) {
-        self.under_way.remove(endpoint);
+        self.in_progress.remove(endpoint);
     }
 }
 
-fn read_all<I>(
+fn run_reads<I>(
     agent: &Agent,
     reads: &Mutex<Receiver<LoadRead>>,
     inputs: &SyncSender<I>,
--- a/crates/transport/src/metric_catalogue.rs
+++ b/crates/transport/src/metric_catalogue.rs
@@ -1,4 +1,4 @@
-//! The page docs/METRICS.md: every counter and gauge with its labels.
+//! Generates docs/METRICS.md, which lists every metric with its labels.
 
 use std::fmt::Write;
 
@@ -15,7 +15,7 @@
 | --- | --- | --- | --- | --- |
 ";
 
-/// What a metric is.
+/// Type of a metric.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Kind {
     Counter,
@@ -26,7 +26,7 @@
 /// A metric of the catalogue.
 #[derive(Debug)]
 pub struct Metric {
-    /// Its name.
+    /// Name of the metric.
     pub name: &'static str,
     kind: Kind,
     label: &'static str,
@@ -76,7 +76,7 @@
     }
 }
 
-/// Every metric, by name.
+/// All metrics, in the order of the page.
 pub const METRICS: &[Metric] = &[
     counter(
         "sedgeridge_answers_total",
@@ -365,7 +365,7 @@
     ),
 ];
 
-/// Returns the page.
+/// Returns the text of docs/METRICS.md.
 ///
 /// ```
 /// use sedgeridge_transport::metric_catalogue::metrics_page;
@@ -395,13 +395,13 @@
             page,
             "| `{name}` | {kind} | {label} | {values} | {meaning} |"
         )
-        .expect("a string takes all text");
+        .expect("writing to a string cannot fail");
     }
-    page.push_str(&refusals());
+    page.push_str(&refusal_table());
     page
 }
 
-fn refusals() -> String {
+fn refusal_table() -> String {
     let mut table = "\n## Refusal reasons\n\n\
         The header `x-sedgeridge-reason` carries the same name. The outcome is the one that the\n\
         reason has by itself; a request of which an attempt may have run is told `unknown`.\n\n\
@@ -418,7 +418,7 @@
             table,
             "| `{reason}` | {status} | {outcome} | {retry_after} |"
         )
-        .expect("a string takes all text");
+        .expect("writing to a string cannot fail");
     }
     table
 }
--- a/crates/transport/src/operator.rs
+++ b/crates/transport/src/operator.rs
@@ -1,8 +1,8 @@
-//! Operator pages: health, readiness, metrics and status.
+//! HTTP server of the operator pages: health, readiness, metrics and status.
 //!
-//! One thread serves them on a current-thread runtime. Each connection carries one request and has
-//! [`CONNECTION_TIMEOUT`] for all of it, so that clients that stay silent, send without end or do not
-//! read cost a bounded number of sockets and buffers, and hold nobody up.
+//! One thread serves them on a current-thread runtime. Each connection carries one request and is closed
+//! after [`CONNECTION_TIMEOUT`], so that clients that stay silent, send without end or do not read take up a
+//! bounded number of sockets and buffers, and do not block other clients.
 
 mod pages;
 
@@ -44,22 +44,22 @@
 use crate::status::HostStatus;
 use crate::status::SharedStatus;
 
-/// Where requests to drain an endpoint go.
+/// Channel to the core thread for requests to drain an endpoint.
 pub type DrainSender = SyncSender<CoreInput>;
 
-/// Largest body that is read; requests to drain are short.
+/// Largest body that is read; drain requests are short.
 const MAX_BODY_BYTES: usize = 4_096;
-/// Most open connections; further ones wait in the system's queue until one is closed. Enough for
-/// monitoring, a balancer's checks and a few operators at a time.
+/// Most open connections; further ones wait in the system's accept queue. The limit is enough for monitoring, the
+/// health checks of a load balancer and a few operators at a time.
 const MAX_CONNECTIONS: usize = 64;
-/// Longest life of a connection; a page of the largest fleet takes less than a second.
+/// Longest life of a connection; serving a page of the largest fleet takes less than a second.
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(5);
-/// Most bytes that the buffer of a connection grows to, and so the longest head.
+/// Largest size of a connection's read buffer, and so the longest request head.
 const MAX_BUFFER_BYTES: usize = 8 << 10;
-/// Most bytes of pages that wait for their readers. The largest page at the size designed for, that of
-/// the accounts with all of them active, has 714 KB.
-const MAX_HELD_PAGE_BYTES: u64 = 4 << 20;
-/// Time between two sums of what histograms recorded. Samples are kept one by one until then.
+/// Most bytes of rendered pages that wait for their clients. The largest page at the design size, the accounts
+/// page with all accounts active, has 714 KB.
+const MAX_PENDING_PAGE_BYTES: u64 = 4 << 20;
+/// Time between two aggregations of histogram samples, which are kept one by one until then.
 const METRICS_UPKEEP_INTERVAL: Duration = Duration::from_secs(1);
 /// Pause after a failed accept, for instance when no file descriptor is free.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
@@ -68,21 +68,21 @@
 ///
 /// # Errors
 ///
-/// Fails when another recorder is installed.
+/// Fails if another recorder is installed.
 pub fn start_metrics() -> io::Result<PrometheusHandle> {
     PrometheusBuilder::new()
         .install_recorder()
         .map_err(io::Error::other)
 }
 
-/// Serves operator pages in a thread of its own. Requests to give an endpoint
-/// no new work go to `drain`; without it the process takes none.
+/// Serves operator pages in a separate thread. Requests to drain an endpoint are sent to `drain`; without it,
+/// they are refused.
 ///
-/// Returns the address that was bound, where port 0 asked for a free one.
+/// Returns the bound address, which contains the assigned port if `address` has port 0.
 ///
 /// # Errors
 ///
-/// Fails when the address cannot be bound.
+/// Fails if the address cannot be bound.
 pub fn serve_operator_pages<S: HostStatus + Send + Sync + 'static>(
     address: SocketAddr,
     metrics: PrometheusHandle,
@@ -105,20 +105,20 @@
         .name("operator".into())
         .spawn(move || {
             runtime.block_on(async {
-                tokio::spawn(sum_up_metrics(upkeep));
+                tokio::spawn(aggregate_samples(upkeep));
                 accept_all(listener, Arc::new(pages)).await
             })
         })?;
     Ok(bound)
 }
 
-/// Sums up what histograms recorded, also when nobody reads the metrics: else each sample would be
-/// kept until somebody does, and memory would grow with time until the process is ended for it.
-async fn sum_up_metrics(metrics: PrometheusHandle) {
-    let mut due = interval(METRICS_UPKEEP_INTERVAL);
-    due.set_missed_tick_behavior(MissedTickBehavior::Delay);
+/// Aggregates histogram samples regularly, even if the metrics are not read. Otherwise each sample would be kept
+/// until the next read, and memory use would grow until the process is killed.
+async fn aggregate_samples(metrics: PrometheusHandle) {
+    let mut upkeep = interval(METRICS_UPKEEP_INTERVAL);
+    upkeep.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
-        due.tick().await;
+        upkeep.tick().await;
         metrics.run_upkeep();
     }
 }
@@ -129,15 +129,15 @@
 ) -> io::Result<()> {
     let listener = TcpListener::from_std(listener)?;
     let permits = Arc::new(Semaphore::new(MAX_CONNECTIONS));
-    let held_pages = ByteBudget::new(MAX_HELD_PAGE_BYTES);
+    let page_memory = ByteBudget::new(MAX_PENDING_PAGE_BYTES);
     loop {
         let permit = Arc::clone(&permits).acquire_owned().await;
         let permit = permit.expect("the semaphore is never closed");
         match listener.accept().await {
             Ok((stream, _)) => {
-                let connection = serve_connection(stream, Arc::clone(&pages), held_pages.clone());
+                let connection = serve_connection(stream, Arc::clone(&pages), page_memory.clone());
                 tokio::spawn(async move {
-                    // Whoever takes longer is cut off; there is nobody to tell.
+                    // A connection that takes longer is closed; the client needs no notice.
                     let _ = timeout(CONNECTION_TIMEOUT, connection).await;
                     drop(permit);
                 });
@@ -156,14 +156,14 @@
 async fn serve_connection<S: HostStatus + Send + Sync + 'static>(
     stream: TcpStream,
     pages: Arc<Pages<S>>,
-    held_pages: ByteBudget,
+    page_memory: ByteBudget,
 ) {
     let service = service_fn(|request| {
         let pages = Arc::clone(&pages);
-        let held_pages = held_pages.clone();
-        async move { Ok::<_, Infallible>(answer(request, &pages, &held_pages).await) }
+        let page_memory = page_memory.clone();
+        async move { Ok::<_, Infallible>(answer(request, &pages, &page_memory).await) }
     });
-    // A client that goes away in the middle concerns nobody else.
+    // An error means that the client disconnected or sent invalid HTTP; no handling is needed.
     let _ = http1::Builder::new()
         .keep_alive(false)
         .max_buf_size(MAX_BUFFER_BYTES)
@@ -174,17 +174,17 @@
 async fn answer<S: HostStatus>(
     request: Request<Incoming>,
     pages: &Pages<S>,
-    held_pages: &ByteBudget,
+    page_memory: &ByteBudget,
 ) -> Response<Full<Bytes>> {
     let (parts, body) = request.into_parts();
     let body = Limited::new(body, MAX_BODY_BYTES).collect().await;
     let body = body.ok().map(|body| body.to_bytes());
     let page = pages.answer(&parts.method, parts.uri.path(), body.as_ref());
-    match held_pages.reserve(page.body.len() as u64) {
-        Some(room) => response(
+    match page_memory.reserve(page.body.len() as u64) {
+        Some(reservation) => response(
             page.status,
             page.content_type,
-            room.bind(page.body.into_bytes()),
+            reservation.bind(page.body.into_bytes()),
         ),
         None => {
             let page = too_busy();
--- a/crates/transport/src/operator/pages.rs
+++ b/crates/transport/src/operator/pages.rs
@@ -1,4 +1,4 @@
-//! What the operator pages say.
+//! Content of the operator pages.
 
 use bytes::Bytes;
 use http::Method;
@@ -13,7 +13,7 @@
 use crate::status::HostStatus;
 use crate::status::SharedStatus;
 
-/// One page, or the answer to a request to drain.
+/// One page, or the response to a drain request.
 #[derive(Debug)]
 pub(super) struct Page {
     pub(super) status: StatusCode,
@@ -21,7 +21,7 @@
     pub(super) body: String,
 }
 
-/// Where pages get their content from.
+/// Sources of the pages' content.
 #[derive(Debug)]
 pub(super) struct Pages<S> {
     pub(super) metrics: PrometheusHandle,
@@ -30,20 +30,20 @@
 }
 
 impl<S: HostStatus> Pages<S> {
-    /// Answers a request whose body was read, or was too large to be read.
+    /// Answers a request; `body` is `None` if it could not be read or was too large.
     pub(super) fn answer(&self, method: &Method, path: &str, body: Option<&Bytes>) -> Page {
         match *method {
-            Method::POST => self.take_drain(path, body),
+            Method::POST => self.request_drain(path, body),
             _ => self.page(path),
         }
     }
 
-    fn take_drain(&self, path: &str, body: Option<&Bytes>) -> Page {
+    fn request_drain(&self, path: &str, body: Option<&Bytes>) -> Page {
         let Some(drain) = self.drain.as_ref().filter(|_| path == DRAIN_PATH) else {
             return text(StatusCode::NOT_FOUND, "no such page\n");
         };
-        let read = body.and_then(|body| serde_json::from_slice(body).ok());
-        let Some(DrainRequest { endpoint }) = read else {
+        let request = body.and_then(|body| serde_json::from_slice(body).ok());
+        let Some(DrainRequest { endpoint }) = request else {
             return text(StatusCode::BAD_REQUEST, "expected {\"endpoint\": NAME}\n");
         };
         if !self.status.read().knows_endpoint(&endpoint) {
@@ -74,7 +74,7 @@
     }
 }
 
-/// Says that there is no room now.
+/// Returns the response to a request for which there is no capacity.
 pub(super) fn too_busy() -> Page {
     text(StatusCode::SERVICE_UNAVAILABLE, "too busy\n")
 }
--- a/crates/transport/src/peer_inbound.rs
+++ b/crates/transport/src/peer_inbound.rs
@@ -1,4 +1,4 @@
-//! Links that other routers opened to this one.
+//! Incoming links: receives the messages of other routers and hands them to the core.
 
 use std::sync::mpsc::SyncSender;
 use std::time::Duration;
@@ -22,14 +22,15 @@
 use crate::peers::count_bytes;
 use crate::peers::websocket_config;
 
-/// Longest time for a peer to say who it is.
+/// Longest time for a peer to identify itself.
 const HELLO_TIMEOUT: Duration = Duration::from_secs(2);
-/// Silence after which a link is given up: its sender pings more often, so it is gone or cut off.
+/// Time without any frame after which a link is closed: its sender pings more often, so it has stopped or is
+/// unreachable.
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(16);
 /// Pause after a failed accept.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Accepts links for ever.
+/// Accepts links until the runtime ends.
 pub async fn accept_links(listener: TcpListener, core: SyncSender<CoreInput>) {
     loop {
         match listener.accept().await {
@@ -51,14 +52,14 @@
     else {
         return;
     };
-    let Some(from) = hello(&mut socket).await else {
+    let Some(from) = receive_hello(&mut socket).await else {
         return;
     };
     loop {
         match timeout(SILENCE_TIMEOUT, socket.next()).await {
             Ok(Some(Ok(Message::Binary(bytes)))) => {
                 count_bytes("in", bytes.len() as u64, STREAM_OVERHEAD_BYTES);
-                if !pass_on(&bytes, &from, &core) {
+                if !deliver(&bytes, &from, &core) {
                     return;
                 }
             }
@@ -68,7 +69,7 @@
     }
 }
 
-async fn hello(socket: &mut WebSocketStream<TcpStream>) -> Option<Member> {
+async fn receive_hello(socket: &mut WebSocketStream<TcpStream>) -> Option<Member> {
     let first = timeout(HELLO_TIMEOUT, socket.next()).await.ok()??;
     let Ok(Message::Binary(bytes)) = first else {
         return None;
@@ -76,27 +77,27 @@
     match decode_hello(&bytes) {
         Ok(member) => Some(member),
         Err(error) => {
-            refuse("hello", &error);
+            report_refused_message("hello", &error);
             None
         }
     }
 }
 
-/// Hands a message to the core; false when the core has ended.
-fn pass_on(bytes: &[u8], from: &Member, core: &SyncSender<CoreInput>) -> bool {
+/// Delivers a message to the core; returns false if the core has ended.
+fn deliver(bytes: &[u8], from: &Member, core: &SyncSender<CoreInput>) -> bool {
     match decode(bytes, from) {
         Ok(message) => {
             let from = from.clone();
             core.send(CoreInput::Peer { from, message }).is_ok()
         }
         Err(error) => {
-            refuse(from.host.as_str(), &error);
+            report_refused_message(from.host.as_str(), &error);
             true
         }
     }
 }
 
-fn refuse(from: &str, error: &impl std::fmt::Display) {
+fn report_refused_message(from: &str, error: &impl std::fmt::Display) {
     counter!("sedgeridge_peer_drops_total", "reason" => "malformed").increment(1);
     log_warn(
         LogEvent::PeerMessageRefused,
--- a/crates/transport/src/peer_link.rs
+++ b/crates/transport/src/peer_link.rs
@@ -1,4 +1,4 @@
-//! The outgoing link to one other router.
+//! The outgoing link to one other router, which replaces a connection that is broken or silent.
 
 use std::net::SocketAddr;
 use std::sync::mpsc::SyncSender;
@@ -29,61 +29,66 @@
 use crate::peers::count_bytes;
 use crate::peers::websocket_config;
 
-/// Longest time to set a link up.
-const SETUP_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Pause after a link failed.
+/// Longest time to set a connection up, or to send a message.
+const LINK_IO_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Pause after a failed attempt to connect.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(100);
-/// Time between two looks at a link.
+/// Time between two checks of a link.
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// Looks between two pings on a link that carries nothing.
-const IDLE_CHECKS: u32 = 5;
-/// Pings without a sign of life after which the link is set up anew.
+/// Checks between two pings on an idle link.
+const CHECKS_PER_IDLE_PING: u32 = 5;
+/// Unanswered pings after which a connection is replaced.
 ///
-/// A connection can go silent for good while new ones work. Its sender sees no error: writes go
-/// into the socket's buffer, and every pool whose home is at the other end stands still. The
-/// missing pong shows it, and a new connection mends it. Pings are counted and not time, as a
-/// process that was paused has heard nothing for long from a link that works.
+/// A connection can stop carrying data permanently while new ones work. The sender sees no error: writes
+/// go to the socket's buffer, and requests of every pool whose home is the other router are stuck. Missing
+/// pongs reveal this, and a new connection fixes it. Pings are counted instead of time, because a process
+/// that was paused has received nothing for a long time even on a working connection.
 const MAX_UNANSWERED_PINGS: u32 = 2;
 
-/// Longest frame that is sent; longer messages are cut. The library keeps, at both ends and as long as
-/// the connection, the room that the longest frame took, and a router has hundreds of links. An idle link
-/// that had carried 4 MiB in one frame held 8.4 MB of resident memory, both ends together; it holds 26 KB
-/// with frames of 16 KiB, 122 KB with 64 KiB.
+/// Longest frame that is sent; longer messages are split. For the life of a connection, the library keeps
+/// buffers of the size of the longest frame at both ends, and a router has hundreds of links. An idle link
+/// that had carried 4 MiB in one frame used 8.4 MB of resident memory at both ends together; it uses 26 KB
+/// with frames of 16 KiB, and 122 KB with 64 KiB.
 const MAX_FRAME_BYTES: usize = 16 << 10;
 
 type Socket = WebSocketStream<TcpStream>;
 
-/// Sends messages to one router over one connection at a time.
+/// Sends messages to one router, on one connection at a time.
 #[derive(Debug)]
 pub struct PeerLink {
     /// This router run.
     pub member: Member,
     /// The other router.
     pub host: HostId,
-    /// Where it listens.
+    /// The address at which the other router listens.
     pub address: SocketAddr,
-    /// Ring to the core.
+    /// Channel to the core thread.
     pub core: SyncSender<CoreInput>,
 }
 
 impl PeerLink {
     /// Runs until `outbox` is closed.
     pub async fn run(self, mut outbox: mpsc::Receiver<Bytes>) {
-        let mut lost = false;
+        let mut has_lost_messages = false;
         while let Some(first) = outbox.recv().await {
             let Some(mut socket) = self.connect().await else {
                 counter!("sedgeridge_peer_drops_total", "reason" => "link_down").increment(1);
-                lost = true;
+                has_lost_messages = true;
                 tokio::time::sleep(RECONNECT_PAUSE).await;
-                // The messages behind it are older than the state that follows the reset.
+                // Messages queued meanwhile are dropped too: they are older than the state that the core
+                // sends after the reset.
                 while outbox.try_recv().is_ok() {}
                 self.report_reset();
                 continue;
             };
-            if std::mem::take(&mut lost) {
+            if std::mem::take(&mut has_lost_messages) {
                 self.report_reset();
             }
-            if self.pass_on(&mut socket, first, &mut outbox).await.is_err() {
+            if self
+                .run_connection(&mut socket, first, &mut outbox)
+                .await
+                .is_err()
+            {
                 counter!("sedgeridge_peer_drops_total", "reason" => "link_broken").increment(1);
                 self.report_reset();
             }
@@ -96,7 +101,7 @@
     }
 
     async fn connect(&self) -> Option<Socket> {
-        timeout(SETUP_TIMEOUT, async {
+        timeout(LINK_IO_TIMEOUT, async {
             let stream = TcpStream::connect(self.address).await.ok()?;
             stream.set_nodelay(true).ok()?;
             let url = format!("ws://{}/", self.address);
@@ -111,31 +116,31 @@
         .flatten()
     }
 
-    async fn pass_on(
+    async fn run_connection(
         &self,
         socket: &mut Socket,
         first: Bytes,
         outbox: &mut mpsc::Receiver<Bytes>,
-    ) -> Result<(), LinkBroken> {
+    ) -> Result<(), LinkLost> {
         send(socket, first).await?;
         let mut checks = interval(CHECK_INTERVAL);
         checks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-        let mut pulse = Pulse::default();
+        let mut pings = PingState::default();
         loop {
             tokio::select! {
                 message = outbox.recv() => match message {
                     Some(message) => {
                         send(socket, message).await?;
-                        pulse.in_use = true;
+                        pings.in_use = true;
                     }
                     None => return Ok(()),
                 },
-                heard = socket.next() => match heard {
-                    Some(Ok(_)) => pulse.unanswered_pings = 0,
-                    Some(Err(_)) | None => return Err(LinkBroken),
+                received = socket.next() => match received {
+                    Some(Ok(_)) => pings.unanswered_pings = 0,
+                    Some(Err(_)) | None => return Err(LinkLost),
                 },
-                _ = checks.tick() => if pulse.wants_ping()? {
-                    socket.send(Message::Ping(Bytes::new())).await.map_err(|_| LinkBroken)?;
+                _ = checks.tick() => if pings.is_ping_due()? {
+                    socket.send(Message::Ping(Bytes::new())).await.map_err(|_| LinkLost)?;
                     count_bytes("out", 0, STREAM_OVERHEAD_BYTES);
                 }
             }
@@ -143,43 +148,43 @@
     }
 }
 
-/// Signs of life of one connection.
+/// Pings of one connection, and the activity that decides when one is due.
 #[derive(Debug, Default)]
-struct Pulse {
+struct PingState {
     in_use: bool,
     idle_checks: u32,
     unanswered_pings: u32,
 }
 
-impl Pulse {
-    /// Tells at each check whether to send a ping.
+impl PingState {
+    /// Returns at a check whether to send a ping.
     ///
-    /// A link that carries nothing loses nothing by its silence, so it is pinged less often.
-    fn wants_ping(&mut self) -> Result<bool, LinkBroken> {
+    /// An idle link is pinged less often, as it loses no messages if its connection is silent.
+    fn is_ping_due(&mut self) -> Result<bool, LinkLost> {
         if self.unanswered_pings >= MAX_UNANSWERED_PINGS {
-            return Err(LinkBroken);
+            return Err(LinkLost);
         }
         self.idle_checks += 1;
         let in_use = std::mem::take(&mut self.in_use) || self.unanswered_pings > 0;
-        let wanted = in_use || self.idle_checks >= IDLE_CHECKS;
-        if wanted {
+        let is_due = in_use || self.idle_checks >= CHECKS_PER_IDLE_PING;
+        if is_due {
             self.idle_checks = 0;
             self.unanswered_pings += 1;
         }
-        Ok(wanted)
+        Ok(is_due)
     }
 }
 
-/// The connection of a link ended or went silent.
+/// The connection of a link has ended or is silent.
 #[derive(Debug)]
-struct LinkBroken;
+struct LinkLost;
 
-async fn send(socket: &mut Socket, message: Bytes) -> Result<(), LinkBroken> {
+async fn send(socket: &mut Socket, message: Bytes) -> Result<(), LinkLost> {
     count_bytes("out", message.len() as u64, STREAM_OVERHEAD_BYTES);
-    let sent = timeout(SETUP_TIMEOUT, send_fragments(socket, message)).await;
+    let sent = timeout(LINK_IO_TIMEOUT, send_fragments(socket, message)).await;
     match sent {
         Ok(Ok(())) => Ok(()),
-        Ok(Err(_)) | Err(_) => Err(LinkBroken),
+        Ok(Err(_)) | Err(_) => Err(LinkLost),
     }
 }
 
--- a/crates/transport/src/peers.rs
+++ b/crates/transport/src/peers.rs
@@ -1,8 +1,8 @@
-//! The peers thread: messages to and from other routers.
+//! The peers thread: sends and receives messages of other routers.
 //!
-//! Reports and grants go over one WebSocket connection per direction and pair of routers that talk;
-//! membership messages are small, may be lost, and go as single datagrams. One thread with a
-//! current-thread runtime carries all of it.
+//! Reports and grants use one WebSocket connection for each direction between two routers. Membership
+//! messages are small and may be lost, so each is sent as a datagram. One thread with a current-thread
+//! runtime handles all connections.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -33,15 +33,15 @@
 /// Messages that may wait for one link.
 const LINK_CHANNEL_LEN: usize = 256;
 /// Most bytes of messages that wait for all links together: the largest message, or thousands of usual
-/// ones. Rings bounded by number alone let each router that goes silent cost hundreds of whole reports
-/// until its link is given up.
-const MAX_LINK_BYTES: u64 = MAX_PEER_MESSAGE_BYTES as u64;
+/// ones. With channels bounded by the number of messages alone, each router that stops reading would cost
+/// the memory of hundreds of full reports until its link is closed.
+const MAX_PENDING_LINK_BYTES: u64 = MAX_PEER_MESSAGE_BYTES as u64;
 /// Largest datagram that is read.
 const MAX_DATAGRAM_BYTES: usize = 64 << 10;
-/// What a UDP datagram costs on the wire beside its payload (IPv4 and UDP headers).
+/// Bytes that a UDP datagram takes on the wire in addition to its payload: the IPv4 and UDP headers.
 pub const DATAGRAM_OVERHEAD_BYTES: u64 = 28;
-/// What a WebSocket message costs on the wire beside its payload when it travels alone: IPv4 and
-/// TCP headers with timestamps, the frame header and the segment that acknowledges it.
+/// Bytes that a WebSocket message, if sent alone, takes on the wire in addition to its payload: the IPv4 and TCP
+/// headers with timestamps, the frame header and the segment that acknowledges it.
 pub const STREAM_OVERHEAD_BYTES: u64 = 52 + 8 + 52;
 
 /// A message for another router.
@@ -49,30 +49,30 @@
 pub struct OutgoingMessage {
     /// The receiver.
     pub to: HostId,
-    /// Where it listens.
+    /// The address at which the receiver listens.
     pub address: SocketAddr,
     /// The encoded message.
     pub payload: PeerPayload,
 }
 
-/// How a message travels.
+/// An encoded message and its transport.
 #[derive(Debug)]
 pub enum PeerPayload {
-    /// In order, on the link to the receiver.
+    /// Sent in order on the link to the receiver.
     Stream(Vec<u8>),
-    /// Alone; may be lost.
+    /// Sent as a datagram, which may be lost.
     Datagram(Vec<u8>),
 }
 
-/// Ring to the peers thread.
+/// Channel to the peers thread.
 pub type PeerSender = mpsc::Sender<OutgoingMessage>;
 
-/// Creates the ring to the peers thread.
+/// Creates the channel to the peers thread.
 pub fn peer_channel() -> (PeerSender, mpsc::Receiver<OutgoingMessage>) {
     mpsc::channel(PEER_CHANNEL_LEN)
 }
 
-/// Sockets on which this router hears the others.
+/// Sockets on which this router receives messages of other routers.
 #[derive(Debug)]
 pub struct PeerSockets {
     listener: std::net::TcpListener,
@@ -84,7 +84,7 @@
     ///
     /// # Errors
     ///
-    /// Fails when the address is not to be had, so that the process ends before anything started.
+    /// Fails if the address cannot be bound, so that the process ends before it has started anything.
     pub fn bind(address: SocketAddr) -> io::Result<Self> {
         let listener = std::net::TcpListener::bind(address)?;
         listener.set_nonblocking(true)?;
@@ -97,21 +97,21 @@
     }
 }
 
-/// What the peers thread needs from the rest of the router.
+/// State of the peers thread, and its connection to the rest of the router.
 #[derive(Debug)]
 pub struct Peers {
     /// This router run.
     pub member: Member,
-    /// Ring to the core.
+    /// Channel to the core thread.
     pub core: SyncSender<CoreInput>,
 }
 
 impl Peers {
-    /// Runs until the ring to it is closed.
+    /// Runs until the channel to this thread is closed.
     ///
     /// # Errors
     ///
-    /// Fails when the runtime cannot be set up.
+    /// Fails if the runtime cannot be set up.
     pub fn run(
         self,
         sockets: PeerSockets,
@@ -133,27 +133,28 @@
         tokio::spawn(peer_inbound::accept_links(listener, self.core.clone()));
         tokio::spawn(receive_datagrams(Arc::clone(&socket), self.core.clone()));
         let mut links: BTreeMap<HostId, OpenLink> = BTreeMap::new();
-        let waiting = ByteBudget::new(MAX_LINK_BYTES);
-        while let Some(out) = outbox.recv().await {
+        let pending_bytes = ByteBudget::new(MAX_PENDING_LINK_BYTES);
+        while let Some(outgoing) = outbox.recv().await {
             let OutgoingMessage {
                 to,
                 address,
                 payload,
-            } = out;
+            } = outgoing;
             match payload {
                 PeerPayload::Datagram(bytes) => send_datagram(&socket, address, &bytes).await,
                 PeerPayload::Stream(bytes) => {
-                    // A host that moved gets a new link; dropping the old one closes it.
+                    // A host with a new address gets a new link; dropping the old one closes it.
                     links.retain(|host, link| *host != to || link.address == address);
                     let link = links
                         .entry(to.clone())
                         .or_insert_with(|| self.open_link(to.clone(), address));
-                    let room = waiting.reserve(bytes.len() as u64);
-                    let sent =
-                        room.is_some_and(|room| link.ring.try_send(room.bind(bytes)).is_ok());
+                    let reservation = pending_bytes.reserve(bytes.len() as u64);
+                    let sent = reservation.is_some_and(|reservation| {
+                        link.sender.try_send(reservation.bind(bytes)).is_ok()
+                    });
                     if !sent {
-                        // The receiver is cut off or slow. What is dropped here is absolute state
-                        // that the core sends anew when it hears of the loss.
+                        // The receiver is unreachable or slow. The dropped message contains absolute
+                        // state, which the core sends again when it is notified of the loss.
                         counter!("sedgeridge_peer_drops_total", "reason" => "link_full")
                             .increment(1);
                         let _ = self.core.send(CoreInput::PeerReset { host: to });
@@ -165,7 +166,7 @@
     }
 
     fn open_link(&self, host: HostId, address: SocketAddr) -> OpenLink {
-        let (ring, outbox) = mpsc::channel(LINK_CHANNEL_LEN);
+        let (sender, outbox) = mpsc::channel(LINK_CHANNEL_LEN);
         let link = peer_link::PeerLink {
             member: self.member.clone(),
             host,
@@ -173,18 +174,18 @@
             core: self.core.clone(),
         };
         tokio::spawn(link.run(outbox));
-        OpenLink { address, ring }
+        OpenLink { address, sender }
     }
 }
 
-/// The ring of a link, and where the link leads.
+/// The channel to a link's task, and the address that it connects to.
 #[derive(Debug)]
 struct OpenLink {
     address: SocketAddr,
-    ring: mpsc::Sender<Bytes>,
+    sender: mpsc::Sender<Bytes>,
 }
 
-/// Bounds what one connection may make this router hold.
+/// Configuration of a connection that limits its memory use.
 pub fn websocket_config() -> WebSocketConfig {
     WebSocketConfig::default()
         .max_message_size(Some(MAX_PEER_MESSAGE_BYTES))
@@ -205,14 +206,14 @@
         match socket.recv_from(&mut buffer).await {
             Ok((len, _)) => {
                 count_bytes("in", len as u64, DATAGRAM_OVERHEAD_BYTES);
-                take_datagram(&buffer[..len], &core);
+                handle_datagram(&buffer[..len], &core);
             }
             Err(error) => log_warn(LogEvent::DatagramFailed, format_args!("error={error:?}")),
         }
     }
 }
 
-fn take_datagram(bytes: &[u8], core: &SyncSender<CoreInput>) {
+fn handle_datagram(bytes: &[u8], core: &SyncSender<CoreInput>) {
     let message = match membership::decode(bytes) {
         Ok(message) => CoreInput::Membership(Box::new(message)),
         Err(error) => {
@@ -226,7 +227,7 @@
     }
 }
 
-/// Counts control traffic: its payload, and an estimate of what it costs on the wire.
+/// Counts a message between routers: its payload, and an estimate of its bytes on the wire.
 pub fn count_bytes(direction: &'static str, payload_bytes: u64, overhead_bytes: u64) {
     counter!("sedgeridge_peer_messages_total", "direction" => direction).increment(1);
     counter!("sedgeridge_peer_bytes_total", "direction" => direction).increment(payload_bytes);
--- a/crates/transport/src/recorded.rs
+++ b/crates/transport/src/recorded.rs
@@ -1,4 +1,4 @@
-//! Keeps the answer of a request that may not be repeated, and gives it again to a repeat.
+//! Records the answers of non-repeatable requests and replays them to repeats of the same request.
 
 use std::sync::Arc;
 
@@ -9,36 +9,36 @@
 use crate::answer::AnswerPart;
 use crate::call::AnswerForm;
 
-/// Largest body that is gathered; a larger one is recorded without it.
+/// Largest body that is recorded; of a larger answer only the status is recorded.
 const MAX_RECORDED_BYTES: usize = 64 << 10;
-/// Attempt named by a replayed answer.
-const REPLAY: &str = "recorded";
+/// Attempt id in the head of a replayed answer.
+const REPLAY_ATTEMPT_ID: &str = "recorded";
 
-/// Gathers the parts of an answer as they pass.
+/// Collects the parts of an answer while they are forwarded.
 #[derive(Debug)]
 pub(crate) struct Recorder {
-    wanted: bool,
+    enabled: bool,
     status: u16,
     body: Vec<u8>,
     too_large: bool,
-    whole: bool,
+    complete: bool,
 }
 
 impl Recorder {
-    /// Creates a recorder; answers to requests that may be repeated are not kept.
+    /// Creates a recorder; answers to repeatable requests are not recorded.
     pub(crate) fn new(repeatable: bool) -> Self {
         Self {
-            wanted: !repeatable,
+            enabled: !repeatable,
             status: 0,
             body: Vec::new(),
             too_large: false,
-            whole: false,
+            complete: false,
         }
     }
 
-    /// Takes the next part.
-    pub(crate) fn take(&mut self, part: &AnswerPart) {
-        if !self.wanted {
+    /// Records the next part.
+    pub(crate) fn record(&mut self, part: &AnswerPart) {
+        if !self.enabled {
             return;
         }
         match part {
@@ -49,14 +49,14 @@
                     self.body.extend_from_slice(bytes);
                 }
             }
-            AnswerPart::End => self.whole = true,
+            AnswerPart::End => self.complete = true,
             AnswerPart::Refusal(_) => {}
         }
     }
 
-    /// Returns the answer if all of it passed.
+    /// Returns the answer if it is complete.
     pub(crate) fn finish(self) -> Option<RecordedAnswer> {
-        if !self.whole {
+        if !self.complete {
             return None;
         }
         let body = match String::from_utf8(self.body) {
@@ -71,7 +71,7 @@
 }
 
 /// Returns the parts of a recorded answer.
-pub(crate) fn replayed(recorded: &RecordedAnswer, form: AnswerForm) -> Vec<AnswerPart> {
+pub(crate) fn replay_parts(recorded: &RecordedAnswer, form: AnswerForm) -> Vec<AnswerPart> {
     let content_type = match form {
         AnswerForm::ChatStream => "text/event-stream",
         AnswerForm::ChatWhole | AnswerForm::Plain => "application/json",
@@ -84,7 +84,7 @@
         AnswerPart::Head {
             status: recorded.status,
             content_type: content_type.to_owned(),
-            attempt: REPLAY.to_owned(),
+            attempt: REPLAY_ATTEMPT_ID.to_owned(),
         },
         AnswerPart::Chunk(body),
         AnswerPart::End,
--- a/crates/transport/src/request_body.rs
+++ b/crates/transport/src/request_body.rs
@@ -1,4 +1,4 @@
-//! Reads the body of a caller's request into memory that is set aside for it.
+//! Reads the body of a caller's request into memory that is reserved from a budget.
 
 use std::time::Duration;
 
@@ -18,10 +18,10 @@
 use crate::front_request::BadRequest;
 use crate::front_request::bad_request;
 
-/// Reads a whole body; its bytes count against `budget` until their last holder drops them.
+/// Reads a whole body; its bytes count against `budget` until their last owner drops them.
 ///
-/// A body for which there is no room is read to its end all the same, and dropped as it comes:
-/// closing a socket that holds unread bytes resets it, and the caller could lose the refusal.
+/// A body that does not fit is still read to its end and discarded: closing a socket with unread bytes
+/// resets the connection, and the caller could lose the refusal.
 pub(crate) async fn read_body(
     body: Incoming,
     budget: &ByteBudget,
@@ -30,15 +30,15 @@
     let body_timeout = millis(limits.header_timeout_ms);
     match timeout(body_timeout, collect(body, budget, limits)).await {
         Ok(read) => read,
-        Err(_) => Err(no_end(body_timeout)),
+        Err(_) => Err(body_timed_out(body_timeout)),
     }
 }
 
-/// Reads a body that nobody needs, so that its sender gets the answer (see [`read_body`]).
+/// Reads and discards a body, so that its sender gets the answer (see [`read_body`]).
 pub(crate) async fn discard_body(body: Incoming, limits: &FrontSettings) {
     let mut body = Limited::new(body, limits.max_body_bytes as usize);
     let read = async { while let Some(Ok(_)) = body.frame().await {} };
-    // Who is slower than this, or sends more, may lose the answer.
+    // A caller that is slower, or sends more, may lose the answer.
     let _ = timeout(millis(limits.header_timeout_ms), read).await;
 }
 
@@ -47,30 +47,30 @@
     budget: &ByteBudget,
     limits: &FrontSettings,
 ) -> Result<Bytes, BadRequest> {
-    let told_bytes = body.size_hint().lower().min(limits.max_body_bytes);
+    let declared_bytes = body.size_hint().lower().min(limits.max_body_bytes);
     let mut body = Limited::new(body, limits.max_body_bytes as usize);
-    let mut held = HeldBuffer::reserve(budget, told_bytes);
+    let mut held = HeldBuffer::reserve(budget, declared_bytes);
     while let Some(frame) = body.frame().await {
-        let frame = frame.map_err(|error| unreadable(&*error, limits))?;
+        let frame = frame.map_err(|error| read_error(&*error, limits))?;
         if let Ok(data) = frame.into_data() {
-            // A copy: a part shares the connection's read buffer and would hold all of it, which is not
-            // what was reserved.
+            // The data is copied, as it shares the connection's read buffer and would keep all of it in
+            // memory, which is not what was reserved.
             if !held.as_mut().is_some_and(|held| held.push(&data)) {
                 held = None;
             }
         }
     }
     held.map(HeldBuffer::finish)
-        .ok_or_else(|| no_room(told_bytes, budget))
+        .ok_or_else(|| out_of_memory(declared_bytes, budget))
 }
 
-fn no_end(body_timeout: Duration) -> BadRequest {
+fn body_timed_out(body_timeout: Duration) -> BadRequest {
     let timeout_ms = body_timeout.as_millis();
     let detail = format!("body: found no end, expected it within {timeout_ms} ms");
     bad_request(RefusalReason::HeaderTimeout, detail)
 }
 
-fn unreadable(error: &(dyn std::error::Error + 'static), limits: &FrontSettings) -> BadRequest {
+fn read_error(error: &(dyn std::error::Error + 'static), limits: &FrontSettings) -> BadRequest {
     if error.is::<LengthLimitError>() {
         let max_bytes = limits.max_body_bytes;
         let detail = format!("body: expected at most {max_bytes} bytes");
@@ -79,12 +79,13 @@
     bad_request(RefusalReason::BadRequest, format!("body: {error}"))
 }
 
-/// Tells whether the account or the router has no room: only the former is the caller's own doing.
-fn no_room(told_bytes: u64, account: &ByteBudget) -> BadRequest {
-    if account.free_bytes() < told_bytes.max(1) {
-        let detail = "the router holds as many bytes of this account's requests as it may";
+/// Returns the refusal for a body that does not fit: an account that has used up its own part gets another
+/// reason than one that finds the router's memory full.
+fn out_of_memory(declared_bytes: u64, account_budget: &ByteBudget) -> BadRequest {
+    if account_budget.free_bytes() < declared_bytes.max(1) {
+        let detail = "the memory for bodies of this account's requests is full";
         return bad_request(RefusalReason::AccountQueueFull, detail.to_owned());
     }
-    let detail = "the router holds as many bytes of requests as it may";
+    let detail = "the memory for bodies of requests is full";
     bad_request(RefusalReason::QueueFull, detail.to_owned())
 }
--- a/crates/transport/src/router_pages.rs
+++ b/crates/transport/src/router_pages.rs
@@ -1,4 +1,4 @@
-//! Makes a router's operator pages and gauges from snapshots of its decisions.
+//! Builds a router's operator pages and updates its metrics from the state of its [`Node`].
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -27,15 +27,15 @@
 use crate::status::RouterPages;
 use crate::status::SharedStatus;
 
-/// Time between two updates of the lists, which take longer to make than the rest.
+/// Time between two updates of the lists, which take longer to build than the rest.
 const LISTS_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Publishes the pages of one router.
 #[derive(Debug)]
 pub(crate) struct RouterPublisher {
     member: Member,
-    board: SharedStatus,
-    last: RouterPages,
+    shared_status: SharedStatus,
+    pages: RouterPages,
     lists_due_at: Duration,
 }
 
@@ -48,16 +48,16 @@
 
 impl RouterPublisher {
     /// Creates a publisher for the router run `member`.
-    pub(crate) fn new(member: Member, board: SharedStatus) -> Self {
+    pub(crate) fn new(member: Member, shared_status: SharedStatus) -> Self {
         Self {
             member,
-            board,
-            last: RouterPages::default(),
+            shared_status,
+            pages: RouterPages::default(),
             lists_due_at: Duration::ZERO,
         }
     }
 
-    /// Publishes the router's state as it is now.
+    /// Publishes the router's current state.
     pub(crate) fn publish(
         &mut self,
         now: Duration,
@@ -67,10 +67,10 @@
     ) {
         if now >= self.lists_due_at {
             self.lists_due_at = now + LISTS_INTERVAL;
-            self.make_lists(now, node, settings);
+            self.update_lists(now, node, settings);
         }
         let load = node.load();
-        let status = &mut self.last.status;
+        let status = &mut self.pages.status;
         status.ready = phase.ready && !phase.stopping;
         status.stopping = phase.stopping;
         status.waiting = load.waiting.into();
@@ -78,25 +78,25 @@
         status.homes = load.homes as u64;
         status.members = load.members as u64;
         status.config_generation = load.generation;
-        self.board.publish(self.last.clone());
+        self.shared_status.publish(self.pages.clone());
         gauge!("sedgeridge_requests_waiting").set(f64::from(load.waiting));
         gauge!("sedgeridge_requests_running").set(load.running as f64);
         gauge!("sedgeridge_members_live").set(load.members as f64);
         gauge!("sedgeridge_pools_homed").set(load.homes as f64);
-        count_decisions(node);
+        update_counters(node);
     }
 
-    fn make_lists(&mut self, now: Duration, node: &Node, settings: &Settings) {
+    fn update_lists(&mut self, now: Duration, node: &Node, settings: &Settings) {
         let host = settings.host(self.member.host.as_str());
-        self.last.status = RouterStatus {
+        self.pages.status = RouterStatus {
             host: self.member.host.to_string(),
             site: host.map_or_else(String::new, |host| host.site.to_string()),
             incarnation: self.member.incarnation.0,
             member_list: node.members().iter().map(member_row).collect(),
             ..RouterStatus::default()
         };
-        self.last.endpoints = Arc::new(endpoints_page(now, node, settings));
-        self.last.accounts = Arc::new(accounts_page(node, settings));
+        self.pages.endpoints = Arc::new(endpoints_page(now, node, settings));
+        self.pages.accounts = Arc::new(accounts_page(node, settings));
     }
 }
 
@@ -177,8 +177,8 @@
     }
 }
 
-/// Publishes the counters that the decisions keep.
-fn count_decisions(node: &Node) {
+/// Updates the metrics of the counters that the node keeps.
+fn update_counters(node: &Node) {
     let mut rejections = BTreeMap::new();
     let (mut grants, mut timed_out, mut late) = (0, 0, 0);
     for (_, counters) in node.home_counters() {
--- a/crates/transport/src/settings_files.rs
+++ b/crates/transport/src/settings_files.rs
@@ -15,7 +15,7 @@
 use sedgeridge_state::settings::load_layers;
 use thiserror::Error;
 
-/// Why settings could not be read.
+/// Failure to read or load settings.
 #[derive(Debug, Error)]
 pub enum ReadSettingsError {
     /// A file could not be read.
@@ -23,16 +23,16 @@
     Unreadable {
         /// The file.
         path: PathBuf,
-        /// What the system said.
+        /// The error of the system.
         cause: io::Error,
     },
-    /// The files were read, and their content refused.
-    #[error("{}", list(.0))]
+    /// The files were read, but their content is invalid.
+    #[error("{}", join_lines(.0))]
     Refused(Vec<SettingsError>),
 }
 
 impl ReadSettingsError {
-    /// Counts the findings.
+    /// Returns the number of findings.
     ///
     /// ```
     /// use sedgeridge_transport::settings_files::ReadSettingsError;
@@ -46,7 +46,7 @@
     }
 }
 
-/// The texts of a base file and an overlay, as read.
+/// The texts of a base file and an overlay.
 #[derive(Debug)]
 pub struct SettingsTexts {
     base: NamedText,
@@ -74,7 +74,7 @@
         })
     }
 
-    /// Loads the texts, with the overrides above both.
+    /// Loads the settings from the texts; overrides take precedence over both.
     ///
     /// ```no_run
     /// use std::path::Path;
@@ -86,7 +86,7 @@
         load_layers(&self.layers(overrides)).map_err(ReadSettingsError::Refused)
     }
 
-    /// Writes out every setting in force with its origin.
+    /// Returns every effective setting with its origin.
     ///
     /// ```no_run
     /// use std::path::Path;
@@ -101,7 +101,7 @@
         effective_settings(&self.layers(overrides)).map_err(ReadSettingsError::Refused)
     }
 
-    /// Gives the text of the base file.
+    /// Returns the text of the base file.
     ///
     /// ```no_run
     /// use std::path::Path;
@@ -113,7 +113,7 @@
         &self.base.text
     }
 
-    /// Gives the text of the overlay, if one was read.
+    /// Returns the text of the overlay, if one was read.
     ///
     /// ```no_run
     /// use std::path::Path;
@@ -143,9 +143,10 @@
     }
 }
 
-/// Reads and loads the base file, the overlay if there is one, and the overrides above both.
+/// Reads the base file and the overlay, if there is one, and loads the settings; overrides take precedence over
+/// both.
 ///
-/// Displaying the error gives every finding with file, line, key and hint.
+/// The displayed error lists every finding with file, line, key and hint.
 ///
 /// ```
 /// use std::path::Path;
@@ -160,7 +161,7 @@
     SettingsTexts::read(base_path, overlay_path)?.load(overrides)
 }
 
-/// Names the overlay of a site: `site-NAME.ini` beside the base file.
+/// Returns the path of a site's overlay: `site-NAME.ini` in the directory of the base file.
 ///
 /// ```
 /// use std::path::Path;
@@ -183,7 +184,7 @@
     })
 }
 
-fn list(findings: &[SettingsError]) -> String {
+fn join_lines(findings: &[SettingsError]) -> String {
     let lines: Vec<String> = findings.iter().map(ToString::to_string).collect();
     lines.join("\n")
 }
