--- a/crates/transport/src/status.rs
+++ b/crates/transport/src/status.rs
@@ -1,4 +1,4 @@
-//! What a process publishes for its operator pages.
+//! The state that a process publishes for its operator pages.
 
 use std::sync::Arc;
 use std::sync::RwLock;
@@ -13,10 +13,10 @@
 
 pub use sedgeridge_protocol::operator::RouterStatus;
 
-/// A router's pages as last published.
+/// Content of a router's operator pages.
 #[derive(Debug, Clone, Default)]
 pub struct RouterPages {
-    /// The router itself.
+    /// Status of the router itself.
     pub status: RouterStatus,
     /// The endpoints.
     pub endpoints: Arc<EndpointsPage>,
@@ -24,15 +24,15 @@
     pub accounts: Arc<AccountsPage>,
 }
 
-/// What a process tells operators of itself.
+/// State of a process that its operator pages show.
 pub trait HostStatus: Clone {
-    /// Tells whether the process does its work.
+    /// Returns whether the process is ready to do its work.
     fn is_ready(&self) -> bool;
 
-    /// Renders a page of JSON; `None` when there is no such page.
+    /// Renders a page as JSON; `None` if there is no such page.
     fn page(&self, path: &str) -> Option<String>;
 
-    /// Tells whether the configuration has an endpoint of this name.
+    /// Returns whether an endpoint of this name may exist in the configuration.
     fn knows_endpoint(&self, name: &str) -> bool;
 }
 
@@ -65,17 +65,17 @@
         (path == STATUS_PATH).then(|| json(self))
     }
 
-    /// A coordinator lists no endpoints, so it rules none out.
+    /// Always true, as a coordinator publishes no list of endpoints.
     fn knows_endpoint(&self, _name: &str) -> bool {
         true
     }
 }
 
 fn json(page: &impl Serialize) -> String {
-    serde_json::to_string(page).expect("a page is plain data")
+    serde_json::to_string(page).expect("a page serialises to JSON")
 }
 
-/// Shared place of what was published last.
+/// The last published status; clones share it.
 #[derive(Debug, Clone, Default)]
 pub struct SharedStatus<S = RouterPages> {
     status: Arc<RwLock<S>>,
--- a/crates/transport/src/stop_signal.rs
+++ b/crates/transport/src/stop_signal.rs
@@ -1,4 +1,4 @@
-//! Turns SIGTERM and SIGINT into a call.
+//! Calls a function when the process receives SIGTERM or SIGINT.
 
 use std::io;
 use std::thread;
@@ -7,11 +7,11 @@
 use signal_hook::consts::SIGTERM;
 use signal_hook::iterator::Signals;
 
-/// Runs `on_stop` in a thread of its own at the first SIGTERM or SIGINT.
+/// Runs `on_stop` in a separate thread at the first SIGTERM or SIGINT.
 ///
 /// # Errors
 ///
-/// Fails when the signals cannot be caught or the thread cannot be started.
+/// Fails if the signals cannot be caught or the thread cannot be started.
 pub fn on_stop_signal(on_stop: impl FnOnce() + Send + 'static) -> io::Result<()> {
     let mut signals = Signals::new([SIGTERM, SIGINT])?;
     thread::Builder::new()
--- a/crates/transport/src/table_calls.rs
+++ b/crates/transport/src/table_calls.rs
@@ -1,4 +1,4 @@
-//! Calls of the platform's table service, in a few threads of their own.
+//! Calls to the platform's table service, in a few separate threads.
 
 use std::io;
 use std::net::SocketAddr;
@@ -32,52 +32,52 @@
 
 use crate::address_agent::address_agent;
 use crate::address_agent::address_config;
-use crate::endpoint_call::never_sent;
+use crate::endpoint_call::proves_unsent;
 
-/// Threads that call for most uses; each holds one call at a time.
+/// Threads for calls in most uses; each makes one call at a time.
 pub const CALL_THREADS: usize = 6;
-/// Calls that may wait for a thread.
+/// Calls that may wait for a thread; a call beyond them is refused.
 const CALL_CHANNEL_LEN: usize = 64;
 
-/// Longest answer that is read, that of the client library. A whole configuration of the size designed for
-/// has 1 MB as a message; the first sweep of claims reads their whole index, whose size is not known.
+/// Longest answer that is read; equals the limit of the client library. A full configuration of the design size
+/// takes 1 MB as a message. The first sweep of claims reads their whole index, whose size is not known.
 const MAX_ANSWER_BYTES: u64 = 10 << 20;
 
-/// Ring to the threads that call the table service.
+/// Channel to the threads that call the table service.
 #[derive(Debug)]
 pub struct TableCalls {
-    ring: SyncSender<StoreAction>,
+    sender: SyncSender<StoreAction>,
 }
 
 impl TableCalls {
-    /// Starts the threads; the end of each call goes to `inputs` by way of `wrap`.
+    /// Starts the threads. They convert the result of each call with `wrap` and send it to `inputs`.
     ///
     /// # Errors
     ///
-    /// Fails when a thread cannot be started.
+    /// Fails if a thread cannot be started.
     pub fn start<I: Send + 'static>(
         client: &TableClient,
-        callers: usize,
+        threads: usize,
         inputs: &SyncSender<I>,
         wrap: fn(StoreEvent) -> I,
     ) -> io::Result<Self> {
-        let (ring, calls) = sync_channel(CALL_CHANNEL_LEN);
+        let (sender, calls) = sync_channel(CALL_CHANNEL_LEN);
         let calls = Arc::new(Mutex::new(calls));
-        for index in 0..callers {
+        for index in 0..threads {
             let calls = Arc::clone(&calls);
             let client = client.clone();
             let inputs = inputs.clone();
             thread::Builder::new()
                 .name(format!("table-calls-{index}"))
-                .spawn(move || call_all(&client, &calls, &inputs, wrap))?;
+                .spawn(move || run_calls(&client, &calls, &inputs, wrap))?;
         }
-        Ok(Self { ring })
+        Ok(Self { sender })
     }
 
-    /// Makes a call; `Some` is its end when there is no room for it, so that it is not made.
+    /// Starts a call. If the channel is full, the call is not made and its result is returned.
     pub fn call(&self, action: StoreAction) -> Option<StoreEvent> {
         let call = call_id(&action);
-        let refused = self.ring.try_send(action).is_err();
+        let refused = self.sender.try_send(action).is_err();
         refused.then(|| {
             counter!("sedgeridge_table_calls_total", "result" => "no_room").increment(1);
             StoreEvent {
@@ -94,7 +94,7 @@
     }
 }
 
-fn call_all<I>(
+fn run_calls<I>(
     client: &TableClient,
     calls: &Mutex<Receiver<StoreAction>>,
     inputs: &SyncSender<I>,
@@ -123,7 +123,7 @@
 }
 
 impl TableClient {
-    /// Creates a client; without an address every call is unavailable.
+    /// Creates a client; without an address, the result of every call is [`StoreResult::Unavailable`].
     pub fn new(address: Option<SocketAddr>, call_timeout: Duration) -> Self {
         let agent = address_agent(
             address_config()
@@ -134,10 +134,10 @@
         Self { address, agent }
     }
 
-    /// Makes a call and tells how it ended.
+    /// Makes a call and returns its result.
     ///
-    /// Only an end that proves that nothing was written counts as unavailable; every other failure
-    /// is unknown, since the write may have taken effect before its answer was lost.
+    /// Only a failure that proves that nothing was written counts as unavailable. Every other failure
+    /// counts as unknown, since the write may have taken effect before its answer was lost.
     pub fn run(&self, action: &StoreAction) -> StoreResult {
         let result = match action {
             StoreAction::Transact { checks, writes, .. } => {
@@ -184,7 +184,7 @@
                 })
             }
         };
-        counter!("sedgeridge_table_calls_total", "result" => label(&result)).increment(1);
+        counter!("sedgeridge_table_calls_total", "result" => result_label(&result)).increment(1);
         result
     }
 
@@ -197,7 +197,7 @@
         let Some(address) = self.address else {
             return StoreResult::Unavailable;
         };
-        let body = serde_json::to_vec(call).expect("a table call is plain data");
+        let body = serde_json::to_vec(call).expect("a table call serialises to JSON");
         let sent = self
             .agent
             .post(format!("http://{address}{path}"))
@@ -205,12 +205,13 @@
             .send(&body[..]);
         let mut response = match sent {
             Ok(response) => response,
-            Err(error) if never_sent(&error) => return StoreResult::Unavailable,
+            Err(error) if proves_unsent(&error) => return StoreResult::Unavailable,
             Err(_) => return StoreResult::Unknown,
         };
         match response.status().as_u16() {
             200 => {}
-            // The service refuses over its rate limit and in an outage before it does anything.
+            // The service returns these for calls beyond its rate limit and in an outage, before it
+            // writes anything.
             429 | 503 => return StoreResult::Unavailable,
             _ => return StoreResult::Unknown,
         }
@@ -231,7 +232,7 @@
     }
 }
 
-fn label(result: &StoreResult) -> &'static str {
+fn result_label(result: &StoreResult) -> &'static str {
     match result {
         StoreResult::Committed { .. } => "committed",
         StoreResult::Conflict { .. } => "conflict",
