--- a/crates/transport/src/answer_forwarding.rs
+++ b/crates/transport/src/answer_forwarding.rs
@@ -51,7 +51,7 @@
         AnswerForm::ChatStream | AnswerForm::ChatWhole => {
             let answer: Option<ChatAnswer> = serde_json::from_slice(&body).ok();
             answer.map_or(0, |a| {
-                charged_tokens(spec, &a.usage, a.usage.completion_tokens)
+                token_charge(spec, &a.usage, a.usage.completion_tokens)
             })
         }
     };
@@ -169,7 +169,7 @@
     response.headers().get(name)?.to_str().ok()?.parse().ok()
 }
 
-fn charged_tokens(spec: &AttemptSpec, usage: &Usage, output_tokens: u64) -> u64 {
+fn token_charge(spec: &AttemptSpec, usage: &Usage, output_tokens: u64) -> u64 {
     let uncached_tokens = usage.prompt_tokens.saturating_sub(usage.cached_tokens);
     uncached_tokens + spec.output_token_factor * output_tokens
 }
@@ -221,7 +221,7 @@
 
     fn charged_tokens(&self) -> u64 {
         let usage = self.usage.unwrap_or_default();
-        charged_tokens(self.spec, &usage, self.output_tokens)
+        token_charge(self.spec, &usage, self.output_tokens)
     }
 
     /// Reads an event up to the blank line that ends it, and forwards it.
@@ -232,7 +232,7 @@
         };
         let ended = self.count_tokens(&event);
         let end = ended.then_some(AnswerPart::End);
-        let event = self.memory.hold(event, &self.spec.answer);
+        let event = self.memory.reserve(event, &self.spec.answer);
         let parts = std::iter::once(AnswerPart::Chunk(event)).chain(end);
         for part in parts {
             if forward_part(self.spec, self.recorder, part).is_err() {
--- a/crates/transport/src/answer_memory.rs
+++ b/crates/transport/src/answer_memory.rs
@@ -84,7 +84,7 @@
 
     /// Waits for memory for an event. Returns the event without a reservation once the caller has
     /// disconnected, as it is not kept then.
-    pub(crate) fn hold(&self, event: Vec<u8>, caller: &AnswerSender) -> Bytes {
+    pub(crate) fn reserve(&self, event: Vec<u8>, caller: &AnswerSender) -> Bytes {
         loop {
             if let Some(reservation) = self.budget.reserve(event.len() as u64) {
                 return reservation.bind(event);
--- a/crates/transport/src/coordinator_calls.rs
+++ b/crates/transport/src/coordinator_calls.rs
@@ -146,7 +146,7 @@
 impl<C: Clock> CallThread<C> {
     fn run(&self, calls: &Mutex<Receiver<CoordinatorCall>>) {
         loop {
-            let next = calls.lock().expect("no caller panics").recv();
+            let next = calls.lock().expect("no call thread panics").recv();
             let Ok(call) = next else {
                 return;
             };
--- a/crates/transport/src/core.rs
+++ b/crates/transport/src/core.rs
@@ -250,7 +250,7 @@
         }
     }
 
-    /// Tells whether a stopping router may exit: every caller has its answer, and every outcome that
+    /// Returns whether a stopping router may exit: every caller has its answer, and every outcome that
     /// a repeat of a request would ask for is stored. An outage of the table service delays the exit
     /// by [`MAX_RECORD_WAIT`] at most; a repeat of a request without a record is answered as unknown.
     fn has_finished(&mut self, now: Duration) -> bool {
--- a/crates/transport/src/host_start.rs
+++ b/crates/transport/src/host_start.rs
@@ -42,7 +42,7 @@
         /// The missing key, which would contain the process's address.
         key: &'static str,
     },
-    /// A system call failed.
+    /// The process could not get a resource that it needs from the system.
     #[error("{0}")]
     System(#[from] io::Error),
 }
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -1,8 +1,9 @@
 //! Sockets, threads, logs and metrics for the router and coordinator processes, whose decisions are in the
 //! `sedgeridge-coordination` crate.
 //!
-//! Each task has its own thread, and bounded channels connect the threads: `front` (callers), `core` (decisions), `endpoint workers`
-//! (one attempt each) and `operator` (pages and metrics). docs/ARCHITECTURE.md lists every thread and channel.
+//! Each task has its own thread, and bounded channels connect the threads: `front` (callers), `core`
+//! (decisions), `endpoint workers` (one attempt each) and `operator` (pages and metrics).
+//! docs/ARCHITECTURE.md lists every thread and channel.
 
 mod address_agent;
 pub mod answer;
--- a/crates/transport/src/operator.rs
+++ b/crates/transport/src/operator.rs
@@ -78,7 +78,7 @@
 /// Serves operator pages in a separate thread. Requests to drain an endpoint are sent to `drain`; without it,
 /// they are refused.
 ///
-/// Returns the bound address, which contains the assigned port if `address` has port 0.
+/// Returns the bound address, which contains the assigned port if port 0 was requested.
 ///
 /// # Errors
 ///
--- a/crates/transport/src/table_calls.rs
+++ b/crates/transport/src/table_calls.rs
@@ -101,7 +101,7 @@
     wrap: fn(StoreEvent) -> I,
 ) {
     loop {
-        let next = calls.lock().expect("no caller panics").recv();
+        let next = calls.lock().expect("no call thread panics").recv();
         let Ok(action) = next else {
             return;
         };
--- a/crates/transport/tests/bad_requests.rs
+++ b/crates/transport/tests/bad_requests.rs
@@ -1,5 +1,5 @@
-//! Malformed requests: each is refused before it is queued, with an error that names the header or
-//! field, what was found there and what was expected.
+//! Malformed requests: each is refused before it is queued, with an error that names the header or field, the
+//! value found there and the expected value.
 
 mod support;
 
@@ -26,7 +26,7 @@
 const DEADLINE: &str = "x-sedgeridge-deadline-ms";
 const HINT: &str = "x-sedgeridge-cost-hint-tokens";
 
-fn read(request: Request<Bytes>) -> Result<ParsedRequest, BadRequest> {
+fn parse(request: Request<Bytes>) -> Result<ParsedRequest, BadRequest> {
     let directory = Directory::new(settings());
     let (parts, body) = request.into_parts();
     let caller = identify_caller(&parts, &directory, "router-1-1-1")?;
@@ -40,8 +40,8 @@
     )
 }
 
-fn refuse(request: Request<Bytes>) -> BadRequest {
-    read(request).expect_err("the request is malformed")
+fn parse_error(request: Request<Bytes>) -> BadRequest {
+    parse(request).expect_err("the request is malformed")
 }
 
 fn with_key(method: &str, target: &str) -> Builder {
@@ -66,12 +66,12 @@
 }
 
 #[test]
-fn the_sound_requests_that_the_others_are_made_from_are_accepted() {
-    read(body(with_key("POST", CHAT_PATH), CHAT)).unwrap();
-    read(body(with_key("GET", "/services/stock/lenses?day=2"), "")).unwrap();
-    read(body(with_key("GET", "/services/stock"), "")).unwrap();
+fn the_valid_requests_behind_the_malformed_ones_are_accepted() {
+    parse(body(with_key("POST", CHAT_PATH), CHAT)).unwrap();
+    parse(body(with_key("GET", "/services/stock/lenses?day=2"), "")).unwrap();
+    parse(body(with_key("GET", "/services/stock"), "")).unwrap();
     let deposit = with_key("POST", "/services/deposit/charge").header("idempotency-key", "k-1");
-    assert!(read(body(deposit, "{}")).unwrap().claim.is_some());
+    assert!(parse(body(deposit, "{}")).unwrap().claim.is_some());
 }
 
 #[parameterized(
@@ -108,14 +108,14 @@
     limit_huge = { r#"{"model":"desk","messages":[],"max_tokens":4294967296}"#, "max_tokens: found 4294967296, expected a whole number from 1 to 4294967295" },
     limit_zero = { r#"{"model":"desk","messages":[{"role":"user","content":"a"}],"max_tokens":0}"#, "max_tokens: found 0, expected a number above 0" },
 )]
-fn a_chat_body_that_is_malformed(text: &str, detail: &str) {
-    let bad = refuse(body(with_key("POST", CHAT_PATH), text.to_owned()));
+fn a_malformed_chat_body_is_refused(text: &str, detail: &str) {
+    let bad = parse_error(body(with_key("POST", CHAT_PATH), text.to_owned()));
     assert_refused(&bad, 400, "bad_request", detail);
 }
 
 #[test]
-fn a_chat_body_that_is_not_utf8_or_too_deep() {
-    let bad = refuse(body(
+fn a_chat_body_that_is_not_utf8_or_too_deep_is_refused() {
+    let bad = parse_error(body(
         with_key("POST", CHAT_PATH),
         &b"{\"model\":\"\xff\"}"[..],
     ));
@@ -129,7 +129,7 @@
         bad.detail
     );
     let deep = format!(r#"{{"model":"desk","messages":{}"#, "[".repeat(10_000));
-    let bad = refuse(body(with_key("POST", CHAT_PATH), deep));
+    let bad = parse_error(body(with_key("POST", CHAT_PATH), deep));
     let expected = "body: invalid type: sequence, expected an object";
     assert!(bad.detail.starts_with(expected), "{}", bad.detail);
 }
@@ -140,8 +140,8 @@
     plain_service = { "stock", "model: found \"stock\", expected the name of a model service" },
     other_case = { "Desk", "model: found \"Desk\", expected the name of a model service" },
 )]
-fn a_model_that_is_not_served(model: &str, detail: &str) {
-    let bad = refuse(body(
+fn an_unknown_model_is_refused(model: &str, detail: &str) {
+    let bad = parse_error(body(
         with_key("POST", CHAT_PATH),
         CHAT.replace("desk", model),
     ));
@@ -149,9 +149,9 @@
 }
 
 #[test]
-fn a_huge_wrong_value_is_not_repeated_whole() {
+fn a_huge_invalid_value_is_shortened_in_the_error() {
     let model = "m".repeat(100_000);
-    let bad = refuse(body(
+    let bad = parse_error(body(
         with_key("POST", CHAT_PATH),
         CHAT.replace("desk", &model),
     ));
@@ -179,8 +179,8 @@
     server_only = { "elsewhere.test:443", 400, "bad_request", "request target: found \"elsewhere.test:443\", expected a path without a server" },
     every_path = { "*", 404, "unknown_service", "path: found \"*\", expected /v1/chat/completions or /services/NAME/" },
 )]
-fn a_target_that_is_not_served(target: &str, status: u16, reason: &str, detail: &str) {
-    let bad = refuse(body(with_key("GET", target), ""));
+fn an_unknown_target_is_refused(target: &str, status: u16, reason: &str, detail: &str) {
+    let bad = parse_error(body(with_key("GET", target), ""));
     assert_refused(&bad, status, reason, detail);
 }
 
@@ -191,8 +191,8 @@
     trace = { "TRACE", "/services/stock/lenses", "method: found TRACE, expected one that services take" },
     connect = { "CONNECT", "/services/stock/lenses", "method: found CONNECT, expected one that services take" },
 )]
-fn a_method_that_is_not_served(method: &str, target: &str, detail: &str) {
-    let bad = refuse(body(with_key(method, target), CHAT));
+fn an_unsupported_method_is_refused(method: &str, target: &str, detail: &str) {
+    let bad = parse_error(body(with_key(method, target), CHAT));
     assert_refused(&bad, 405, "method_not_allowed", detail);
 }
 
@@ -206,12 +206,17 @@
     wrong_key = { &["Bearer crew-kex"], "authorization: found a key of no account, expected Bearer KEY with the key of an account" },
     two_keys = { &["Bearer crew-key crew-key"], "authorization: found a key of no account, expected Bearer KEY with the key of an account" },
 )]
-fn a_caller_without_a_known_key(values: &[&str], detail: &str) {
+fn a_caller_without_a_known_key_is_refused(values: &[&str], detail: &str) {
     let mut builder = Request::builder().method("POST").uri(CHAT_PATH);
     for value in values {
         builder = builder.header("authorization", *value);
     }
-    assert_refused(&refuse(body(builder, CHAT)), 401, "unauthorized", detail);
+    assert_refused(
+        &parse_error(body(builder, CHAT)),
+        401,
+        "unauthorized",
+        detail,
+    );
 }
 
 #[parameterized(
@@ -240,19 +245,19 @@
     key_of_request_with_space = { "idempotency-key", &["k 1"], "idempotency-key: found \"k 1\", expected visible ASCII without spaces" },
     key_of_request_twice = { "idempotency-key", &["k-1", "k-2"], "idempotency-key: found 2 times, expected once" },
 )]
-fn a_header_that_is_malformed(name: &str, values: &[&str], detail: &str) {
+fn a_malformed_header_is_refused(name: &str, values: &[&str], detail: &str) {
     let mut builder = with_key("GET", "/services/stock/lenses");
     for value in values {
         builder = builder.header(name, value.as_bytes());
     }
-    assert_refused(&refuse(body(builder, "")), 400, "bad_request", detail);
+    assert_refused(&parse_error(body(builder, "")), 400, "bad_request", detail);
 }
 
 #[parameterized(id = { ID }, key = { "idempotency-key" })]
-fn a_name_that_is_too_long(name: &str) {
+fn an_id_that_is_too_long_is_refused(name: &str) {
     let builder = with_key("GET", "/services/stock/lenses").header(name, "r".repeat(129));
     let detail = format!("{name}: found 129 characters, expected 1 to 128");
-    assert_refused(&refuse(body(builder, "")), 400, "bad_request", &detail);
+    assert_refused(&parse_error(body(builder, "")), 400, "bad_request", &detail);
 }
 
 #[parameterized(
@@ -260,14 +265,19 @@
     form = { "application/x-www-form-urlencoded", "content-type: found \"application/x-www-form-urlencoded\", expected application/json" },
     nearly = { "application/jsonp", "content-type: found \"application/jsonp\", expected application/json" },
 )]
-fn a_chat_request_of_another_type(found: &str, detail: &str) {
+fn a_chat_request_of_another_media_type_is_refused(found: &str, detail: &str) {
     let builder = with_key("POST", CHAT_PATH).header("content-type", found);
-    assert_refused(&refuse(body(builder, CHAT)), 400, "bad_request", detail);
+    assert_refused(
+        &parse_error(body(builder, CHAT)),
+        400,
+        "bad_request",
+        detail,
+    );
 }
 
 #[test]
-fn a_request_that_may_not_be_repeated_without_a_key() {
-    let bad = refuse(body(with_key("POST", "/services/deposit/charge"), "{}"));
+fn a_non_repeatable_request_without_a_key_is_refused() {
+    let bad = parse_error(body(with_key("POST", "/services/deposit/charge"), "{}"));
     let detail = "idempotency-key: found none, expected a key: deposit may not be repeated";
     assert_refused(&bad, 400, "key_missing", detail);
 }
--- a/crates/transport/tests/broken_answers.rs
+++ b/crates/transport/tests/broken_answers.rs
@@ -1,4 +1,4 @@
-//! Attempts against an endpoint that breaks its answers in every place.
+//! Attempts against an endpoint whose answers are incomplete, silent or wrong.
 
 use std::io::Read;
 use std::io::Write;
@@ -31,8 +31,8 @@
 const STREAM_HEAD: &str =
     "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\nconnection: close\r\n\r\n";
 
-/// Serves one connection with these bytes and then closes it, or keeps it open without a word.
-fn endpoint(answer: String, stays_open: bool) -> SocketAddr {
+/// Starts an endpoint that sends these bytes on one connection, and then closes it or keeps it open in silence.
+fn start_endpoint(answer: String, stays_open: bool) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("a bound listener");
     thread::spawn(move || {
@@ -64,14 +64,14 @@
     )
 }
 
-struct Order {
+struct AttemptOptions {
     form: AnswerForm,
     repeatable: bool,
     resume_after_tokens: u64,
     head_sent: bool,
 }
 
-impl Default for Order {
+impl Default for AttemptOptions {
     fn default() -> Self {
         Self {
             form: AnswerForm::ChatStream,
@@ -82,20 +82,24 @@
     }
 }
 
-/// Runs one attempt and returns how it ended and what the caller's side got.
-fn run(address: SocketAddr, order: &Order) -> (AttemptResult, Vec<AnswerPart>) {
+/// Runs one attempt and returns its result and the parts that its caller received.
+fn run_attempt(address: SocketAddr, options: &AttemptOptions) -> (AttemptResult, Vec<AnswerPart>) {
     let (answer, mut receiver) = mpsc::channel(32);
-    let ended = attempt(address, order, answer);
-    (ended, received(&mut receiver))
+    let result = attempt(address, options, answer);
+    (result, drain(&mut receiver))
 }
 
-fn attempt(address: SocketAddr, order: &Order, answer: mpsc::Sender<AnswerPart>) -> AttemptResult {
+fn attempt(
+    address: SocketAddr,
+    options: &AttemptOptions,
+    answer: mpsc::Sender<AnswerPart>,
+) -> AttemptResult {
     let health = HealthSettings {
         stream_idle_timeout_ms: 200,
         ..HealthSettings::default()
     };
     let (core, _inbox) = sync_channel(16);
-    let order = AttemptSpec {
+    let spec = AttemptSpec {
         attempt: AttemptKey(7),
         call: Call {
             account: "crew-07".into(),
@@ -105,81 +109,81 @@
             content_type: Arc::from("application/json"),
             idempotency_key: None,
             body: Bytes::from_static(b"{}"),
-            form: order.form,
-            repeatable: order.repeatable,
+            form: options.form,
+            repeatable: options.repeatable,
             hint_tokens: 10,
         },
         address,
         attempt_id: ATTEMPT_ID.to_owned(),
-        resume_after_tokens: order.resume_after_tokens,
-        head_sent: order.head_sent,
+        resume_after_tokens: options.resume_after_tokens,
+        head_sent: options.head_sent,
         last_attempt: false,
         time_left: Duration::from_secs(20),
         output_token_factor: 4,
         answer,
     };
-    EndpointClients::new(&health).run(&order, &core)
+    EndpointClients::new(&health).run(&spec, &core)
 }
 
-fn received(receiver: &mut AnswerReceiver) -> Vec<AnswerPart> {
+fn drain(receiver: &mut AnswerReceiver) -> Vec<AnswerPart> {
     std::iter::from_fn(|| receiver.try_recv().ok()).collect()
 }
 
-fn heads(parts: &[AnswerPart]) -> usize {
+fn head_count(parts: &[AnswerPart]) -> usize {
     let is_head = |part: &&AnswerPart| matches!(part, AnswerPart::Head { .. });
     parts.iter().filter(is_head).count()
 }
 
-fn failure(ended: &AttemptResult) -> (AttemptFailure, u64, bool) {
-    match ended.end {
+fn expect_failure(result: &AttemptResult) -> (AttemptFailure, u64, bool) {
+    match result.end {
         AttemptEnd::Failed {
             failure,
             sent_tokens,
             head_sent,
             ..
         } => (failure, sent_tokens, head_sent),
-        other => panic!("a failure was expected, not {other:?}"),
+        other => panic!("expected a failure, found {other:?}"),
     }
 }
 
-// The caller sees a stream that ends early and takes it for whole. The endpoint broke between the
-// head and the first token, and the next attempt sent a second head, which ended the body without
-// its end mark. The next attempt must be told that the caller holds the head, and send none.
+// An endpoint fails between the head and the first token. A second head from the next attempt would end the body
+// without its end mark, and the caller would take the stream for complete. The next attempt must know that
+// the caller has the head, and send none.
 #[test]
-fn a_stream_that_broke_before_its_first_token_gets_no_second_head() {
-    let broken = endpoint(STREAM_HEAD.to_owned(), false);
-    let (ended, parts) = run(broken, &Order::default());
-    assert_eq!(failure(&ended).1, 0);
-    assert!(failure(&ended).2, "the head went out");
-    assert_eq!(heads(&parts), 1);
+fn a_stream_that_failed_before_its_first_token_gets_no_second_head() {
+    let broken = start_endpoint(STREAM_HEAD.to_owned(), false);
+    let (result, parts) = run_attempt(broken, &AttemptOptions::default());
+    assert_eq!(expect_failure(&result).1, 0);
+    assert!(expect_failure(&result).2, "the head was sent");
+    assert_eq!(head_count(&parts), 1);
 
     let whole = format!("{STREAM_HEAD}{}data: [DONE]\n\n", event("lens"));
-    let order = Order {
+    let options = AttemptOptions {
         head_sent: true,
-        ..Order::default()
+        ..AttemptOptions::default()
     };
-    let (ended, parts) = run(endpoint(whole, false), &order);
-    assert!(matches!(ended.end, AttemptEnd::Finished { .. }));
-    assert_eq!(heads(&parts), 0);
+    let (result, parts) = run_attempt(start_endpoint(whole, false), &options);
+    assert!(matches!(result.end, AttemptEnd::Finished { .. }));
+    assert_eq!(head_count(&parts), 0);
     assert_eq!(parts.last(), Some(&AnswerPart::End));
 }
 
-// The caller has two tokens when the endpoint dies. The next attempt may go on only from there: an
-// endpoint that starts anew would repeat them.
+// The caller has two tokens when the endpoint fails. The next attempt must resume after them, as an endpoint that
+// starts from the beginning would repeat them.
 #[test]
-fn a_stream_goes_on_only_where_the_caller_stands() {
+fn a_stream_is_resumed_only_after_the_tokens_that_the_caller_has() {
     let two = format!("{STREAM_HEAD}{}{}", event("lens"), event("tripod"));
-    let (ended, _) = run(endpoint(two, false), &Order::default());
-    assert_eq!(failure(&ended).1, 2);
+    let (result, _) = run_attempt(start_endpoint(two, false), &AttemptOptions::default());
+    assert_eq!(expect_failure(&result).1, 2);
 
-    let order = Order {
+    let options = AttemptOptions {
         resume_after_tokens: 2,
         head_sent: true,
-        ..Order::default()
+        ..AttemptOptions::default()
     };
-    let anew = format!("{STREAM_HEAD}{}data: [DONE]\n\n", event("lens"));
-    let (ended, parts) = run(endpoint(anew, false), &order);
-    assert_eq!(failure(&ended).0, AttemptFailure::AnswerCrossed);
+    let restarted = format!("{STREAM_HEAD}{}data: [DONE]\n\n", event("lens"));
+    let (result, parts) = run_attempt(start_endpoint(restarted, false), &options);
+    assert_eq!(expect_failure(&result).0, AttemptFailure::AnswerCrossed);
     assert!(parts.is_empty());
 
     let resumed_head = STREAM_HEAD.replace(
@@ -187,33 +191,35 @@
         &format!("{}: 2\r\nconnection: close", headers::FIRST_TOKEN),
     );
     let resumed = format!("{resumed_head}{}data: [DONE]\n\n", event("filter"));
-    let (ended, parts) = run(endpoint(resumed, false), &order);
-    assert!(matches!(ended.end, AttemptEnd::Finished { .. }));
-    assert_eq!(heads(&parts), 0);
+    let (result, parts) = run_attempt(start_endpoint(resumed, false), &options);
+    assert!(matches!(result.end, AttemptEnd::Finished { .. }));
+    assert_eq!(head_count(&parts), 0);
 }
 
-// One crew would see another's answer: the endpoint answers with the id of another attempt.
+// An endpoint answers with the id of another attempt. Its answer must not reach the caller, who would see the
+// answer to another account.
 #[test]
-fn an_answer_to_another_attempt_reaches_nobody() {
+fn an_answer_to_another_attempt_is_not_forwarded() {
     let crossed = STREAM_HEAD.replace(
         "connection: close",
         &format!("{}: router-1.1.8\r\nconnection: close", headers::ATTEMPT_ID),
     );
-    let (ended, parts) = run(endpoint(crossed, false), &Order::default());
-    assert_eq!(failure(&ended).0, AttemptFailure::AnswerCrossed);
+    let (result, parts) = run_attempt(start_endpoint(crossed, false), &AttemptOptions::default());
+    assert_eq!(expect_failure(&result).0, AttemptFailure::AnswerCrossed);
     assert!(parts.is_empty());
 }
 
-// Half a document would pass for a whole one: the endpoint announces ten bytes and dies after four.
+// An endpoint declares ten bytes and fails after four. The caller must not take an incomplete document for a
+// complete one.
 #[test]
-fn a_document_that_broke_off_reaches_nobody() {
+fn an_incomplete_document_is_not_forwarded() {
     let half = "HTTP/1.1 200 OK\r\ncontent-length: 10\r\n\r\n{\"a\"".to_owned();
-    let order = Order {
+    let options = AttemptOptions {
         form: AnswerForm::Plain,
-        ..Order::default()
+        ..AttemptOptions::default()
     };
-    let (ended, parts) = run(endpoint(half, false), &order);
-    let (failure, ..) = failure(&ended);
+    let (result, parts) = run_attempt(start_endpoint(half, false), &options);
+    let (failure, ..) = expect_failure(&result);
     assert!(matches!(
         failure,
         AttemptFailure::ConnectionLost | AttemptFailure::Crashed
@@ -221,40 +227,40 @@
     assert!(parts.is_empty());
 }
 
-// The caller waits for ever on a connection that something in between has forgotten. After the
-// idle time the attempt ends as silent, and a fresh connection is tried.
+// A device on the way has dropped its state of the connection, so no further bytes arrive and no error either. The
+// attempt must end as silent after the idle timeout, so that another one can be made on a new connection.
 #[test]
-fn a_silent_stream_ends_after_its_idle_time() {
+fn a_silent_stream_ends_after_the_idle_timeout() {
     let silent = format!("{STREAM_HEAD}{}", event("lens"));
-    let (ended, parts) = run(endpoint(silent, true), &Order::default());
-    assert_eq!(failure(&ended), (AttemptFailure::Silent, 1, true));
-    assert_eq!(heads(&parts), 1);
+    let (result, parts) = run_attempt(start_endpoint(silent, true), &AttemptOptions::default());
+    assert_eq!(expect_failure(&result), (AttemptFailure::Silent, 1, true));
+    assert_eq!(head_count(&parts), 1);
 }
 
-// The caller is told that its request was not run, and it was not: nobody listens there.
+// Nothing listens at the endpoint's address. The failure must prove that the request did not run.
 #[test]
 fn a_refused_connection_proves_that_nothing_ran() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("a bound listener");
     drop(listener);
-    let (ended, _) = run(address, &Order::default());
-    assert_eq!(failure(&ended).0, AttemptFailure::ConnectFailed);
+    let (result, _) = run_attempt(address, &AttemptOptions::default());
+    assert_eq!(expect_failure(&result).0, AttemptFailure::ConnectFailed);
 }
 
-// The caller of a decision letter goes away in the middle and asks again with the same key. The
-// letter must not be cut off half-written: it runs to its end, and the record holds all of it.
+// The caller of a non-repeatable request disconnects before the answer is complete, and repeats the request with
+// the same key. The attempt must run to its end, and the record must contain the complete answer.
 #[test]
-fn a_request_that_may_not_be_repeated_runs_on_without_its_caller() {
+fn a_non_repeatable_request_runs_to_its_end_without_its_caller() {
     let whole = format!("{STREAM_HEAD}{}data: [DONE]\n\n", event("letter"));
-    let order = Order {
+    let options = AttemptOptions {
         repeatable: false,
-        ..Order::default()
+        ..AttemptOptions::default()
     };
     let (answer, receiver) = mpsc::channel(32);
     drop(receiver);
-    let ended = attempt(endpoint(whole.clone(), false), &order, answer);
-    assert!(matches!(ended.end, AttemptEnd::Finished { .. }));
-    let recorded = ended.recorded.expect("the answer is whole");
+    let result = attempt(start_endpoint(whole.clone(), false), &options, answer);
+    assert!(matches!(result.end, AttemptEnd::Finished { .. }));
+    let recorded = result.recorded.expect("the answer is whole");
     assert_eq!(recorded.status, 200);
     let body = whole.strip_prefix(STREAM_HEAD).expect("built from it");
     assert_eq!(recorded.body, RecordedBody::Inline(Arc::from(body)));
--- a/crates/transport/tests/coordinator/engine.rs
+++ b/crates/transport/tests/coordinator/engine.rs
@@ -1,4 +1,4 @@
-//! An engine on loopback that takes orders, and a router that takes drains.
+//! A fake engine on loopback that takes orders; it also acts as a router that takes drain requests.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -21,34 +21,34 @@
 use crate::support::read_json;
 
 #[derive(Debug, Default)]
-pub struct EngineLog {
+pub struct EngineData {
     pub checks_fencing: bool,
-    /// Requests that the load report shows.
+    /// Running requests in the load report.
     pub running: u32,
     pub state: EngineState,
     /// Every order that arrived, and whether it took effect.
     pub orders: Vec<(EngineOrder, bool)>,
-    /// Endpoints that a router was told to drain.
+    /// Endpoints of the drain requests that arrived.
     pub drained: Vec<String>,
 }
 
-/// An engine and the router before it; clones share them.
+/// A fake engine and router; clones share the state.
 #[derive(Debug, Clone)]
 pub struct FakeEngine {
     pub address: SocketAddr,
-    log: Arc<Mutex<EngineLog>>,
+    data: Arc<Mutex<EngineData>>,
 }
 
 impl FakeEngine {
     pub fn start(checks_fencing: bool) -> Self {
         let server = Server::http("127.0.0.1:0").unwrap();
-        let log = EngineLog {
+        let data = EngineData {
             checks_fencing,
-            ..EngineLog::default()
+            ..EngineData::default()
         };
         let engine = Self {
             address: server.server_addr().to_ip().unwrap(),
-            log: Arc::new(Mutex::new(log)),
+            data: Arc::new(Mutex::new(data)),
         };
         let serving = engine.clone();
         thread::spawn(move || {
@@ -60,19 +60,19 @@
         engine
     }
 
-    pub fn lock(&self) -> MutexGuard<'_, EngineLog> {
-        self.log.lock().unwrap()
+    pub fn lock(&self) -> MutexGuard<'_, EngineData> {
+        self.data.lock().unwrap()
     }
 
-    /// Lists the fencing numbers of the orders that took effect.
-    pub fn obeyed(&self) -> Vec<u64> {
-        let log = self.lock();
-        let obeyed = log.orders.iter().filter(|(_, accepted)| *accepted);
+    /// Returns the fencing numbers of the orders that took effect.
+    pub fn obeyed_fencing(&self) -> Vec<u64> {
+        let data = self.lock();
+        let obeyed = data.orders.iter().filter(|(_, accepted)| *accepted);
         obeyed.map(|(order, _)| order.fencing).collect()
     }
 }
 
-impl EngineLog {
+impl EngineData {
     fn serve(&mut self, request: &mut Request) -> (u16, String) {
         if request.url() == LOAD_PATH {
             let report = LoadReport {
@@ -95,7 +95,7 @@
             let accepted = !self.checks_fencing || order.fencing >= self.state.highest_fencing;
             self.orders.push((order.clone(), accepted));
             if accepted {
-                self.obey(order);
+                self.apply(order);
             } else {
                 status = 409;
             }
@@ -103,7 +103,7 @@
         (status, serde_json::to_string(&self.state).unwrap())
     }
 
-    pub fn obey(&mut self, order: EngineOrder) {
+    pub fn apply(&mut self, order: EngineOrder) {
         self.state.highest_fencing = self.state.highest_fencing.max(order.fencing);
         match order.kind {
             OrderKind::Load => self.state.loaded.push(LoadedModel {
--- a/crates/transport/tests/coordinator/main.rs
+++ b/crates/transport/tests/coordinator/main.rs
@@ -1,4 +1,4 @@
-//! Failures of coordinators that talk to a table, an engine and a router over loopback.
+//! Coordinators with a fake table service, engine and router on loopback, and their failures.
 
 mod engine;
 mod support;
@@ -10,7 +10,7 @@
 use sedgeridge_coordination::coordinator_events::CoordinatorEvent;
 use sedgeridge_coordination::order_events::EngineAnswer;
 use sedgeridge_coordination::order_events::SendOrder;
-use sedgeridge_protocol::engine::EngineOrder as BorderOrder;
+use sedgeridge_protocol::engine::EngineOrder as WireOrder;
 use sedgeridge_protocol::engine::OrderKind;
 use sedgeridge_state::lease_record::FencingNumber;
 use sedgeridge_state::lease_record::LEASE_KEY;
@@ -24,7 +24,7 @@
 use support::SharedClock;
 use table::TableFault;
 
-fn to_booking() -> EngineOrder {
+fn change_role_to_booking() -> EngineOrder {
     EngineOrder::ChangeRole("booking".into())
 }
 
@@ -33,26 +33,27 @@
     let fleet = Fleet::new(true);
     let holder = fleet.start("host-1");
     holder.run_until_holding();
-    fleet.order(EngineOrder::Load("assistant/v2".into()));
+    fleet.write_order(EngineOrder::Load("assistant/v2".into()));
     holder.run_until("the order is recorded", || {
         fleet.order_state() == Some(OrderState::Done)
     });
-    let log = fleet.engine.lock();
-    assert!(log.drained.iter().all(|endpoint| endpoint == ENDPOINT));
-    assert!(!log.drained.is_empty());
+    let engine = fleet.engine.lock();
+    assert!(engine.drained.iter().all(|endpoint| endpoint == ENDPOINT));
+    assert!(!engine.drained.is_empty());
     assert!(
-        log.orders
+        engine
+            .orders
             .iter()
             .all(|(order, _)| order.target == "assistant")
     );
-    assert_eq!(log.state.loaded[0].version.as_deref(), Some("v2"));
+    assert_eq!(engine.state.loaded[0].version.as_deref(), Some("v2"));
 }
 
-// The process is frozen between the decision to send an order and the sending, for longer than its
-// lease. When it goes on, its thread has the order in hand and nothing has told it of the lapse.
-// The thread looks at the clock before it connects, so the engine hears nothing.
+// The process is paused for longer than its lease, after it has decided to send an order and before a
+// call thread sends it. The thread must check the lease's end before it connects, so that the engine
+// does not get the order.
 #[test]
-fn an_order_in_hand_is_not_sent_after_the_lease_lapsed() {
+fn a_queued_order_is_not_sent_after_the_lease_expired() {
     let fleet = Fleet::new(false);
     let clock = SharedClock::default();
     let (inputs, answers) = sync_channel(1);
@@ -62,7 +63,7 @@
         order: SendOrder {
             endpoint: ENDPOINT.into(),
             number: 1,
-            order: to_booking(),
+            order: change_role_to_booking(),
             fencing: FencingNumber(1),
             not_after: Duration::from_secs(10),
         },
@@ -77,15 +78,15 @@
     assert!(fleet.engine.lock().orders.is_empty());
 }
 
-// The engine ignores fencing numbers, so its order waits until none of an earlier holder can be on
-// its way. All else is done when the holder is frozen for an hour. Another host takes the lease over
-// and completes the order. The first goes on, and the order in its hands is due: its clock tells it
-// that the lease has lapsed, so the engine hears of the order from the second host only.
+// The engine ignores fencing numbers, so an order waits until no order of an earlier holder can still
+// arrive. During this wait the holder is paused for an hour, and another host takes the lease over and
+// completes the order. When the first host resumes, its order is due, but it must find its lease expired
+// and not send the order.
 #[test]
-fn a_holder_frozen_past_its_lease_gives_no_order() {
+fn a_holder_paused_past_its_lease_sends_no_order() {
     let mut fleet = Fleet::new(false);
-    fleet.coordinators.lease.max_order_delay_ms = 9_000;
-    fleet.order(to_booking());
+    fleet.coordinator_settings.lease.max_order_delay_ms = 9_000;
+    fleet.write_order(change_role_to_booking());
     let first = fleet.start("host-1");
     first.run_until("the order is due next", || {
         let orders = first.status.read().orders;
@@ -101,13 +102,13 @@
         let lease = first.status.read().lease;
         lease.is_some_and(|lease| lease.fencing == 2)
     });
-    let obeyed = fleet.engine.obeyed();
-    assert!(!obeyed.is_empty());
-    assert!(obeyed.iter().all(|fencing| *fencing == 2));
+    let fencing_numbers = fleet.engine.obeyed_fencing();
+    assert!(!fencing_numbers.is_empty());
+    assert!(fencing_numbers.iter().all(|fencing| *fencing == 2));
 }
 
-// The table takes a renewal and its answer is lost. The holder reads its own record back and goes
-// on with the same fencing number; taken for lost, every open order would start anew.
+// The table commits a renewal, but its answer is lost. The holder must read its own record back and keep its
+// fencing number. If it took the lease for lost, every open order would start again.
 #[test]
 fn a_lost_answer_to_a_renewal_does_not_end_the_lease() {
     let fleet = Fleet::new(true);
@@ -122,12 +123,12 @@
     assert!(holder.status.read().holding);
 }
 
-// The holder writes the intent, and dies before the engine hears of it: here it stands still from
-// then on. The next holder finds the intent, gives the order once, and records the end.
+// The holder records an order as intended and crashes before it sends the order; here its clock stops.
+// The next holder must find the order, send it and record its end.
 #[test]
 fn the_next_holder_completes_an_order_that_was_only_intended() {
     let fleet = Fleet::new(true);
-    fleet.order(to_booking());
+    fleet.write_order(change_role_to_booking());
     let first = fleet.start("host-1");
     first.run_until("the first takes the order up", || {
         !first.status.read().orders.is_empty()
@@ -136,23 +137,24 @@
     second.run_until("the order is recorded", || {
         fleet.order_state() == Some(OrderState::Done)
     });
-    let obeyed = fleet.engine.obeyed();
-    assert!(!obeyed.is_empty());
-    assert!(obeyed.iter().all(|fencing| *fencing == 2));
+    let fencing_numbers = fleet.engine.obeyed_fencing();
+    assert!(!fencing_numbers.is_empty());
+    assert!(fencing_numbers.iter().all(|fencing| *fencing == 2));
 }
 
-// The engine ignores fencing numbers. An order of an earlier holder, which was on its way, arrives
-// after the new holder's and undoes it. The new holder waits until none can be on its way, reads
-// the engine's state, and gives its order again; without the reading it would record an end that
-// is not so.
+// The engine ignores fencing numbers. A delayed order of an earlier holder arrives after the order of the
+// new holder and reverts it. The new holder must wait until no earlier order can still arrive, read the
+// engine's state back and send its order again. Otherwise it would record an end that is not true.
 #[test]
 fn an_engine_that_ignores_fencing_ends_in_the_newest_holders_state() {
     let fleet = Fleet::new(false);
     let holder = fleet.start("host-1");
     holder.run_until_holding();
-    fleet.order(to_booking());
-    holder.run_until("the order arrives", || !fleet.engine.obeyed().is_empty());
-    fleet.engine.lock().obey(BorderOrder {
+    fleet.write_order(change_role_to_booking());
+    holder.run_until("the order arrives", || {
+        !fleet.engine.obeyed_fencing().is_empty()
+    });
+    fleet.engine.lock().apply(WireOrder {
         fencing: 0,
         kind: OrderKind::Role,
         target: "desk".into(),
@@ -161,20 +163,20 @@
     holder.run_until("the order is recorded", || {
         fleet.order_state() == Some(OrderState::Done)
     });
-    let log = fleet.engine.lock();
-    assert_eq!(log.state.role.as_deref(), Some("booking"));
-    assert!(log.orders.len() >= 2);
+    let engine = fleet.engine.lock();
+    assert_eq!(engine.state.role.as_deref(), Some("booking"));
+    assert!(engine.orders.len() >= 2);
 }
 
-// The holder is told to stop while an order is open. It gives the lease back, so the next holder
-// need not wait for the term; the intent stays in the table for it.
+// The holder is stopped while an order is open. It must release the lease, so that the next holder does not
+// wait for the end of the term. The order stays in the table as intended.
 #[test]
-fn a_stop_gives_the_lease_back_and_leaves_the_intent() {
+fn a_stop_releases_the_lease_and_leaves_the_order_intended() {
     let fleet = Fleet::new(true);
     let holder = fleet.start("host-1");
     holder.run_until_holding();
     fleet.engine.lock().running = 1;
-    fleet.order(to_booking());
+    fleet.write_order(change_role_to_booking());
     holder.run_until("the order is taken up", || {
         !holder.status.read().orders.is_empty()
     });
@@ -185,10 +187,10 @@
     assert!(fleet.engine.lock().orders.is_empty());
 }
 
-// The table is down when the holder is told to stop, so the lease cannot be given back. The process
-// ends all the same; the next holder waits for the term.
+// The table service is down when the holder is stopped, so the lease cannot be released. The process must
+// end nevertheless; the next holder waits for the end of the term.
 #[test]
-fn a_stop_without_the_table_ends_too() {
+fn a_stop_ends_without_the_table_service() {
     let fleet = Fleet::new(true);
     let holder = fleet.start("host-1");
     holder.run_until_holding();
--- a/crates/transport/tests/coordinator/support.rs
+++ b/crates/transport/tests/coordinator/support.rs
@@ -1,4 +1,4 @@
-//! Coordinators that run in threads of the test, on a clock that the test moves.
+//! Coordinators that run in threads of the test process, with a clock that the test advances.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
@@ -38,17 +38,17 @@
 use crate::engine::FakeEngine;
 use crate::table::FakeTable;
 
-/// Longest real time that a condition may take; only a failure comes near it.
-const PATIENCE: Duration = Duration::from_secs(30);
-/// Real time between two looks at a condition.
-const LOOK_INTERVAL: Duration = Duration::from_millis(5);
-/// How far the clock moves between two looks: slowly enough that a thread of a busy machine which
-/// gets no processor for a second does not miss a renewal.
-const STEP_MS: u64 = 20;
+/// Longest real time to wait for a condition; a passing test takes far less.
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
+/// Real time between two checks of a condition.
+const CHECK_INTERVAL: Duration = Duration::from_millis(5);
+/// Time by which the clock advances between two checks. It is short enough that a thread which gets no CPU time
+/// for a second on a busy machine does not miss a renewal.
+const CLOCK_STEP_MS: u64 = 20;
 
 pub const ENDPOINT: &str = "desk-1";
 
-/// A clock that the test moves; clones show the same time.
+/// A clock that the test advances; clones show the same time.
 #[derive(Debug, Clone, Default)]
 pub struct SharedClock {
     now_ms: Arc<AtomicU64>,
@@ -70,17 +70,17 @@
     serde_json::from_reader(request.as_reader()).unwrap()
 }
 
-/// One table, one engine, and the coordinators that give it orders.
+/// A table service, an engine, and the settings of the coordinators that send it orders.
 #[derive(Debug)]
 pub struct Fleet {
     pub table: FakeTable,
     pub engine: FakeEngine,
-    /// Times and limits of the coordinators that are started next.
-    pub coordinators: CoordinatorSettings,
+    /// Settings of the coordinators that are started next.
+    pub coordinator_settings: CoordinatorSettings,
     settings: Settings,
 }
 
-/// A coordinator that runs in a thread.
+/// A coordinator that runs in a thread of the test process.
 #[derive(Debug)]
 pub struct Process {
     pub clock: SharedClock,
@@ -119,12 +119,12 @@
         Self {
             table,
             engine,
-            coordinators: CoordinatorSettings::default(),
+            coordinator_settings: CoordinatorSettings::default(),
             settings,
         }
     }
 
-    /// Starts a coordinator of a host's first run.
+    /// Starts the coordinator of a host's first run.
     pub fn start(&self, host: &str) -> Process {
         let clock = SharedClock::default();
         let status = SharedStatus::default();
@@ -136,7 +136,7 @@
         let core = CoordinatorCore::new(
             clock.clone(),
             member,
-            self.coordinators.clone(),
+            self.coordinator_settings.clone(),
             Arc::new(Directory::new(self.settings.clone())),
             &inputs,
             status.clone(),
@@ -150,8 +150,8 @@
         }
     }
 
-    /// Writes an order as an operator does.
-    pub fn order(&self, order: EngineOrder) {
+    /// Writes an order to the table, as an operator does.
+    pub fn write_order(&self, order: EngineOrder) {
         let record = OrderRecord {
             endpoint: ENDPOINT.into(),
             number: 1,
@@ -174,13 +174,16 @@
 }
 
 impl Process {
-    /// Lets the clock run until a condition holds.
+    /// Advances the clock until a condition holds.
     pub fn run_until(&self, what: &str, mut condition: impl FnMut() -> bool) {
         let started = Instant::now();
         while !condition() {
-            assert!(started.elapsed() < PATIENCE, "never happened: {what}");
-            self.clock.advance(STEP_MS);
-            thread::sleep(LOOK_INTERVAL);
+            assert!(
+                started.elapsed() < TEST_TIMEOUT,
+                "did not happen within {TEST_TIMEOUT:?}: {what}"
+            );
+            self.clock.advance(CLOCK_STEP_MS);
+            thread::sleep(CHECK_INTERVAL);
         }
     }
 
--- a/crates/transport/tests/coordinator/table.rs
+++ b/crates/transport/tests/coordinator/table.rs
@@ -1,4 +1,4 @@
-//! A table service on loopback that misbehaves on order.
+//! A fake table service on loopback that can inject faults.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -18,14 +18,14 @@
 
 use crate::support::read_json;
 
-/// What the table does with writes to keys that begin with [`TableState::faulty_prefix`].
+/// Fault of the table in writes to keys that begin with [`TableState::faulty_prefix`].
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum TableFault {
     #[default]
     None,
-    /// Refuses them.
+    /// Refuses every write.
     Down,
-    /// Runs the next one and answers as no answer would be read.
+    /// Executes the next write but returns an error, as if its answer were lost.
     LoseNextAnswer,
 }
 
@@ -37,7 +37,7 @@
     rows: BTreeMap<String, Row>,
 }
 
-/// The table; clones share it.
+/// A fake table service; clones share the rows.
 #[derive(Debug, Clone)]
 pub struct FakeTable {
     pub address: SocketAddr,
--- a/crates/transport/tests/docs_events.rs
+++ b/crates/transport/tests/docs_events.rs
@@ -1,4 +1,4 @@
-//! The catalogue of log events lists what the code logs.
+//! docs/EVENTS.md lists the log events as they are declared in the code.
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -7,25 +7,29 @@
 use sedgeridge_transport::event_log::LogEvent;
 
 const PAGE: &str = "../../docs/EVENTS.md";
-const MARK: &str = "<!-- events:";
-/// Lines between the mark and the first row: the mark itself, the header and its rule.
+const TABLE_MARK: &str = "<!-- events:";
+/// Lines before the first row: the mark, the table's header and the line below it.
 const HEADING_LINES: usize = 3;
-/// Cells that are facts; the one after them is advice in words.
-const FACT_CELLS: usize = 3;
+/// Cells that are generated from the code; the cell after them is advice to operators.
+const DECLARED_CELLS: usize = 3;
 const CELLS: usize = 4;
 
-/// An operator looks a number up that an alarm names, and finds another event or none.
+/// Guards against a page on which an operator finds another event, or none, for the number in an alarm.
 #[test]
 fn the_catalogue_lists_every_event_as_declared() {
     let rows = rows_of_page();
-    let told: Vec<&[String]> = rows.iter().map(|row| &row[..FACT_CELLS]).collect();
-    let expected: Vec<[String; FACT_CELLS]> = LogEvent::ALL.iter().map(facts).collect();
-    assert_eq!(told, expected, "left: docs/EVENTS.md, right: LogEvent::ALL");
-    let advised = |row: &Vec<String>| row.len() == CELLS && !row[FACT_CELLS].is_empty();
-    assert!(rows.iter().all(advised), "an event without advice");
+    let listed: Vec<&[String]> = rows.iter().map(|row| &row[..DECLARED_CELLS]).collect();
+    let expected: Vec<[String; DECLARED_CELLS]> =
+        LogEvent::ALL.iter().map(declared_cells).collect();
+    assert_eq!(
+        listed, expected,
+        "left: docs/EVENTS.md, right: LogEvent::ALL"
+    );
+    let has_advice = |row: &Vec<String>| row.len() == CELLS && !row[DECLARED_CELLS].is_empty();
+    assert!(rows.iter().all(has_advice), "an event without advice");
 }
 
-/// Two events with one number are one event to whoever counts them.
+/// Events with the same number or name cannot be told apart in logs.
 #[test]
 fn numbers_and_names_of_events_are_distinct() {
     let numbers: BTreeSet<u16> = LogEvent::ALL.iter().map(|event| event.code()).collect();
@@ -34,7 +38,7 @@
     assert_eq!(names.len(), LogEvent::ALL.len());
 }
 
-fn facts(event: &LogEvent) -> [String; FACT_CELLS] {
+fn declared_cells(event: &LogEvent) -> [String; DECLARED_CELLS] {
     [
         format!("E{}", event.code()),
         format!("`{}`", event.label()),
@@ -45,7 +49,9 @@
 fn rows_of_page() -> Vec<Vec<String>> {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join(PAGE);
     let page = fs::read_to_string(path).expect("the page is part of the repository");
-    let table = page.lines().skip_while(|line| !line.starts_with(MARK));
+    let table = page
+        .lines()
+        .skip_while(|line| !line.starts_with(TABLE_MARK));
     let rows = table.skip(HEADING_LINES);
     rows.take_while(|line| line.starts_with('|'))
         .map(cells)
--- a/crates/transport/tests/docs_metrics.rs
+++ b/crates/transport/tests/docs_metrics.rs
@@ -1,4 +1,4 @@
-//! The page of metrics agrees with the code.
+//! docs/METRICS.md and the metric catalogue agree with the code.
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -8,28 +8,28 @@
 use sedgeridge_transport::metric_catalogue::METRICS;
 use sedgeridge_transport::metric_catalogue::metrics_page;
 
-fn crates() -> PathBuf {
+fn crates_directory() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("..")
 }
 
-fn committed(name: &str) -> String {
-    let path = crates().join("../docs").join(name);
+fn read_page(name: &str) -> String {
+    let path = crates_directory().join("../docs").join(name);
     fs::read_to_string(path).unwrap()
 }
 
 #[test]
-fn the_page_of_metrics_is_that_of_the_code() {
+fn the_metrics_page_is_generated_from_the_code() {
     let command = "cargo run -p sedgeridge-transport --example catalogue";
     assert!(
-        committed("METRICS.md") == metrics_page(),
+        read_page("METRICS.md") == metrics_page(),
         "docs/METRICS.md differs from `{command}`"
     );
 }
 
 #[test]
-fn every_metric_in_the_sources_is_in_the_catalogue_and_none_else() {
+fn the_catalogue_lists_exactly_the_metrics_in_the_sources() {
     let mut found = BTreeSet::new();
-    for entry in fs::read_dir(crates()).unwrap() {
+    for entry in fs::read_dir(crates_directory()).unwrap() {
         collect_metrics(&entry.unwrap().path().join("src"), &mut found);
     }
     let listed: BTreeSet<String> = METRICS.iter().map(|m| m.name.to_owned()).collect();
--- a/crates/transport/tests/held_bodies.rs
+++ b/crates/transport/tests/held_bodies.rs
@@ -1,4 +1,4 @@
-//! Memory of request bodies that a router holds while requests wait and run.
+//! Memory for the bodies of waiting and running requests in a router.
 
 mod support;
 
@@ -12,16 +12,16 @@
 use sedgeridge_transport::core::NewRequest;
 use support::KEY;
 use support::OTHER_KEY;
-use support::front_bench::CHAT;
-use support::front_bench::Connection;
-use support::front_bench::FrontBench;
-use support::front_bench::assert_refused;
-use support::front_bench::chat_request;
-use support::front_bench::count_of;
-use support::front_bench::wait_until;
+use support::test_front::CHAT;
+use support::test_front::Connection;
+use support::test_front::TestFront;
+use support::test_front::assert_refused;
+use support::test_front::chat_request;
+use support::test_front::counter_value;
+use support::test_front::wait_until;
 
 const BODY_BYTES: usize = 1_000_000;
-/// Together far more than the router may hold.
+/// Enough for bodies far beyond the router's limit.
 const CALLERS: usize = 60;
 
 fn long_chat(key: &str) -> String {
@@ -32,85 +32,85 @@
 
 fn refusals() -> u64 {
     let counts = ["queue_full", "account_queue_full"]
-        .map(|reason| count_of(&format!("sedgeridge_refusals_total{{reason=\"{reason}\"}}")));
+        .map(|reason| counter_value(&format!("sedgeridge_refusals_total{{reason=\"{reason}\"}}")));
     counts.iter().sum()
 }
 
-/// The tests count refusals of their common process, so they run one by one.
-fn alone() -> MutexGuard<'static, ()> {
-    static ALONE: Mutex<()> = Mutex::new(());
-    ALONE.lock().unwrap_or_else(PoisonError::into_inner)
+/// Serialises the tests, as they count refusals of their common process.
+fn run_exclusively() -> MutexGuard<'static, ()> {
+    static LOCK: Mutex<()> = Mutex::new(());
+    LOCK.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Sends a long request; `None` when it was refused.
-fn ask(bench: &FrontBench, caller: &mut Connection, key: &str) -> Option<NewRequest> {
+/// Sends a long request; returns `None` if it was refused.
+fn send_long_request(front: &TestFront, caller: &mut Connection, key: &str) -> Option<NewRequest> {
     let before = refusals();
     caller.send(&long_chat(key));
-    let mut arrived = None;
+    let mut accepted = None;
     wait_until("a request or a refusal", || {
-        match bench.core.try_recv() {
-            Ok(CoreInput::Arrived(new)) => arrived = Some(*new),
+        match front.core.try_recv() {
+            Ok(CoreInput::Arrived(new)) => accepted = Some(*new),
             Err(TryRecvError::Empty) => {}
             other => panic!("expected a request, found {other:?}"),
         }
-        arrived.is_some() || refusals() > before
+        accepted.is_some() || refusals() > before
     });
-    arrived
+    accepted
 }
 
-/// Sends long requests until one is refused; returns those that wait, and the refusal.
-fn fill(bench: &FrontBench, key: &str) -> (Vec<NewRequest>, String) {
+/// Sends long requests until one is refused; returns the accepted ones and the refusal.
+fn send_until_refused(front: &TestFront, key: &str) -> (Vec<NewRequest>, String) {
     let mut waiting = Vec::new();
     for _ in 0..CALLERS {
-        let mut caller = bench.connect();
-        let Some(new) = ask(bench, &mut caller, key) else {
+        let mut caller = front.connect();
+        let Some(new) = send_long_request(front, &mut caller, key) else {
             return (waiting, caller.read_until("\"outcome\":\"not-run\""));
         };
-        // The caller goes on waiting as long as its request does.
+        // Keeps the connection open, as a disconnect would end the request.
         std::mem::forget(caller);
         waiting.push(new);
     }
-    panic!("{} long requests wait", waiting.len());
+    panic!("all {} long requests were accepted", waiting.len());
 }
 
-// Callers of many accounts send long requests faster than endpoints take them, and lose all answers
-// when the router's process is ended for want of memory. Queues are bounded by the number of requests
-// only: with bodies of a megabyte, a queue that is far from full holds more than the process may have.
-// The request that finds no room is refused at once, not run, with a time to come back.
+// Callers of many accounts send long requests faster than endpoints take them. With queues bounded by the
+// number of requests only, bodies of a megabyte would use up the router's memory, and all callers would
+// lose their answers. A request beyond the limit must be refused at once with `Retry-After`.
 #[test]
-fn bodies_beyond_what_may_be_held_are_refused_with_a_time_to_come_back() {
-    let _alone = alone();
-    let bench = FrontBench::start(FrontSettings {
+fn bodies_beyond_the_router_limit_are_refused_with_retry_after() {
+    let _exclusive = run_exclusively();
+    let front = TestFront::start(FrontSettings {
         max_held_body_bytes: 3 << 20,
         max_held_body_bytes_per_account: 2 << 20,
         ..FrontSettings::default()
     });
-    let (first, _) = fill(&bench, KEY);
-    let (second, answer) = fill(&bench, OTHER_KEY);
+    let (first, _) = send_until_refused(&front, KEY);
+    let (second, answer) = send_until_refused(&front, OTHER_KEY);
     assert_eq!((first.len(), second.len()), (2, 1));
     assert_refused(&answer, 503, "queue_full");
     assert!(answer.contains("retry-after: 1\r\n"), "{answer}");
 
-    // A short request still finds room, and a long one does when others have ended.
-    let mut short = bench.connect();
+    // A short request still fits, and a long one fits after others have ended.
+    let mut short = front.connect();
     short.send(&chat_request(CHAT));
-    drop(bench.arrived());
+    drop(front.next_request());
     drop(first);
-    let mut again = bench.connect();
-    assert!(ask(&bench, &mut again, OTHER_KEY).is_some());
+    let mut again = front.connect();
+    assert!(send_long_request(&front, &mut again, OTHER_KEY).is_some());
 }
 
-// One account floods the router with long requests, and callers of all others are refused: memory for
-// bodies was given to whoever came first. The flood is refused beyond its part, as its own fault.
+// One account floods the router with long requests. Without a limit for each account, it would take all memory
+// for bodies, and requests of other accounts would be refused. The flood must be refused beyond its part, with
+// the account's own reason.
 #[test]
 fn one_account_cannot_take_all_memory_for_bodies() {
-    let _alone = alone();
-    let bench = FrontBench::start(FrontSettings::default());
-    let (waiting, answer) = fill(&bench, KEY);
+    let _exclusive = run_exclusively();
+    let front = TestFront::start(FrontSettings::default());
+    let (waiting, answer) = send_until_refused(&front, KEY);
     assert_refused(&answer, 429, "account_queue_full");
     assert!(answer.contains("retry-after: 1\r\n"), "{answer}");
-    let (mut other, mut again) = (bench.connect(), bench.connect());
-    assert!(ask(&bench, &mut other, OTHER_KEY).is_some());
+    let (mut other, mut again) = (front.connect(), front.connect());
+    assert!(send_long_request(&front, &mut other, OTHER_KEY).is_some());
     drop(waiting);
-    assert!(ask(&bench, &mut again, KEY).is_some());
+    assert!(send_long_request(&front, &mut again, KEY).is_some());
 }
--- a/crates/transport/tests/idle_links.rs
+++ b/crates/transport/tests/idle_links.rs
@@ -1,4 +1,4 @@
-//! Memory of links between routers that carry nothing.
+//! Memory of idle links between routers.
 
 mod support;
 
@@ -16,17 +16,18 @@
 use sedgeridge_transport::peers::PeerSockets;
 use sedgeridge_transport::peers::Peers;
 use sedgeridge_transport::peers::peer_channel;
-use support::front_bench::count_of;
-use support::front_bench::metrics;
 use support::resident::resident_bytes;
+use support::test_front::counter_value;
+use support::test_front::metrics;
 use tokio::runtime::Builder;
 use tokio::sync::mpsc;
 
 const LINKS: u64 = 160;
-const WARM_UP: u64 = 10;
+const WARM_UP_LINKS: u64 = 10;
 const MESSAGE_BYTES: usize = 4 << 20;
-/// Both ends are in the process of the test. The heap gives up to 16 MB back or not, 100 KB a link.
-const MOST_BYTES_PER_LINK: u64 = 256 << 10;
+/// Covers both ends, as both are in the test process. The heap may or may not return up to 16 MB to the system,
+/// which is 100 KB for each link.
+const MAX_BYTES_PER_LINK: u64 = 256 << 10;
 
 fn member(host: &str, incarnation: u64) -> Member {
     Member {
@@ -41,22 +42,22 @@
     drop(free);
     let sockets = PeerSockets::bind(address).expect("the port is still free");
     let (core, inputs) = sync_channel(16);
-    let (ring, outbox) = peer_channel();
+    let (sender, outbox) = peer_channel();
     let peers = Peers {
         member: member("router-1", 1),
         core,
     };
     thread::spawn(move || {
-        let _open = (ring, inputs);
+        let _open = (sender, inputs);
         thread::park();
     });
     thread::spawn(move || peers.run(sockets, outbox));
     address
 }
 
-/// Opens a link and sends one long message that means nothing; returns when it was read.
-async fn used_link(address: SocketAddr, incarnation: u64) -> mpsc::Sender<Bytes> {
-    let before = refused();
+/// Opens a link and sends one long malformed message; returns after it was received.
+async fn open_used_link(address: SocketAddr, incarnation: u64) -> mpsc::Sender<Bytes> {
+    let before = refused_messages();
     let (core, _inputs) = sync_channel(16);
     let (outbox, messages) = mpsc::channel(16);
     let link = PeerLink {
@@ -68,38 +69,37 @@
     tokio::spawn(link.run(messages));
     let long = Bytes::from(vec![0xff; MESSAGE_BYTES]);
     outbox.send(long).await.expect("the link runs");
-    while refused() == before {
+    while refused_messages() == before {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     outbox
 }
 
-fn refused() -> u64 {
-    count_of("sedgeridge_peer_drops_total{reason=\"malformed\"}")
+fn refused_messages() -> u64 {
+    counter_value("sedgeridge_peer_drops_total{reason=\"malformed\"}")
 }
 
-// A change of the whole configuration, or a new home, brings long messages over the links of all
-// routers. Each link keeps the room that its longest message took, at both ends, so that hundreds of
-// idle links add up to more than the process may have.
+// A new configuration or a change of homes sends long messages on the links of all routers. If each link kept
+// buffers for its longest message at both ends, hundreds of idle links would use up the process's memory.
 #[test]
-fn idle_links_do_not_keep_room_for_the_longest_message() {
+fn idle_links_do_not_keep_buffers_for_the_longest_message() {
     metrics();
     let address = start_peers();
     let runtime = Builder::new_current_thread().enable_all().build();
     runtime.expect("a runtime starts").block_on(async {
-        // What the process keeps of the messages themselves is there before.
-        for incarnation in 0..WARM_UP {
-            used_link(address, incarnation).await;
+        // The first links allocate the memory that the process keeps for the messages themselves.
+        for incarnation in 0..WARM_UP_LINKS {
+            open_used_link(address, incarnation).await;
         }
         let before = resident_bytes();
         let mut links = Vec::new();
-        for incarnation in WARM_UP..WARM_UP + LINKS {
-            links.push(used_link(address, incarnation).await);
+        for incarnation in WARM_UP_LINKS..WARM_UP_LINKS + LINKS {
+            links.push(open_used_link(address, incarnation).await);
         }
         let grown = resident_bytes().saturating_sub(before);
         let each = grown / LINKS;
         assert!(
-            each <= MOST_BYTES_PER_LINK,
+            each <= MAX_BYTES_PER_LINK,
             "{each} bytes for each idle link, both ends"
         );
     });
--- a/crates/transport/tests/operator_limits.rs
+++ b/crates/transport/tests/operator_limits.rs
@@ -1,4 +1,4 @@
-//! Operator pages under clients that stay silent, send without end or do not read.
+//! Operator pages with clients that stay silent, send without end or do not read.
 
 mod support;
 
@@ -17,19 +17,19 @@
 use sedgeridge_protocol::coordinator::CoordinatorStatus;
 use sedgeridge_transport::operator::serve_operator_pages;
 use sedgeridge_transport::status::SharedStatus;
-use support::front_bench::PATIENCE;
-use support::front_bench::metrics;
 use support::resident::resident_bytes;
+use support::test_front::TEST_TIMEOUT;
+use support::test_front::metrics;
 
 const MIB: u64 = 1 << 20;
 const CONNECTIONS: usize = 100;
-/// Threads that the test harness may start for the other tests meanwhile.
-const TEST_THREADS: usize = 4;
+/// Threads that the test harness may start for other tests in the meantime.
+const MAX_HARNESS_THREADS: usize = 4;
 
-/// The tests look at the memory and threads of their common process, so they run one by one.
-fn alone() -> MutexGuard<'static, ()> {
-    static ALONE: Mutex<()> = Mutex::new(());
-    ALONE.lock().unwrap_or_else(PoisonError::into_inner)
+/// Serialises the tests, as they measure the memory and threads of their common process.
+fn run_exclusively() -> MutexGuard<'static, ()> {
+    static LOCK: Mutex<()> = Mutex::new(());
+    LOCK.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 fn serve() -> SocketAddr {
@@ -40,12 +40,12 @@
 
 fn connect(address: SocketAddr) -> TcpStream {
     let stream = TcpStream::connect(address).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
-    stream.set_write_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
+    stream.set_write_timeout(Some(TEST_TIMEOUT)).unwrap();
     stream
 }
 
-fn answer(stream: &mut TcpStream) -> String {
+fn read_response(stream: &mut TcpStream) -> String {
     let mut text = String::new();
     let _ = stream.read_to_string(&mut text);
     text
@@ -58,37 +58,36 @@
         "GET {path} HTTP/1.1\r\nhost: desk\r\nconnection: close\r\n\r\n"
     )
     .unwrap();
-    answer(&mut stream)
+    read_response(&mut stream)
 }
 
-fn threads() -> usize {
+fn thread_count() -> usize {
     fs::read_dir("/proc/self/task").unwrap().count()
 }
 
-// A monitoring system opens a connection for each poll and loses them behind a router that went
-// down: none is ever closed. Each of them holds a thread and its memory, until the process is ended
-// for want of it and its callers lose their answers. Readiness must be told all the while, and the
-// silent connections must be closed.
+// A monitoring system opens a connection for each poll, and a network failure leaves them open. If each of
+// them occupied a thread and its memory, the process would run out of memory and callers would lose their
+// answers. Pages must still be served, and the silent connections must be closed.
 #[test]
 fn silent_connections_hold_no_thread_and_are_closed() {
-    let _alone = alone();
+    let _exclusive = run_exclusively();
     let address = serve();
     assert!(get(address, "/healthz").starts_with("HTTP/1.1 200"));
-    let before = threads();
+    let before = thread_count();
     let mut silent: Vec<_> = (0..CONNECTIONS).map(|_| connect(address)).collect();
     assert!(get(address, "/healthz").starts_with("HTTP/1.1 200"));
-    let more = threads().saturating_sub(before);
-    assert!(more <= TEST_THREADS, "{more} more threads");
+    let more = thread_count().saturating_sub(before);
+    assert!(more <= MAX_HARNESS_THREADS, "{more} more threads");
     for stream in &mut silent {
         let closed = stream.read(&mut [0]);
         assert!(closed.is_ok_and(|read| read == 0), "still open");
     }
 }
 
-// A client sends a header line that does not end. It is read into memory as long as it comes.
+// A client sends a header line without end. It must not be read into memory without a limit.
 #[test]
-fn a_head_without_end_is_not_held() {
-    let _alone = alone();
+fn a_head_without_end_is_not_buffered() {
+    let _exclusive = run_exclusively();
     let address = serve();
     let before = resident_bytes();
     let mut stream = connect(address);
@@ -106,11 +105,11 @@
     assert!(grown < 4 * MIB, "{grown} bytes more are resident");
 }
 
-// A client asks for the metrics and does not read the answer. Every other page waits behind it:
-// readiness is not told, and the host is taken for down.
+// A client requests the metrics and does not read the response. If other requests had to wait for it,
+// readiness checks would fail and the host would be taken for down.
 #[test]
-fn a_client_that_does_not_read_holds_nobody_up() {
-    let _alone = alone();
+fn a_client_that_does_not_read_blocks_no_other() {
+    let _exclusive = run_exclusively();
     let address = serve();
     for label in 0..20_000 {
         metrics::counter!("sedgeridge_refusals_total", "reason" => format!("{label:0>400}"))
@@ -124,11 +123,11 @@
     assert!(get(address, "/healthz").starts_with("HTTP/1.1 200"));
 }
 
-// Nobody reads the metrics of a process. The samples of its histograms are kept until somebody
-// does, so that its memory grows with each of them, for ever.
+// The metrics of a process are never read. If the samples of its histograms were kept until the next read,
+// memory use would grow with each sample.
 #[test]
-fn samples_are_summed_up_though_nobody_reads_them() {
-    let _alone = alone();
+fn samples_are_aggregated_even_if_never_read() {
+    let _exclusive = run_exclusively();
     serve();
     let before = resident_bytes();
     for _ in 0..6 {
--- a/crates/transport/tests/operator_pages.rs
+++ b/crates/transport/tests/operator_pages.rs
@@ -1,4 +1,4 @@
-//! Operator pages over loopback: readiness and requests to drain.
+//! Operator pages over loopback: readiness and drain requests.
 
 use std::net::SocketAddr;
 use std::sync::OnceLock;
@@ -14,7 +14,7 @@
 use sedgeridge_transport::status::SharedStatus;
 use ureq::Agent;
 
-const DESK: &str = r#"{"endpoint":"desk-1"}"#;
+const DRAIN_DESK: &str = r#"{"endpoint":"desk-1"}"#;
 
 fn metrics() -> PrometheusHandle {
     static HANDLE: OnceLock<PrometheusHandle> = OnceLock::new();
@@ -59,29 +59,29 @@
 fn a_drain_reaches_the_core() {
     let (drain, inputs) = sync_channel(1);
     let address = serve(&SharedStatus::default(), Some(drain));
-    assert_eq!(post(address, DRAIN_PATH, DESK), 202);
+    assert_eq!(post(address, DRAIN_PATH, DRAIN_DESK), 202);
     let CoreInput::DrainEndpoint { endpoint } = inputs.recv().unwrap() else {
         panic!("expected a drain");
     };
     assert_eq!(endpoint.as_str(), "desk-1");
 }
 
-// The router's core is so busy that its ring is full. The coordinator is told that the drain was
-// not taken, and goes on to another router; told otherwise it would count on a drain nobody heeds.
+// The channel to the router's core is full. The coordinator must be told that the drain was not accepted, so
+// that it tries another router. Otherwise it would rely on a drain that no router executes.
 #[test]
-fn a_drain_without_room_is_not_said_to_be_taken() {
+fn a_drain_that_finds_the_channel_full_is_not_accepted() {
     let (drain, _inputs) = sync_channel(1);
     let address = serve(&SharedStatus::default(), Some(drain));
-    assert_eq!(post(address, DRAIN_PATH, DESK), 202);
-    assert_eq!(post(address, DRAIN_PATH, DESK), 503);
+    assert_eq!(post(address, DRAIN_PATH, DRAIN_DESK), 202);
+    assert_eq!(post(address, DRAIN_PATH, DRAIN_DESK), 503);
 }
 
 #[test]
-fn what_is_no_drain_is_refused() {
+fn invalid_drain_requests_are_refused() {
     let (drain, _inputs) = sync_channel(1);
     let address = serve(&SharedStatus::default(), Some(drain));
     assert_eq!(post(address, DRAIN_PATH, "desk-1"), 400);
-    assert_eq!(post(address, "/operator/status", DESK), 404);
+    assert_eq!(post(address, "/operator/status", DRAIN_DESK), 404);
     let without = serve(&SharedStatus::default(), None);
-    assert_eq!(post(without, DRAIN_PATH, DESK), 404);
+    assert_eq!(post(without, DRAIN_PATH, DRAIN_DESK), 404);
 }
--- a/crates/transport/tests/peer_link.rs
+++ b/crates/transport/tests/peer_link.rs
@@ -1,4 +1,4 @@
-//! Links between routers whose connection goes silent.
+//! The outgoing link of a router: replacement of a silent connection, and long messages.
 
 use std::net::Ipv4Addr;
 use std::sync::mpsc::sync_channel;
@@ -17,9 +17,9 @@
 use tokio_tungstenite::WebSocketStream;
 use tokio_tungstenite::accept_async;
 
-/// Far longer than a silent link is kept, and shorter than the idle time of its other end.
-const PATIENCE: Duration = Duration::from_secs(8);
-const RING_LEN: usize = 16;
+/// Much longer than a silent connection is kept, and shorter than the silence timeout of its other end.
+const RECONNECT_TIMEOUT: Duration = Duration::from_secs(8);
+const CHANNEL_LEN: usize = 16;
 
 type Socket = WebSocketStream<TcpStream>;
 
@@ -28,15 +28,14 @@
     accept_async(stream).await.expect("a link shakes hands")
 }
 
-async fn heard(socket: &mut Socket) -> Vec<u8> {
+async fn receive(socket: &mut Socket) -> Vec<u8> {
     let message = socket.next().await.expect("the link is open");
     message.expect("the link works").into_data().to_vec()
 }
 
-// Callers at every router wait for the pools of one home, though the home and the network are well.
-// Something between two routers loses track of their open connection: bytes written to it go
-// nowhere and no error comes back. Reports to the home vanish in it, so the home grants nothing.
-// Pings without an answer show it, and what is sent on a new connection arrives.
+// A device between two routers loses its state of their open connection: written bytes are lost without an error.
+// Reports to a pool's home are lost too, so the home grants nothing and callers wait, although the home and the
+// network work. Unanswered pings must reveal this, and messages must arrive on a new connection.
 #[test]
 fn a_silent_connection_is_replaced() {
     let runtime = Builder::new_current_thread().enable_all().build();
@@ -44,8 +43,8 @@
     runtime.block_on(async {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await;
         let listener = listener.expect("a free port is there");
-        let (core, _inputs) = sync_channel(RING_LEN);
-        let (outbox, messages) = mpsc::channel(RING_LEN);
+        let (core, _inputs) = sync_channel(CHANNEL_LEN);
+        let (outbox, messages) = mpsc::channel(CHANNEL_LEN);
         let link = PeerLink {
             member: Member {
                 host: "router-1".into(),
@@ -61,14 +60,14 @@
             .await
             .expect("room");
         let mut first = accept(&listener).await;
-        heard(&mut first).await;
-        assert_eq!(heard(&mut first).await, b"before");
-        // From here on nobody reads the first connection, so no pong is sent, and it stays open.
+        receive(&mut first).await;
+        assert_eq!(receive(&mut first).await, b"before");
+        // From here on, the first connection stays open but is not read, so no pong is sent.
         outbox
             .send(Bytes::from_static(b"lost"))
             .await
             .expect("room");
-        let again = timeout(PATIENCE, async {
+        let reconnected = timeout(RECONNECT_TIMEOUT, async {
             let sender = outbox.clone();
             let reports = tokio::spawn(async move {
                 while sender.send(Bytes::from_static(b"after")).await.is_ok() {
@@ -76,20 +75,20 @@
                 }
             });
             let mut second = accept(&listener).await;
-            heard(&mut second).await;
-            let message = heard(&mut second).await;
+            receive(&mut second).await;
+            let message = receive(&mut second).await;
             reports.abort();
             message
         });
-        let message = again.await.expect("a new connection is made in time");
+        let message = reconnected.await.expect("a new connection is made in time");
         assert_eq!(message, b"after");
         drop(first);
         running.abort();
     });
 }
 
-// A whole configuration is longer than a frame. The link cuts it, and the other end must get it as one
-// message: half of it would be refused, again and again.
+// A full configuration is longer than a frame, so the link splits it. The other end must receive it as one
+// message, as it would refuse each part of it, again at every attempt.
 #[test]
 fn a_long_message_arrives_whole() {
     let runtime = Builder::new_current_thread().enable_all().build();
@@ -97,8 +96,8 @@
     runtime.block_on(async {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await;
         let listener = listener.expect("a free port is there");
-        let (core, _inputs) = sync_channel(RING_LEN);
-        let (outbox, messages) = mpsc::channel(RING_LEN);
+        let (core, _inputs) = sync_channel(CHANNEL_LEN);
+        let (outbox, messages) = mpsc::channel(CHANNEL_LEN);
         let link = PeerLink {
             member: Member {
                 host: "router-1".into(),
@@ -116,9 +115,12 @@
             .await
             .expect("room");
         let mut socket = accept(&listener).await;
-        heard(&mut socket).await;
-        assert!(heard(&mut socket).await == long, "another message came");
-        assert_eq!(heard(&mut socket).await, b"after");
+        receive(&mut socket).await;
+        assert!(
+            receive(&mut socket).await == long,
+            "the received message differs"
+        );
+        assert_eq!(receive(&mut socket).await, b"after");
         running.abort();
     });
 }
--- a/crates/transport/tests/read_limits.rs
+++ b/crates/transport/tests/read_limits.rs
@@ -1,4 +1,4 @@
-//! Answers of endpoints and of the platform that are longer than any true one.
+//! Answers of endpoints and of the platform that are longer than any valid one.
 
 mod support;
 
@@ -10,36 +10,35 @@
 use sedgeridge_state::ids::EndpointId;
 use sedgeridge_transport::host_list_reads::start_host_list_reads;
 use sedgeridge_transport::load_reads::LoadReads;
-use support::attempts::answer_of;
-use support::attempts::endpoint;
-use support::front_bench::PATIENCE;
+use support::attempts::http_response;
+use support::attempts::start_endpoint;
+use support::test_front::TEST_TIMEOUT;
 
 const MIB: usize = 1 << 20;
 const LOAD: &str = r#"{"running":1,"waiting":0,"slots":4,"age_ms":0,"leaving":false}"#;
 const HOSTS: &str = r#"{"hosts":[],"age_ms":0}"#;
 
-fn load_of(text: &str) -> Option<Load> {
-    let (inputs, ends) = sync_channel::<(EndpointId, Option<Load>)>(1);
+fn read_load(text: &str) -> Option<Load> {
+    let (inputs, results) = sync_channel::<(EndpointId, Option<Load>)>(1);
     let mut reads = LoadReads::start(&inputs, |endpoint, load| (endpoint, load)).expect("threads");
-    reads.start_read(&"desk-1".into(), endpoint(answer_of(text), || {}));
-    ends.recv_timeout(PATIENCE).expect("an end").1
+    reads.start_read(&"desk-1".into(), start_endpoint(http_response(text), || {}));
+    results.recv_timeout(TEST_TIMEOUT).expect("a result").1
 }
 
-// Endpoints of a broken release tell their load in megabytes of text. Their home holds as many of
-// them as it reads at a time, beside everything else. A report that long is no report.
+// Endpoints of a faulty release send load reports of megabytes. Their home would hold as many of them in memory as
+// it reads at a time. A report of this length must count as a failed read.
 #[test]
-fn a_load_report_of_megabytes_is_not_held() {
-    assert!(load_of(LOAD).is_some());
-    assert!(load_of(&format!("{LOAD}{}", " ".repeat(MIB))).is_none());
+fn a_load_report_of_megabytes_is_not_read() {
+    assert!(read_load(LOAD).is_some());
+    assert!(read_load(&format!("{LOAD}{}", " ".repeat(MIB))).is_none());
 }
 
-// The platform's list of hosts has grown out of all proportion. It is not taken, and what it said last
-// stays believed.
+// The platform's list of hosts is far too long. It must be ignored, so that the last valid list stays in use.
 #[test]
-fn a_list_of_hosts_of_megabytes_is_not_held() {
+fn a_list_of_hosts_of_megabytes_is_not_read() {
     let read = |text: &str| {
         let (inputs, lists) = sync_channel::<Vec<ListedHost>>(1);
-        let address = endpoint(answer_of(text), || {});
+        let address = start_endpoint(http_response(text), || {});
         let call_timeout = Duration::from_secs(1);
         start_host_list_reads(address, call_timeout, &inputs, |list| list).expect("a thread");
         lists.recv_timeout(Duration::from_secs(3)).is_ok()
--- a/crates/transport/tests/support/attempts.rs
+++ b/crates/transport/tests/support/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts against an endpoint of the test.
+//! Attempts against a test endpoint.
 
 use std::io::Read;
 use std::io::Write;
@@ -19,9 +19,12 @@
 use sedgeridge_transport::call::Call;
 use sedgeridge_transport::endpoint_call::AttemptSpec;
 
-/// Answers every request of every connection with the same bytes, after `before_answer`; an answer
-/// that says so is the last of its connection.
-pub fn endpoint(answer: String, before_answer: impl Fn() + Send + Sync + 'static) -> SocketAddr {
+/// Starts an endpoint that answers every request with the same bytes after it has called `before_answer`. It closes
+/// the connection after an answer with `connection: close`.
+pub fn start_endpoint(
+    answer: String,
+    before_answer: impl Fn() + Send + Sync + 'static,
+) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("a bound listener");
     let shared = Arc::new((answer, before_answer));
@@ -44,13 +47,13 @@
     address
 }
 
-/// Makes an answer that is whole.
-pub fn answer_of(text: &str) -> String {
+/// Returns a complete HTTP response with the text as its body.
+pub fn http_response(text: &str) -> String {
     let length = text.len();
     format!("HTTP/1.1 200 OK\r\ncontent-length: {length}\r\n\r\n{text}")
 }
 
-/// Reads a GET, or a request whose body ends with `}`; false when there is none.
+/// Reads a GET, or a request whose body ends with `}`; returns false if the connection ends.
 fn read_request(stream: &mut TcpStream) -> bool {
     let mut buffer = [0; 4_096];
     let mut is_get = false;
@@ -66,7 +69,7 @@
     }
 }
 
-pub fn order(
+pub fn attempt_spec(
     address: SocketAddr,
     form: AnswerForm,
     body: Bytes,
@@ -105,8 +108,8 @@
             AnswerPart::Chunk(chunk) => bytes += chunk.len(),
             AnswerPart::End => return bytes,
             AnswerPart::Head { .. } => {}
-            AnswerPart::Refusal(given_up) => panic!("given up: {given_up:?}"),
+            AnswerPart::Refusal(refusal) => panic!("unexpected refusal: {refusal:?}"),
         }
     }
-    panic!("no end after {bytes} bytes");
+    panic!("the answer has no end after {bytes} bytes");
 }
--- a/crates/transport/tests/support/mod.rs
+++ b/crates/transport/tests/support/mod.rs
@@ -1,9 +1,10 @@
-//! A small configuration: a model service, a plain one, one that may not be repeated, two accounts.
-#![allow(dead_code, reason = "each test file uses its own part")]
+//! Test configuration with two accounts and three services: a model service, a plain service, and a plain service
+//! that is not repeatable.
+#![allow(dead_code, reason = "each test file uses only some of the items")]
 
 pub mod attempts;
-pub mod front_bench;
 pub mod resident;
+pub mod test_front;
 
 use sedgeridge_state::settings::AccountSettings;
 use sedgeridge_state::settings::PoolKind;
@@ -13,11 +14,11 @@
 use sedgeridge_state::settings::Settings;
 use sedgeridge_transport::directory::key_sha256;
 
-/// The header value that account `crew-07` sends.
+/// `Authorization` header of account `crew-07`.
 pub const KEY: &str = "Bearer crew-key";
-/// The header value that account `crew-08` sends.
+/// `Authorization` header of account `crew-08`.
 pub const OTHER_KEY: &str = "Bearer other-key";
-/// The one host.
+/// Name of the router's host.
 pub const HOST: &str = "router-1";
 
 pub fn settings() -> Settings {
--- a/crates/transport/tests/support/front_bench.rs
+++ b/crates/transport/tests/support/test_front.rs
@@ -1,4 +1,4 @@
-//! A front on a loopback port whose core is the test.
+//! A front on a loopback port; the test acts as its core.
 
 use std::io::Read;
 use std::io::Write;
@@ -34,9 +34,9 @@
 use super::KEY;
 use super::settings;
 
-/// How long a test waits for something that must come.
-pub const PATIENCE: Duration = Duration::from_secs(20);
-/// A chat request of the one account.
+/// Longest time that a test waits for an expected event.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
+/// Body of a valid chat request.
 pub const CHAT: &str = r#"{"model":"desk","messages":[{"role":"user","content":"lens"}]}"#;
 
 /// The metrics of this test process.
@@ -45,8 +45,8 @@
     HANDLE.get_or_init(|| start_metrics().expect("one recorder"))
 }
 
-/// Reads a counter; 0 when it was never counted.
-pub fn count_of(name_and_labels: &str) -> u64 {
+/// Reads a counter; 0 if it was never incremented.
+pub fn counter_value(name_and_labels: &str) -> u64 {
     let text = metrics().render();
     let line = text
         .lines()
@@ -57,24 +57,24 @@
 /// Waits until a condition holds.
 #[track_caller]
 pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + TEST_TIMEOUT;
     while !holds() {
         assert!(
             Instant::now() < deadline,
-            "{what}: not within the patience of the test"
+            "{what}: not within {TEST_TIMEOUT:?}"
         );
         thread::sleep(Duration::from_millis(2));
     }
 }
 
-pub struct FrontBench {
+pub struct TestFront {
     pub address: SocketAddr,
     pub core: Receiver<CoreInput>,
     stop: watch::Sender<bool>,
-    front: Option<JoinHandle<std::io::Result<()>>>,
+    thread: Option<JoinHandle<std::io::Result<()>>>,
 }
 
-impl FrontBench {
+impl TestFront {
     pub fn start(limits: FrontSettings) -> Self {
         metrics();
         let held_bodies = HeldBodies::new(&limits);
@@ -97,49 +97,51 @@
         };
         let listener = bind(SocketAddr::from(([127, 0, 0, 1], 0))).expect("a free port");
         let address = listener.local_addr().expect("an address");
-        let front = thread::spawn(move || front.run(listener, stopped));
+        let thread = thread::spawn(move || front.run(listener, stopped));
         Self {
             address,
             core: inbox,
             stop,
-            front: Some(front),
+            thread: Some(thread),
         }
     }
 
     pub fn connect(&self) -> Connection {
         let stream = TcpStream::connect(self.address).expect("the front listens");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a timeout");
+        stream
+            .set_read_timeout(Some(TEST_TIMEOUT))
+            .expect("a timeout");
         Connection { stream }
     }
 
     /// Waits for the next request.
     #[track_caller]
-    pub fn arrived(&self) -> NewRequest {
-        match self.core.recv_timeout(PATIENCE) {
+    pub fn next_request(&self) -> NewRequest {
+        match self.core.recv_timeout(TEST_TIMEOUT) {
             Ok(CoreInput::Arrived(new)) => *new,
             other => panic!("expected a request, found {other:?}"),
         }
     }
 
-    /// Waits until the front says that a caller went away.
+    /// Waits until the front reports that a caller disconnected.
     #[track_caller]
-    pub fn caller_gone(&self) -> RequestKey {
-        match self.core.recv_timeout(PATIENCE) {
+    pub fn next_disconnect(&self) -> RequestKey {
+        match self.core.recv_timeout(TEST_TIMEOUT) {
             Ok(CoreInput::CallerGone { key }) => key,
-            other => panic!("expected a caller who went away, found {other:?}"),
+            other => panic!("expected a disconnected caller, found {other:?}"),
         }
     }
 
-    /// Tells the front that every request has its answer.
+    /// Tells the front to stop.
     pub fn stop(&self) {
         self.stop.send_replace(true);
     }
 
     /// Waits until the front has ended.
     pub fn wait_for_end(&mut self) {
-        let front = self.front.take().expect("waited for once");
-        wait_until("end of the front", || front.is_finished());
-        front.join().expect("no panic").expect("no error");
+        let thread = self.thread.take().expect("called once");
+        wait_until("end of the front", || thread.is_finished());
+        thread.join().expect("no panic").expect("no error");
     }
 }
 
@@ -150,7 +152,9 @@
 
 impl Connection {
     pub fn send(&mut self, text: &str) {
-        self.stream.write_all(text.as_bytes()).expect("room");
+        self.stream
+            .write_all(text.as_bytes())
+            .expect("a connection");
     }
 
     pub fn send_chat(&mut self) {
@@ -164,7 +168,7 @@
         String::from_utf8(text).expect("text")
     }
 
-    /// Reads until a text has come.
+    /// Reads until `end` was received.
     pub fn read_until(&mut self, end: &str) -> String {
         let mut text = Vec::new();
         while !String::from_utf8_lossy(&text).contains(end) {
@@ -186,7 +190,7 @@
     )
 }
 
-/// Begins an answer as an endpoint would.
+/// Returns the head of an endpoint's answer.
 pub fn head() -> AnswerPart {
     AnswerPart::Head {
         status: 200,
