--- a/crates/transport/src/core.rs
+++ b/crates/transport/src/core.rs
@@ -230,14 +230,14 @@
             let wake = self.node.next_wake().min(last_tick + MAX_TICK_INTERVAL);
             let wake = wake.max(last_tick + MIN_TICK_INTERVAL);
             match inputs.recv_timeout(wake.saturating_sub(self.clock.now())) {
-                Ok(input) => self.handle_input(input),
+                Ok(input) => self.on_input(input),
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return,
             }
             let now = self.clock.now();
             if now >= wake {
                 last_tick = now;
-                self.handle_event(NodeEvent::Tick);
+                self.on_event(NodeEvent::Tick);
             }
             if now >= next_publish {
                 next_publish = now + PUBLISH_INTERVAL;
@@ -261,7 +261,7 @@
         self.node.is_settled() || now >= answered_at + MAX_RECORD_WAIT
     }
 
-    fn handle_input(&mut self, input: CoreInput) {
+    fn on_input(&mut self, input: CoreInput) {
         match input {
             CoreInput::Arrived(new) => {
                 let NewRequest {
@@ -287,12 +287,12 @@
                     deadline: arrival.deadline,
                 };
                 self.pending.insert(arrival.key, pending);
-                self.handle_event(NodeEvent::Arrived { arrival, claim });
+                self.on_event(NodeEvent::Arrived { arrival, claim });
             }
             CoreInput::CallerGone { key } => {
                 if !self.running.values().any(|running| *running == key) {
                     self.pending.remove(&key);
-                    self.handle_event(NodeEvent::CallerGone { key });
+                    self.on_event(NodeEvent::CallerGone { key });
                 }
             }
             CoreInput::AttemptEnded {
@@ -303,26 +303,24 @@
                 self.workers.release(worker);
                 self.end_attempt(attempt, result);
             }
-            CoreInput::StoreEnded(event) => self.handle_event(NodeEvent::StoreEnded(event)),
-            CoreInput::ConfigRead(event) => self.handle_event(NodeEvent::ConfigRead(event)),
-            CoreInput::Peer { from, message } => {
-                self.handle_event(NodeEvent::Peer { from, message })
-            }
-            CoreInput::PeerReset { host } => self.handle_event(NodeEvent::PeerReset { host }),
-            CoreInput::Membership(message) => self.handle_event(NodeEvent::Membership(*message)),
+            CoreInput::StoreEnded(event) => self.on_event(NodeEvent::StoreEnded(event)),
+            CoreInput::ConfigRead(event) => self.on_event(NodeEvent::ConfigRead(event)),
+            CoreInput::Peer { from, message } => self.on_event(NodeEvent::Peer { from, message }),
+            CoreInput::PeerReset { host } => self.on_event(NodeEvent::PeerReset { host }),
+            CoreInput::Membership(message) => self.on_event(NodeEvent::Membership(*message)),
             CoreInput::Progress {
                 attempt,
                 charged_tokens,
-            } => self.handle_event(NodeEvent::Progress {
+            } => self.on_event(NodeEvent::Progress {
                 attempt,
                 charged_tokens,
             }),
             CoreInput::LoadRead { endpoint, load } => {
                 self.load_reads.read_ended(&endpoint);
-                self.handle_event(NodeEvent::LoadRead { endpoint, load });
+                self.on_event(NodeEvent::LoadRead { endpoint, load });
             }
-            CoreInput::HostList(hosts) => self.handle_event(NodeEvent::HostList(hosts)),
-            CoreInput::DrainEndpoint { endpoint } => self.handle_event(NodeEvent::DrainEndpoint {
+            CoreInput::HostList(hosts) => self.on_event(NodeEvent::HostList(hosts)),
+            CoreInput::DrainEndpoint { endpoint } => self.on_event(NodeEvent::DrainEndpoint {
                 endpoint,
                 since_unix_ms: unix_ms(),
             }),
@@ -332,7 +330,7 @@
                     LogEvent::StopRequested,
                     format_args!("in_hand={}", self.pending.len()),
                 );
-                self.handle_event(NodeEvent::StopRequested);
+                self.on_event(NodeEvent::StopRequested);
                 self.publish();
             }
         }
@@ -349,7 +347,7 @@
         ) {
             self.pending.remove(&key);
         }
-        self.handle_event(NodeEvent::AttemptEnded {
+        self.on_event(NodeEvent::AttemptEnded {
             key,
             attempt,
             end,
@@ -357,7 +355,7 @@
         });
     }
 
-    fn handle_event(&mut self, event: NodeEvent) {
+    fn on_event(&mut self, event: NodeEvent) {
         let mut actions = Vec::new();
         self.node.handle(self.clock.now(), event, &mut actions);
         for action in actions {
--- a/crates/transport/src/core/actions.rs
+++ b/crates/transport/src/core/actions.rs
@@ -51,7 +51,7 @@
             }
             NodeAction::Store(action) => {
                 if let Some(event) = self.table.call(action) {
-                    self.handle_event(NodeEvent::StoreEnded(event));
+                    self.on_event(NodeEvent::StoreEnded(event));
                 }
             }
             NodeAction::ReadConfig(read) => self.config_reads.read(read),
@@ -97,7 +97,7 @@
             }
             NodeAction::Outranked => {
                 log_warn(LogEvent::Outranked, "");
-                self.handle_input(CoreInput::Stop);
+                self.on_input(CoreInput::Stop);
             }
             NodeAction::Send { to, message } => self.send(to, &message),
         }
@@ -167,7 +167,7 @@
         counter!("sedgeridge_peer_sent_total", "kind" => message.kind()).increment(1);
         let payload = PeerPayload::Stream(encode(message));
         if !self.hand_to_peers(to.host.clone(), payload) {
-            self.handle_event(NodeEvent::PeerReset { host: to.host });
+            self.on_event(NodeEvent::PeerReset { host: to.host });
         }
     }
 
