--- a/crates/transport/src/answer_forwarding.rs
+++ b/crates/transport/src/answer_forwarding.rs
@@ -114,7 +114,7 @@
                     first_byte,
                 };
             }
-            EventResult::BrokeOff(failure) => return stream.failed(failure),
+            EventResult::Failed(failure) => return stream.failed(failure),
             EventResult::CallerGone => {
                 return AttemptEnd::CallerGone {
                     charged_tokens: stream.charged_tokens(),
@@ -177,7 +177,7 @@
 enum EventResult {
     Forwarded,
     Ended,
-    BrokeOff(AttemptFailure),
+    Failed(AttemptFailure),
     CallerGone,
 }
 
@@ -228,7 +228,7 @@
     fn forward_event(&mut self, reader: &mut impl BufRead) -> EventResult {
         let event = match read_event(reader) {
             Ok(event) => event,
-            Err(failure) => return EventResult::BrokeOff(failure),
+            Err(failure) => return EventResult::Failed(failure),
         };
         let ended = self.count_tokens(&event);
         let end = ended.then_some(AnswerPart::End);
--- a/crates/transport/src/answer_memory.rs
+++ b/crates/transport/src/answer_memory.rs
@@ -9,7 +9,7 @@
 
 use crate::answer::AnswerSender;
 use crate::byte_budget::ByteBudget;
-use crate::byte_budget::HeldBuffer;
+use crate::byte_budget::ReservedBuffer;
 
 /// Largest answer of those that are buffered as a whole.
 pub(crate) const MAX_WHOLE_ANSWER_BYTES: u64 = 16 << 20;
@@ -37,17 +37,24 @@
 
 impl WholeAnswerMemory<'_> {
     /// Waits for memory for an answer of the declared length, if its endpoint declared one.
-    pub(crate) fn buffer(&self, declared_bytes: Option<u64>) -> Result<HeldBuffer, AttemptFailure> {
+    pub(crate) fn buffer(
+        &self,
+        declared_bytes: Option<u64>,
+    ) -> Result<ReservedBuffer, AttemptFailure> {
         let declared_bytes = declared_bytes.unwrap_or_default();
         if declared_bytes > MAX_WHOLE_ANSWER_BYTES {
             return Err(AttemptFailure::ServerError);
         }
-        let reserve = || HeldBuffer::reserve(self.budget, declared_bytes);
+        let reserve = || ReservedBuffer::reserve(self.budget, declared_bytes);
         poll_until(self.deadline, reserve).ok_or(AttemptFailure::DeadlinePassed)
     }
 
     /// Appends a part to an answer, and waits for memory if the answer is longer than declared.
-    pub(crate) fn push(&self, buffer: &mut HeldBuffer, part: &[u8]) -> Result<(), AttemptFailure> {
+    pub(crate) fn push(
+        &self,
+        buffer: &mut ReservedBuffer,
+        part: &[u8],
+    ) -> Result<(), AttemptFailure> {
         let deadline = self.deadline.min(Instant::now() + MAX_GROWTH_WAIT);
         let pushed = poll_until(deadline, || buffer.push(part).then_some(()));
         let fits = buffer.len() as u64 <= MAX_WHOLE_ANSWER_BYTES;
--- a/crates/transport/src/byte_budget.rs
+++ b/crates/transport/src/byte_budget.rs
@@ -138,14 +138,14 @@
     ///
     /// let budget = ByteBudget::new(4);
     /// let held = budget.reserve(4).expect("room").bind(b"lens".to_vec());
-    /// let second_holder = held.clone();
+    /// let second_owner = held.clone();
     /// drop(held);
     /// assert!(budget.reserve(1).is_none());
-    /// drop(second_holder);
+    /// drop(second_owner);
     /// assert!(budget.reserve(1).is_some());
     /// ```
     pub fn bind(self, bytes: Vec<u8>) -> Bytes {
-        Bytes::from_owner(HeldBytes {
+        Bytes::from_owner(ReservedBytes {
             bytes,
             _reservation: self,
         })
@@ -162,22 +162,22 @@
 ///
 /// ```
 /// use sedgeridge_transport::byte_budget::ByteBudget;
-/// use sedgeridge_transport::byte_budget::HeldBuffer;
+/// use sedgeridge_transport::byte_budget::ReservedBuffer;
 ///
 /// let budget = ByteBudget::new(8);
-/// let mut buffer = HeldBuffer::reserve(&budget, 0).expect("nothing is needed yet");
+/// let mut buffer = ReservedBuffer::reserve(&budget, 0).expect("nothing is needed yet");
 /// assert!(buffer.push(b"lens "));
 /// assert!(!buffer.push(b"case"));
 /// assert!(buffer.push(b"es"));
 /// assert_eq!(&buffer.finish()[..], b"lens es");
 /// ```
 #[derive(Debug)]
-pub struct HeldBuffer {
+pub struct ReservedBuffer {
     bytes: Vec<u8>,
     reservation: Reservation,
 }
 
-impl HeldBuffer {
+impl ReservedBuffer {
     /// Creates a buffer with room for the expected bytes; `None` if the budget has fewer free.
     pub fn reserve(budget: &ByteBudget, expected_bytes: u64) -> Option<Self> {
         let reservation = budget.reserve(expected_bytes)?;
@@ -224,12 +224,12 @@
     }
 }
 
-struct HeldBytes {
+struct ReservedBytes {
     bytes: Vec<u8>,
     _reservation: Reservation,
 }
 
-impl AsRef<[u8]> for HeldBytes {
+impl AsRef<[u8]> for ReservedBytes {
     fn as_ref(&self) -> &[u8] {
         &self.bytes
     }
--- a/crates/transport/src/core.rs
+++ b/crates/transport/src/core.rs
@@ -165,7 +165,7 @@
     shared_directory: SharedDirectory,
     workers: EndpointWorkers,
     pending: BTreeMap<RequestKey, Pending>,
-    running: BTreeMap<AttemptKey, RequestKey>,
+    running_attempts: BTreeMap<AttemptKey, RequestKey>,
     peers: PeerSender,
     load_reads: LoadReads,
     table: TableCalls,
@@ -173,7 +173,7 @@
     publisher: RouterPublisher,
     ready: bool,
     stopping: bool,
-    answered_at: Option<Duration>,
+    all_answered_at: Option<Duration>,
 }
 
 impl<C: Clock> Core<C> {
@@ -211,14 +211,14 @@
             shared_directory,
             workers: EndpointWorkers::new(clients, inputs),
             pending: BTreeMap::new(),
-            running: BTreeMap::new(),
+            running_attempts: BTreeMap::new(),
             peers,
             load_reads,
             table,
             config_reads,
             publisher,
             stopping: false,
-            answered_at: None,
+            all_answered_at: None,
         })
     }
 
@@ -257,8 +257,8 @@
         if !self.stopping || !self.pending.is_empty() {
             return false;
         }
-        let answered_at = *self.answered_at.get_or_insert(now);
-        self.node.is_settled() || now >= answered_at + MAX_RECORD_WAIT
+        let all_answered_at = *self.all_answered_at.get_or_insert(now);
+        self.node.is_settled() || now >= all_answered_at + MAX_RECORD_WAIT
     }
 
     fn on_input(&mut self, input: CoreInput) {
@@ -290,7 +290,11 @@
                 self.on_event(NodeEvent::Arrived { arrival, claim });
             }
             CoreInput::CallerGone { key } => {
-                if !self.running.values().any(|running| *running == key) {
+                if !self
+                    .running_attempts
+                    .values()
+                    .any(|running| *running == key)
+                {
                     self.pending.remove(&key);
                     self.on_event(NodeEvent::CallerGone { key });
                 }
@@ -337,7 +341,7 @@
     }
 
     fn end_attempt(&mut self, attempt: AttemptKey, result: AttemptResult) {
-        let Some(key) = self.running.remove(&attempt) else {
+        let Some(key) = self.running_attempts.remove(&attempt) else {
             return;
         };
         let AttemptResult { end, recorded } = result;
--- a/crates/transport/src/core/actions.rs
+++ b/crates/transport/src/core/actions.rs
@@ -104,7 +104,7 @@
     }
 
     pub(super) fn start_attempt(&mut self, start: &StartAttempt) {
-        self.running.insert(start.attempt, start.key);
+        self.running_attempts.insert(start.attempt, start.key);
         let spec = self.attempt_spec(start);
         let started = spec.is_some_and(|spec| self.workers.start(spec).is_ok());
         if !started {
--- a/crates/transport/src/peer_inbound.rs
+++ b/crates/transport/src/peer_inbound.rs
@@ -19,7 +19,7 @@
 use crate::event_log::LogEvent;
 use crate::event_log::log_warn;
 use crate::peers::STREAM_OVERHEAD_BYTES;
-use crate::peers::count_bytes;
+use crate::peers::count_message;
 use crate::peers::websocket_config;
 
 /// Longest time for a peer to identify itself.
@@ -58,7 +58,7 @@
     loop {
         match timeout(SILENCE_TIMEOUT, socket.next()).await {
             Ok(Some(Ok(Message::Binary(bytes)))) => {
-                count_bytes("in", bytes.len() as u64, STREAM_OVERHEAD_BYTES);
+                count_message("in", bytes.len() as u64, STREAM_OVERHEAD_BYTES);
                 if !deliver(&bytes, &from, &core) {
                     return;
                 }
--- a/crates/transport/src/peer_link.rs
+++ b/crates/transport/src/peer_link.rs
@@ -26,7 +26,7 @@
 
 use crate::core::CoreInput;
 use crate::peers::STREAM_OVERHEAD_BYTES;
-use crate::peers::count_bytes;
+use crate::peers::count_message;
 use crate::peers::websocket_config;
 
 /// Longest time to set a connection up, or to send a message.
@@ -141,7 +141,7 @@
                 },
                 _ = checks.tick() => if pings.is_ping_due()? {
                     socket.send(Message::Ping(Bytes::new())).await.map_err(|_| LinkLost)?;
-                    count_bytes("out", 0, STREAM_OVERHEAD_BYTES);
+                    count_message("out", 0, STREAM_OVERHEAD_BYTES);
                 }
             }
         }
@@ -180,7 +180,7 @@
 struct LinkLost;
 
 async fn send(socket: &mut Socket, message: Bytes) -> Result<(), LinkLost> {
-    count_bytes("out", message.len() as u64, STREAM_OVERHEAD_BYTES);
+    count_message("out", message.len() as u64, STREAM_OVERHEAD_BYTES);
     let sent = timeout(LINK_IO_TIMEOUT, send_fragments(socket, message)).await;
     match sent {
         Ok(Ok(())) => Ok(()),
--- a/crates/transport/src/peers.rs
+++ b/crates/transport/src/peers.rs
@@ -196,7 +196,7 @@
 
 async fn send_datagram(socket: &UdpSocket, address: SocketAddr, bytes: &[u8]) {
     if socket.send_to(bytes, address).await.is_ok() {
-        count_bytes("out", bytes.len() as u64, DATAGRAM_OVERHEAD_BYTES);
+        count_message("out", bytes.len() as u64, DATAGRAM_OVERHEAD_BYTES);
     }
 }
 
@@ -205,7 +205,7 @@
     loop {
         match socket.recv_from(&mut buffer).await {
             Ok((len, _)) => {
-                count_bytes("in", len as u64, DATAGRAM_OVERHEAD_BYTES);
+                count_message("in", len as u64, DATAGRAM_OVERHEAD_BYTES);
                 handle_datagram(&buffer[..len], &core);
             }
             Err(error) => log_warn(LogEvent::DatagramFailed, format_args!("error={error:?}")),
@@ -228,7 +228,7 @@
 }
 
 /// Counts a message between routers: its payload, and an estimate of its bytes on the wire.
-pub fn count_bytes(direction: &'static str, payload_bytes: u64, overhead_bytes: u64) {
+pub fn count_message(direction: &'static str, payload_bytes: u64, overhead_bytes: u64) {
     counter!("sedgeridge_peer_messages_total", "direction" => direction).increment(1);
     counter!("sedgeridge_peer_bytes_total", "direction" => direction).increment(payload_bytes);
     counter!("sedgeridge_peer_wire_bytes_total", "direction" => direction)
--- a/crates/transport/src/request_body.rs
+++ b/crates/transport/src/request_body.rs
@@ -14,7 +14,7 @@
 use tokio::time::timeout;
 
 use crate::byte_budget::ByteBudget;
-use crate::byte_budget::HeldBuffer;
+use crate::byte_budget::ReservedBuffer;
 use crate::front_request::BadRequest;
 use crate::front_request::bad_request;
 
@@ -49,7 +49,7 @@
 ) -> Result<Bytes, BadRequest> {
     let declared_bytes = body.size_hint().lower().min(limits.max_body_bytes);
     let mut body = Limited::new(body, limits.max_body_bytes as usize);
-    let mut held = HeldBuffer::reserve(budget, declared_bytes);
+    let mut held = ReservedBuffer::reserve(budget, declared_bytes);
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|error| read_error(&*error, limits))?;
         if let Ok(data) = frame.into_data() {
@@ -60,7 +60,7 @@
             }
         }
     }
-    held.map(HeldBuffer::finish)
+    held.map(ReservedBuffer::finish)
         .ok_or_else(|| out_of_memory(declared_bytes, budget))
 }
 
