--- a/crates/transport/src/core.rs
+++ b/crates/transport/src/core.rs
@@ -258,7 +258,7 @@
             return false;
         }
         let all_answered_at = *self.all_answered_at.get_or_insert(now);
-        self.node.is_settled() || now >= all_answered_at + MAX_RECORD_WAIT
+        self.node.has_recorded_outcomes() || now >= all_answered_at + MAX_RECORD_WAIT
     }
 
     fn on_input(&mut self, input: CoreInput) {
@@ -287,7 +287,7 @@
                     deadline: arrival.deadline,
                 };
                 self.pending.insert(arrival.key, pending);
-                self.on_event(NodeEvent::Arrived { arrival, claim });
+                self.on_event(NodeEvent::RequestArrived { arrival, claim });
             }
             CoreInput::CallerGone { key } => {
                 if !self
@@ -307,11 +307,13 @@
                 self.workers.release(worker);
                 self.end_attempt(attempt, result);
             }
-            CoreInput::StoreEnded(event) => self.on_event(NodeEvent::StoreEnded(event)),
-            CoreInput::ConfigRead(event) => self.on_event(NodeEvent::ConfigRead(event)),
-            CoreInput::Peer { from, message } => self.on_event(NodeEvent::Peer { from, message }),
-            CoreInput::PeerReset { host } => self.on_event(NodeEvent::PeerReset { host }),
-            CoreInput::Membership(message) => self.on_event(NodeEvent::Membership(*message)),
+            CoreInput::StoreEnded(event) => self.on_event(NodeEvent::StoreCallEnded(event)),
+            CoreInput::ConfigRead(event) => self.on_event(NodeEvent::ConfigReadEnded(event)),
+            CoreInput::Peer { from, message } => {
+                self.on_event(NodeEvent::PeerMessage { from, message });
+            }
+            CoreInput::PeerReset { host } => self.on_event(NodeEvent::PeerMessagesLost { host }),
+            CoreInput::Membership(message) => self.on_event(NodeEvent::MembershipMessage(*message)),
             CoreInput::Progress {
                 attempt,
                 charged_tokens,
--- a/crates/transport/tests/broken_answers.rs
+++ b/crates/transport/tests/broken_answers.rs
@@ -150,7 +150,7 @@
 // without its end mark, and the caller would take the stream for complete. The next attempt must know that
 // the caller has the head, and send none.
 #[test]
-fn a_stream_that_failed_before_its_first_token_gets_no_second_head() {
+fn a_stream_that_broke_before_its_first_token_gets_no_second_head() {
     let broken = start_endpoint(STREAM_HEAD.to_owned(), false);
     let (result, parts) = run_attempt(broken, &AttemptOptions::default());
     assert_eq!(expect_failure(&result).1, 0);
@@ -171,7 +171,7 @@
 // The caller has two tokens when the endpoint fails. The next attempt must resume after them, as an endpoint that
 // starts from the beginning would repeat them.
 #[test]
-fn a_stream_is_resumed_only_after_the_tokens_that_the_caller_has() {
+fn a_stream_goes_on_only_where_the_caller_stands() {
     let two = format!("{STREAM_HEAD}{}{}", event("lens"), event("tripod"));
     let (result, _) = run_attempt(start_endpoint(two, false), &AttemptOptions::default());
     assert_eq!(expect_failure(&result).1, 2);
@@ -199,7 +199,7 @@
 // An endpoint answers with the id of another attempt. Its answer must not reach the caller, who would see the
 // answer to another account.
 #[test]
-fn an_answer_to_another_attempt_is_not_forwarded() {
+fn an_answer_to_another_attempt_reaches_nobody() {
     let crossed = STREAM_HEAD.replace(
         "connection: close",
         &format!("{}: router-1.1.8\r\nconnection: close", headers::ATTEMPT_ID),
@@ -212,7 +212,7 @@
 // An endpoint declares ten bytes and fails after four. The caller must not take an incomplete document for a
 // complete one.
 #[test]
-fn an_incomplete_document_is_not_forwarded() {
+fn a_document_that_broke_off_reaches_nobody() {
     let half = "HTTP/1.1 200 OK\r\ncontent-length: 10\r\n\r\n{\"a\"".to_owned();
     let options = AttemptOptions {
         form: AnswerForm::Plain,
@@ -230,7 +230,7 @@
 // A device on the way has dropped its state of the connection, so no further bytes arrive and no error either. The
 // attempt must end as silent after the idle timeout, so that another one can be made on a new connection.
 #[test]
-fn a_silent_stream_ends_after_the_idle_timeout() {
+fn a_silent_stream_ends_after_its_idle_time() {
     let silent = format!("{STREAM_HEAD}{}", event("lens"));
     let (result, parts) = run_attempt(start_endpoint(silent, true), &AttemptOptions::default());
     assert_eq!(expect_failure(&result), (AttemptFailure::Silent, 1, true));
@@ -250,7 +250,7 @@
 // The caller of a non-repeatable request disconnects before the answer is complete, and repeats the request with
 // the same key. The attempt must run to its end, and the record must contain the complete answer.
 #[test]
-fn a_non_repeatable_request_runs_to_its_end_without_its_caller() {
+fn a_request_that_may_not_be_repeated_runs_on_without_its_caller() {
     let whole = format!("{STREAM_HEAD}{}data: [DONE]\n\n", event("letter"));
     let options = AttemptOptions {
         repeatable: false,
--- a/crates/transport/tests/coordinator/main.rs
+++ b/crates/transport/tests/coordinator/main.rs
@@ -83,7 +83,7 @@
 // completes the order. When the first host resumes, its order is due, but it must find its lease expired
 // and not send the order.
 #[test]
-fn a_holder_paused_past_its_lease_sends_no_order() {
+fn a_holder_frozen_past_its_lease_gives_no_order() {
     let mut fleet = Fleet::new(false);
     fleet.coordinator_settings.lease.max_order_delay_ms = 9_000;
     fleet.write_order(change_role_to_booking());
@@ -190,7 +190,7 @@
 // The table service is down when the holder is stopped, so the lease cannot be released. The process must
 // end nevertheless; the next holder waits for the end of the term.
 #[test]
-fn a_stop_ends_without_the_table_service() {
+fn a_stop_without_the_table_ends_too() {
     let fleet = Fleet::new(true);
     let holder = fleet.start("host-1");
     holder.run_until_holding();
--- a/crates/transport/tests/front_limits.rs
+++ b/crates/transport/tests/front_limits.rs
@@ -165,7 +165,7 @@
 // its own attempt: another caller must be served. After the idle timeout its connection must be closed, so that
 // the endpoint's slot becomes free.
 #[test]
-fn a_caller_that_stops_reading_blocks_only_itself() {
+fn a_caller_that_stops_reading_holds_back_only_itself() {
     let front = TestFront::start(limits());
     let before = closed_count("not_reading");
     let mut silent = front.connect();
