--- a/crates/transport/src/core.rs
+++ b/crates/transport/src/core.rs
@@ -89,7 +89,7 @@
 #[derive(Debug)]
 pub enum CoreInput {
     /// A caller sent a request.
-    Arrived(Box<NewRequest>),
+    RequestArrived(Box<NewRequest>),
     /// The caller of a request disconnected before its answer began.
     CallerGone {
         /// The request.
@@ -107,11 +107,11 @@
         worker: WorkerId,
     },
     /// A call to the table service ended.
-    StoreEnded(StoreEvent),
+    StoreCallEnded(StoreEvent),
     /// A read of the configuration ended.
-    ConfigRead(ConfigEvent<ConfigContent>),
+    ConfigReadEnded(ConfigEvent<ConfigContent>),
     /// Another router sent a message.
-    Peer {
+    PeerMessage {
         /// The sender.
         from: Member,
         /// The message.
@@ -132,7 +132,7 @@
         charged_tokens: u64,
     },
     /// A read of an endpoint's load report ended.
-    LoadRead {
+    LoadReadEnded {
         /// The endpoint.
         endpoint: EndpointId,
         /// The report; `None` if it could not be read.
@@ -188,15 +188,15 @@
     ) -> io::Result<Self> {
         let directory = shared_directory.current();
         let clients = EndpointClients::new(&directory.settings.health);
-        let load_reads = LoadReads::start(&inputs, |endpoint, load| CoreInput::LoadRead {
+        let load_reads = LoadReads::start(&inputs, |endpoint, load| CoreInput::LoadReadEnded {
             endpoint,
             load,
         })?;
         let platform = &directory.settings.platform;
         let call_timeout = millis(platform.call_timeout_ms);
         let client = TableClient::new(platform.table_address, call_timeout);
-        let table = TableCalls::start(&client, CALL_THREADS, &inputs, CoreInput::StoreEnded)?;
-        let config_reads = ConfigReads::start(&client, &inputs, CoreInput::ConfigRead)?;
+        let table = TableCalls::start(&client, CALL_THREADS, &inputs, CoreInput::StoreCallEnded)?;
+        let config_reads = ConfigReads::start(&client, &inputs, CoreInput::ConfigReadEnded)?;
         if let Some(address) = platform.host_list_address {
             start_host_list_reads(address, call_timeout, &inputs, CoreInput::HostList)?;
         }
@@ -263,7 +263,7 @@
 
     fn on_input(&mut self, input: CoreInput) {
         match input {
-            CoreInput::Arrived(new) => {
+            CoreInput::RequestArrived(new) => {
                 let NewRequest {
                     arrival,
                     call,
@@ -307,9 +307,9 @@
                 self.workers.release(worker);
                 self.end_attempt(attempt, result);
             }
-            CoreInput::StoreEnded(event) => self.on_event(NodeEvent::StoreCallEnded(event)),
-            CoreInput::ConfigRead(event) => self.on_event(NodeEvent::ConfigReadEnded(event)),
-            CoreInput::Peer { from, message } => {
+            CoreInput::StoreCallEnded(event) => self.on_event(NodeEvent::StoreCallEnded(event)),
+            CoreInput::ConfigReadEnded(event) => self.on_event(NodeEvent::ConfigReadEnded(event)),
+            CoreInput::PeerMessage { from, message } => {
                 self.on_event(NodeEvent::PeerMessage { from, message });
             }
             CoreInput::PeerReset { host } => self.on_event(NodeEvent::PeerMessagesLost { host }),
@@ -321,7 +321,7 @@
                 attempt,
                 charged_tokens,
             }),
-            CoreInput::LoadRead { endpoint, load } => {
+            CoreInput::LoadReadEnded { endpoint, load } => {
                 self.load_reads.read_ended(&endpoint);
                 self.on_event(NodeEvent::LoadRead { endpoint, load });
             }
--- a/crates/transport/src/front.rs
+++ b/crates/transport/src/front.rs
@@ -215,7 +215,7 @@
         let now = self.clock.now();
         let parsed = parse_request(parts, body, caller, directory, key, now)?;
         let (sender, receiver) = mpsc::channel(ANSWER_CHANNEL_LEN);
-        let arrived = CoreInput::Arrived(Box::new(NewRequest {
+        let arrived = CoreInput::RequestArrived(Box::new(NewRequest {
             arrival: parsed.arrival,
             call: parsed.call,
             claim: parsed.claim,
--- a/crates/transport/src/peer_inbound.rs
+++ b/crates/transport/src/peer_inbound.rs
@@ -88,7 +88,7 @@
     match decode(bytes, from) {
         Ok(message) => {
             let from = from.clone();
-            core.send(CoreInput::Peer { from, message }).is_ok()
+            core.send(CoreInput::PeerMessage { from, message }).is_ok()
         }
         Err(error) => {
             report_refused_message(from.host.as_str(), &error);
--- a/crates/transport/tests/held_bodies.rs
+++ b/crates/transport/tests/held_bodies.rs
@@ -49,7 +49,7 @@
     let mut accepted = None;
     wait_until("a request or a refusal", || {
         match front.core.try_recv() {
-            Ok(CoreInput::Arrived(new)) => accepted = Some(*new),
+            Ok(CoreInput::RequestArrived(new)) => accepted = Some(*new),
             Err(TryRecvError::Empty) => {}
             other => panic!("expected a request, found {other:?}"),
         }
--- a/crates/transport/tests/support/test_front.rs
+++ b/crates/transport/tests/support/test_front.rs
@@ -118,7 +118,7 @@
     #[track_caller]
     pub fn next_request(&self) -> NewRequest {
         match self.core.recv_timeout(TEST_TIMEOUT) {
-            Ok(CoreInput::Arrived(new)) => *new,
+            Ok(CoreInput::RequestArrived(new)) => *new,
             other => panic!("expected a request, found {other:?}"),
         }
     }
