--- a/crates/coordination/src/attempt_results.rs
+++ b/crates/coordination/src/attempt_results.rs
@@ -20,12 +20,12 @@
     /// ejection says nothing about the endpoint's health after it.
     pub started_ago_ms: u32,
     /// Failures, each with the time since its attempt began.
-    pub failures: Vec<AttemptFailed>,
+    pub failures: Vec<ReportedFailure>,
 }
 
 /// A failed attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct AttemptFailed {
+pub struct ReportedFailure {
     /// How it failed.
     pub kind: FailureKind,
     /// Time since it began.
@@ -46,7 +46,7 @@
     answered: u32,
     first_byte_sum: Duration,
     started_ago: Duration,
-    failures: Vec<AttemptFailed>,
+    failures: Vec<ReportedFailure>,
 }
 
 impl AttemptResults {
@@ -70,7 +70,7 @@
     ) {
         let gathered = self.endpoints.entry(endpoint.clone()).or_default();
         if gathered.failures.len() < MAX_FAILURES {
-            gathered.failures.push(AttemptFailed {
+            gathered.failures.push(ReportedFailure {
                 kind,
                 started_ago_ms: millis_u32(started_ago),
             });
--- a/crates/coordination/src/coordinator.rs
+++ b/crates/coordination/src/coordinator.rs
@@ -20,6 +20,7 @@
 use crate::coordinator_input::Events;
 use crate::coordinator_input::configured;
 use crate::coordinator_input::route;
+use crate::endpoint_schedule::EndpointSchedule;
 use crate::lease::Lease;
 use crate::lease_events::HeldLease;
 use crate::lease_events::LeaseAction;
@@ -30,7 +31,6 @@
 use crate::order_events::OrderEvent;
 use crate::orders::OpenOrder;
 use crate::orders::Orders;
-use crate::repeats::Repeats;
 use crate::store_call::StoreAction;
 
 /// All decisions of one coordinator.
@@ -56,10 +56,10 @@
     lease: Lease,
     orders: Orders,
     sweep: ClaimSweep,
-    drains: Repeats,
+    drains: EndpointSchedule,
     /// The epoch that orders and sweep know of.
     epoch: Option<FencingNumber>,
-    followed: Repeats,
+    followed: EndpointSchedule,
     /// The accepted configuration, unless the files stay in force.
     config: Option<NodeConfig>,
 }
@@ -85,9 +85,9 @@
             lease: Lease::new(member, settings.lease.clone(), seed),
             orders,
             sweep: ClaimSweep::new(settings.sweep.clone(), started_unix_ms, sweep_seed),
-            drains: Repeats::default(),
+            drains: EndpointSchedule::default(),
             epoch: None,
-            followed: Repeats::default(),
+            followed: EndpointSchedule::default(),
             config,
             settings,
         }
@@ -269,7 +269,7 @@
     /// Routers believe a drain for a time only. A holder that dies in the middle of one thus takes
     /// no endpoint out of service for good, and no message is needed to end a drain.
     fn announce_drains(&mut self, now: Duration, actions: &mut Vec<CoordinatorAction>) {
-        self.drains.keep(now, self.orders.drained());
+        self.drains.sync_endpoints(now, self.orders.drained());
         let interval = millis(self.settings.drain_repeat_ms);
         for endpoint in self.drains.take_due(now, interval) {
             actions.push(CoordinatorAction::AnnounceDrain { endpoint });
@@ -281,7 +281,7 @@
     /// An endpoint that is no longer followed is forgotten: its last report would otherwise count
     /// as serving when the next order comes, hours later, and the pool could fall below its floor.
     fn follow_reports(&mut self, now: Duration, actions: &mut Vec<CoordinatorAction>) {
-        for endpoint in self.followed.keep(now, &self.orders.followed()) {
+        for endpoint in self.followed.sync_endpoints(now, &self.orders.followed()) {
             self.order_event(now, OrderEvent::EndpointUnknown { endpoint }, actions);
         }
         let interval = millis(self.settings.report_interval_ms);
--- a/crates/coordination/src/repeats.rs
+++ b/crates/coordination/src/endpoint_schedule.rs
@@ -8,13 +8,13 @@
 
 /// When each endpoint is due next.
 #[derive(Debug, Default)]
-pub(crate) struct Repeats {
+pub(crate) struct EndpointSchedule {
     due: BTreeMap<EndpointId, Duration>,
 }
 
-impl Repeats {
+impl EndpointSchedule {
     /// Takes the endpoints as they are now; new ones are due at once. Returns those that are gone.
-    pub(crate) fn keep(
+    pub(crate) fn sync_endpoints(
         &mut self,
         now: Duration,
         endpoints: &BTreeSet<EndpointId>,
--- a/crates/coordination/src/entry.rs
+++ b/crates/coordination/src/entry.rs
@@ -102,13 +102,13 @@
         match event {
             EntryEvent::Arrived(arrival) => self.arrived(now, arrival, actions),
             EntryEvent::Granted(grant) => self.granted(now, &grant, actions),
-            EntryEvent::FullReportWanted { pool } => self.pool(&pool).want_full(),
+            EntryEvent::FullReportWanted { pool } => self.pool(&pool).request_full_report(),
             EntryEvent::HomeResync { host } => {
                 let homed = self
                     .pools
                     .values_mut()
                     .filter(|pool| pool.is_homed_on(&host));
-                homed.for_each(EntryPool::want_full);
+                homed.for_each(EntryPool::request_full_report);
             }
             EntryEvent::HomeChanged { pool, home } => self.pool(&pool).set_home(home),
             EntryEvent::Progress {
@@ -133,7 +133,7 @@
     }
 
     /// Tells whether a request would be refused on arrival, so that nothing is claimed for it.
-    pub fn refusal_of(&mut self, now: Duration, arrival: &Arrival) -> Option<EntryAction> {
+    pub fn check_admission(&mut self, now: Duration, arrival: &Arrival) -> Option<EntryAction> {
         let refusal = self.admit(now, arrival).err()?;
         Some(give_up(arrival.key, refusal, Outcome::NotRun))
     }
@@ -146,7 +146,7 @@
     }
 
     /// Tells whether a request is in hand.
-    pub fn holds(&self, key: RequestKey) -> bool {
+    pub fn contains(&self, key: RequestKey) -> bool {
         self.requests.get(key).is_some()
     }
 
@@ -210,7 +210,7 @@
     }
 
     /// Counts all requests in hand.
-    pub fn in_hand(&self) -> usize {
+    pub fn request_count(&self) -> usize {
         self.requests.len()
     }
 
--- a/crates/coordination/src/entry_pool.rs
+++ b/crates/coordination/src/entry_pool.rs
@@ -132,7 +132,7 @@
     }
 
     /// Makes the next report a full one.
-    pub fn want_full(&mut self) {
+    pub fn request_full_report(&mut self) {
         self.full_wanted = true;
     }
 
--- a/crates/coordination/src/entry_record.rs
+++ b/crates/coordination/src/entry_record.rs
@@ -21,7 +21,7 @@
 
 /// A grant that has not ended.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Held {
+pub(crate) struct GrantRecord {
     pub(crate) account: usize,
     pub(crate) class: RequestClass,
     pub(crate) endpoint: usize,
@@ -39,15 +39,15 @@
     pub(crate) last_sequence: Option<u64>,
     pub(crate) last_full_at: Duration,
     /// When a full report was asked for that has not come.
-    pub(crate) asked_full_at: Option<Duration>,
+    pub(crate) full_report_requested_at: Option<Duration>,
     /// Whether its reports named what the configuration here does not know yet.
-    pub(crate) named_unknown: bool,
+    pub(crate) has_unknown_names: bool,
     pub(crate) grants_received: u64,
-    pub(crate) last_granted: u64,
+    pub(crate) last_grant_sequence: u64,
     /// Grants of this home by sequence.
-    pub(crate) own: BTreeMap<u64, Held>,
+    pub(crate) own_grants: BTreeMap<u64, GrantRecord>,
     /// Grants of earlier homes.
-    pub(crate) foreign: BTreeMap<GrantId, Held>,
+    pub(crate) foreign_grants: BTreeMap<GrantId, GrantRecord>,
 }
 
 impl EntryRecord {
@@ -57,46 +57,46 @@
             site,
             last_sequence: None,
             last_full_at: Duration::ZERO,
-            asked_full_at: None,
-            named_unknown: false,
+            full_report_requested_at: None,
+            has_unknown_names: false,
             grants_received: 0,
-            last_granted: 0,
-            own: BTreeMap::new(),
-            foreign: BTreeMap::new(),
+            last_grant_sequence: 0,
+            own_grants: BTreeMap::new(),
+            foreign_grants: BTreeMap::new(),
         }
     }
 
     /// Finds a grant that has not ended; `home` is the home that keeps this record.
-    pub(crate) fn held_mut(&mut self, home: &Member, id: &GrantId) -> Option<&mut Held> {
+    pub(crate) fn grant_mut(&mut self, home: &Member, id: &GrantId) -> Option<&mut GrantRecord> {
         if id.home == *home {
-            self.own.get_mut(&id.sequence)
+            self.own_grants.get_mut(&id.sequence)
         } else {
-            self.foreign.get_mut(id)
+            self.foreign_grants.get_mut(id)
         }
     }
 
-    pub(crate) fn insert(&mut self, home: &Member, id: &GrantId, held: Held) {
+    pub(crate) fn insert(&mut self, home: &Member, id: &GrantId, held: GrantRecord) {
         if id.home == *home {
-            self.own.insert(id.sequence, held);
+            self.own_grants.insert(id.sequence, held);
         } else {
-            self.foreign.insert(id.clone(), held);
+            self.foreign_grants.insert(id.clone(), held);
         }
     }
 
-    pub(crate) fn remove(&mut self, home: &Member, id: &GrantId) -> Option<Held> {
+    pub(crate) fn remove(&mut self, home: &Member, id: &GrantId) -> Option<GrantRecord> {
         if id.home == *home {
-            self.own.remove(&id.sequence)
+            self.own_grants.remove(&id.sequence)
         } else {
-            self.foreign.remove(id)
+            self.foreign_grants.remove(id)
         }
     }
 
     /// Returns the ids of all grants that have not ended, in a fixed order.
     pub(crate) fn grant_ids(&self, home: &Member) -> Vec<GrantId> {
-        let own = self.own.keys().map(|&sequence| GrantId {
+        let own = self.own_grants.keys().map(|&sequence| GrantId {
             home: home.clone(),
             sequence,
         });
-        own.chain(self.foreign.keys().cloned()).collect()
+        own.chain(self.foreign_grants.keys().cloned()).collect()
     }
 }
--- a/crates/coordination/src/entry_table.rs
+++ b/crates/coordination/src/entry_table.rs
@@ -10,15 +10,15 @@
 
 /// A report that is not taken.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct Refusal {
+pub(crate) struct ReportRejection {
     pub(crate) reason: RejectionReason,
     /// Whether a full report would help.
-    pub(crate) ask_full: bool,
+    pub(crate) needs_full_report: bool,
 }
 
 /// A report that may be taken.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Admission {
+pub(crate) enum ReportAdmission {
     /// From the run that is known at this index.
     Known(usize),
     /// From a later run of the host at this index.
@@ -85,41 +85,44 @@
     }
 
     /// Decides by sender and sequence whether a report is taken.
-    pub(crate) fn admit(&self, report: &EntryReport) -> Result<Admission, Refusal> {
+    pub(crate) fn admit(&self, report: &EntryReport) -> Result<ReportAdmission, ReportRejection> {
         let Some(router) = self.find(&report.from.host) else {
-            return Err(refusal(RejectionReason::NotAMember, !report.full));
+            return Err(rejection(RejectionReason::NotAMember, !report.full));
         };
         let record = self.record(router);
         let known = record.member.incarnation;
         if report.from.incarnation < known {
-            return Err(refusal(RejectionReason::OlderIncarnation, false));
+            return Err(rejection(RejectionReason::OlderIncarnation, false));
         }
         if report.from.incarnation > known {
             return match report.full {
-                true => Ok(Admission::Restarted(router)),
-                false => Err(refusal(RejectionReason::UnknownRun, true)),
+                true => Ok(ReportAdmission::Restarted(router)),
+                false => Err(rejection(RejectionReason::UnknownRun, true)),
             };
         }
-        check_sequence(record, report).map(|()| Admission::Known(router))
+        check_sequence(record, report).map(|()| ReportAdmission::Known(router))
     }
 }
 
-fn check_sequence(record: &EntryRecord, report: &EntryReport) -> Result<(), Refusal> {
+fn check_sequence(record: &EntryRecord, report: &EntryReport) -> Result<(), ReportRejection> {
     let Some(last) = record.last_sequence else {
         return match report.full {
             true => Ok(()),
-            false => Err(refusal(RejectionReason::UnknownRun, true)),
+            false => Err(rejection(RejectionReason::UnknownRun, true)),
         };
     };
     if report.sequence <= last {
-        return Err(refusal(RejectionReason::RepeatedSequence, false));
+        return Err(rejection(RejectionReason::RepeatedSequence, false));
     }
     if !report.full && report.sequence != last + 1 {
-        return Err(refusal(RejectionReason::SequenceGap, true));
+        return Err(rejection(RejectionReason::SequenceGap, true));
     }
     Ok(())
 }
 
-fn refusal(reason: RejectionReason, ask_full: bool) -> Refusal {
-    Refusal { reason, ask_full }
+fn rejection(reason: RejectionReason, needs_full_report: bool) -> ReportRejection {
+    ReportRejection {
+        reason,
+        needs_full_report,
+    }
 }
--- a/crates/coordination/src/grant_slots.rs
+++ b/crates/coordination/src/grant_slots.rs
@@ -6,8 +6,8 @@
 use sedgeridge_state::settings::millis;
 
 use crate::demand_table::DemandKey;
+use crate::entry_record::GrantRecord;
 use crate::entry_record::GrantStage;
-use crate::entry_record::Held;
 use crate::home_events::HomeAction;
 use crate::pool_home::Expiry;
 use crate::pool_home::MIN_CHARGE_TOKENS;
@@ -63,17 +63,17 @@
     ) -> HomeAction {
         let at = now + millis(self.settings.grant_timeout_ms);
         let record = self.entries.record_mut(key.router);
-        record.last_granted += 1;
-        let sequence = record.last_granted;
+        record.last_grant_sequence += 1;
+        let sequence = record.last_grant_sequence;
         self.highest_sequence = self.highest_sequence.max(sequence);
-        let held = Held {
+        let held = GrantRecord {
             account: key.account,
             class: key.class,
             endpoint,
             estimate_tokens,
             stage: GrantStage::Sent { expires_at: at },
         };
-        record.own.insert(sequence, held);
+        record.own_grants.insert(sequence, held);
         let to = record.member.clone();
         self.expiries.push_back(Expiry {
             at,
--- a/crates/coordination/src/node/requests.rs
+++ b/crates/coordination/src/node/requests.rs
@@ -28,7 +28,7 @@
             let event = EntryEvent::Arrived(arrival);
             return self.entry.handle(now, event, &mut out.entry);
         };
-        if let Some(refusal) = self.entry.refusal_of(now, &arrival) {
+        if let Some(refusal) = self.entry.check_admission(now, &arrival) {
             out.entry.push(refusal);
             return;
         }
@@ -47,7 +47,7 @@
             };
             let event = EntryEvent::CallerGone { key };
             self.entry.handle(now, event, &mut out.entry);
-            if !self.entry.holds(key) {
+            if !self.entry.contains(key) {
                 self.claims.finished(now, key, outcome, &mut steps);
             }
         }
@@ -63,7 +63,7 @@
         recorded: Option<RecordedAnswer>,
         out: &mut Outbox,
     ) {
-        if !self.claims.is_claimed(key) || self.entry.holds(key) {
+        if !self.claims.is_claimed(key) || self.entry.contains(key) {
             return;
         }
         let outcome = match (end, recorded) {
--- a/crates/coordination/src/pool_home.rs
+++ b/crates/coordination/src/pool_home.rs
@@ -224,7 +224,7 @@
     ) {
         self.slots.configure(endpoints);
         for router in self.entries.indices() {
-            if std::mem::take(&mut self.entries.record_mut(router).named_unknown) {
+            if std::mem::take(&mut self.entries.record_mut(router).has_unknown_names) {
                 self.ask_full(now, router, actions);
             }
         }
@@ -243,7 +243,7 @@
         for router in self.entries.indices() {
             let record = self.entries.record(router);
             let stale = now >= record.last_full_at + reconcile_interval(router);
-            if stale || record.asked_full_at.is_some() {
+            if stale || record.full_report_requested_at.is_some() {
                 self.ask_full(now, router, actions);
             }
         }
@@ -253,10 +253,13 @@
     pub(crate) fn ask_full(&mut self, now: Duration, router: usize, actions: &mut Vec<HomeAction>) {
         let patience = millis(self.settings.gather_timeout_ms);
         let record = self.entries.record_mut(router);
-        if record.asked_full_at.is_some_and(|at| now < at + patience) {
+        if record
+            .full_report_requested_at
+            .is_some_and(|at| now < at + patience)
+        {
             return;
         }
-        record.asked_full_at = Some(now);
+        record.full_report_requested_at = Some(now);
         let to = record.member.clone();
         actions.push(HomeAction::AskFull { to });
     }
--- a/crates/coordination/src/rendezvous.rs
+++ b/crates/coordination/src/rendezvous.rs
@@ -6,6 +6,8 @@
 use sedgeridge_state::ids::Member;
 use sedgeridge_state::ids::PoolId;
 
+use crate::random::mix;
+
 const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0100_0000_01b3;
 
@@ -14,7 +16,6 @@
 /// ```
 /// use sedgeridge_coordination::rendezvous::home_of;
 /// use sedgeridge_state::ids::{HostId, Incarnation, Member, PoolId};
-use crate::random::mix;
 ///
 /// let member = |host: &str| Member { host: HostId::from(host), incarnation: Incarnation(1) };
 /// let pool = PoolId::from("desk");
--- a/crates/coordination/src/report_apply.rs
+++ b/crates/coordination/src/report_apply.rs
@@ -7,9 +7,9 @@
 
 use crate::demand_table::DemandKey;
 use crate::demand_table::DemandReport;
+use crate::entry_record::GrantRecord;
 use crate::entry_record::GrantStage;
-use crate::entry_record::Held;
-use crate::entry_table::Admission;
+use crate::entry_table::ReportAdmission;
 use crate::home_counters::RejectionReason;
 use crate::pool_home::HomeAction;
 use crate::pool_home::MIN_CHARGE_TOKENS;
@@ -41,7 +41,7 @@
             Ok(admission) => admission,
             Err(refusal) => {
                 self.counters.reject(refusal.reason);
-                if refusal.ask_full {
+                if refusal.needs_full_report {
                     self.ask_full_from(now, &report.from, actions);
                 }
                 return;
@@ -52,8 +52,8 @@
             return self.counters.reject(reason);
         }
         let router = match admission {
-            Admission::Known(router) => router,
-            Admission::Restarted(router) => {
+            ReportAdmission::Known(router) => router,
+            ReportAdmission::Restarted(router) => {
                 self.remove_router(router);
                 self.add_router(&report.from)
             }
@@ -75,15 +75,15 @@
         &self,
         report: &EntryReport,
         served: &[ResolvedServed],
-        admission: Admission,
+        admission: ReportAdmission,
     ) -> Result<(), RejectionReason> {
         check_counters(report)?;
-        let Admission::Known(router) = admission else {
+        let ReportAdmission::Known(router) = admission else {
             return Ok(());
         };
         let record = self.entries.record(router);
         let known_run = record.last_sequence.is_some();
-        if known_run && report.grants_received > record.last_granted {
+        if known_run && report.grants_received > record.last_grant_sequence {
             return Err(RejectionReason::AbsurdCounter);
         }
         let ledger = self.accounts.ledger();
@@ -123,8 +123,8 @@
         record.last_sequence = Some(report.sequence);
         if report.full {
             record.last_full_at = now;
-            record.asked_full_at = None;
-            record.named_unknown = false;
+            record.full_report_requested_at = None;
+            record.has_unknown_names = false;
         }
         if first {
             self.start_grants(now, router, report);
@@ -169,7 +169,7 @@
         let received = own.fold(report.grants_received, u64::max);
         let clock_us = u64::try_from(now.as_micros()).unwrap_or(u64::MAX);
         let record = self.entries.record_mut(router);
-        record.last_granted = received.max(clock_us).max(self.highest_sequence);
+        record.last_grant_sequence = received.max(clock_us).max(self.highest_sequence);
         record.grants_received = received;
     }
 
@@ -180,7 +180,7 @@
         }
         let from = record.grants_received + 1;
         record.grants_received = grants_received;
-        let seen = record.own.range(from..=grants_received);
+        let seen = record.own_grants.range(from..=grants_received);
         let sequences: Vec<u64> = seen.map(|(sequence, _)| *sequence).collect();
         for sequence in sequences {
             self.acknowledge_one(router, sequence);
@@ -188,7 +188,12 @@
     }
 
     fn acknowledge_one(&mut self, router: usize, sequence: u64) {
-        let Some(held) = self.entries.record_mut(router).own.get_mut(&sequence) else {
+        let Some(held) = self
+            .entries
+            .record_mut(router)
+            .own_grants
+            .get_mut(&sequence)
+        else {
             return;
         };
         let stage = std::mem::replace(&mut held.stage, GrantStage::Acknowledged);
@@ -202,7 +207,7 @@
     }
 
     /// Counts a grant again that arrived after its slot was returned; it may run beside another.
-    fn occupy_again(&mut self, held: &Held) {
+    fn occupy_again(&mut self, held: &GrantRecord) {
         self.counters.late_grants += 1;
         self.slots.occupy(held.endpoint);
         self.accounts.charge(held.account, held.estimate_tokens);
@@ -217,7 +222,7 @@
         if sequence <= record.grants_received {
             return false;
         }
-        let Some(held) = record.own.get_mut(&sequence) else {
+        let Some(held) = record.own_grants.get_mut(&sequence) else {
             return false;
         };
         if held.stage != (GrantStage::Sent { expires_at: at }) {
@@ -239,7 +244,7 @@
     }
 
     /// Takes back what a grant occupied in `stage`.
-    fn free(&mut self, router: usize, held: &Held, stage: GrantStage) {
+    fn free(&mut self, router: usize, held: &GrantRecord, stage: GrantStage) {
         self.touched.push(held.account);
         if stage == GrantStage::TimedOut {
             return;
@@ -254,7 +259,7 @@
     fn hold(&mut self, router: usize, holding: &Holding) {
         let estimate_tokens = holding.estimate_tokens.max(MIN_CHARGE_TOKENS);
         let record = self.entries.record_mut(router);
-        if let Some(held) = record.held_mut(&self.member, &holding.grant) {
+        if let Some(held) = record.grant_mut(&self.member, &holding.grant) {
             let before_tokens = std::mem::replace(&mut held.estimate_tokens, estimate_tokens);
             let account = held.account;
             self.accounts.refund(account, before_tokens);
@@ -273,7 +278,7 @@
         let Some(endpoint) = self.slots.find(&holding.endpoint) else {
             return self.name_unknown(router, RejectionReason::UnknownEndpoint);
         };
-        let held = Held {
+        let held = GrantRecord {
             account,
             class: RequestClass::default(),
             endpoint,
@@ -292,7 +297,7 @@
     /// times, and refusing whole reports would stop all other work of a router meanwhile.
     fn name_unknown(&mut self, router: usize, reason: RejectionReason) {
         self.counters.reject(reason);
-        self.entries.record_mut(router).named_unknown = true;
+        self.entries.record_mut(router).has_unknown_names = true;
     }
 
     fn end_unlisted(&mut self, router: usize, report: &EntryReport) {
@@ -356,13 +361,13 @@
     pub(crate) fn drop_demand_of(&mut self, account: usize) {
         for key in self.demand.keys_of_account(account) {
             self.demand.report(key, DemandReport::default());
-            self.entries.record_mut(key.router).named_unknown = true;
+            self.entries.record_mut(key.router).has_unknown_names = true;
         }
         self.touched.push(account);
     }
 }
 
-fn key_of(router: usize, held: &Held) -> DemandKey {
+fn key_of(router: usize, held: &GrantRecord) -> DemandKey {
     DemandKey {
         account: held.account,
         class: held.class,
--- a/crates/coordination/tests/entry_pool_and_home.rs
+++ b/crates/coordination/tests/entry_pool_and_home.rs
@@ -91,7 +91,7 @@
     let mut entry = EntryPool::new(PoolId::from("desk"), Duration::ZERO);
     entry.set_home(Some(member("home")));
     for _ in 0..3 {
-        entry.want_full();
+        entry.request_full_report();
         exchange(&mut entry, &mut home);
     }
     entry.set_home(Some(member("other")));
--- a/crates/protocol/src/peer_report.rs
+++ b/crates/protocol/src/peer_report.rs
@@ -1,8 +1,8 @@
 //! Wire form of the reports that entry routers send to the home of a pool; part of
 //! [`crate::peer`].
 
-use sedgeridge_coordination::attempt_results::AttemptFailed;
 use sedgeridge_coordination::attempt_results::EndpointResult;
+use sedgeridge_coordination::attempt_results::ReportedFailure;
 use sedgeridge_coordination::breaker::FailureKind;
 use sedgeridge_coordination::pool_messages::Demand;
 use sedgeridge_coordination::pool_messages::EntryReport;
@@ -208,7 +208,7 @@
 
 pub(crate) fn result_from_wire(result: &WireResult) -> Result<EndpointResult, PeerCodecError> {
     let failures = result.failures.iter().map(|failure| {
-        Ok(AttemptFailed {
+        Ok(ReportedFailure {
             kind: failure_from_wire(failure.kind)?,
             started_ago_ms: failure.started_ago_ms,
         })
--- a/crates/protocol/tests/peer.rs
+++ b/crates/protocol/tests/peer.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use sedgeridge_coordination::attempt_results::AttemptFailed;
 use sedgeridge_coordination::attempt_results::EndpointResult;
+use sedgeridge_coordination::attempt_results::ReportedFailure;
 use sedgeridge_coordination::breaker::FailureKind;
 use sedgeridge_coordination::config_events::Generation;
 use sedgeridge_coordination::node::PeerMessage;
@@ -78,7 +78,7 @@
             answered: 2,
             first_byte_ms: 14,
             started_ago_ms: 900,
-            failures: vec![AttemptFailed {
+            failures: vec![ReportedFailure {
                 kind: FailureKind::Silent,
                 started_ago_ms: 5_000,
             }],
