--- a/crates/coordination/src/account_ceilings.rs
+++ b/crates/coordination/src/account_ceilings.rs
@@ -14,7 +14,7 @@
 use crate::refusal::RefusalReason;
 
 /// Millionths of a start: the unit of the rate budget.
-const MICRO_STARTS: u64 = 1_000_000;
+const MICRO_STARTS_PER_START: u64 = 1_000_000;
 
 /// A ceiling that an account has reached.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -38,7 +38,7 @@
         Self {
             max_in_progress: account.max_in_progress,
             max_requests_per_s: account.max_requests_per_s,
-            micro_starts: burst(account.max_requests_per_s),
+            micro_starts: burst_micro_starts(account.max_requests_per_s),
             refilled_at: now,
         }
     }
@@ -48,7 +48,7 @@
         let elapsed_us = now.saturating_sub(self.refilled_at).as_micros();
         let earned = elapsed_us * u128::from(self.max_requests_per_s);
         let earned = u64::try_from(earned).unwrap_or(u64::MAX);
-        let full = burst(self.max_requests_per_s);
+        let full = burst_micro_starts(self.max_requests_per_s);
         self.micro_starts = self.micro_starts.saturating_add(earned).min(full);
         self.refilled_at = self.refilled_at.max(now);
     }
@@ -64,10 +64,10 @@
             return Ok(());
         }
         self.refill(now);
-        if self.micro_starts >= MICRO_STARTS {
+        if self.micro_starts >= MICRO_STARTS_PER_START {
             return Ok(());
         }
-        let missing = MICRO_STARTS - self.micro_starts;
+        let missing = MICRO_STARTS_PER_START - self.micro_starts;
         let wait_us = missing.div_ceil(u64::from(self.max_requests_per_s));
         Err(CeilingReached {
             reason: RefusalReason::RateLimited,
@@ -77,8 +77,8 @@
 }
 
 /// Starts that may be saved up: those of one second.
-fn burst(max_requests_per_s: u32) -> u64 {
-    u64::from(max_requests_per_s) * MICRO_STARTS
+fn burst_micro_starts(max_requests_per_s: u32) -> u64 {
+    u64::from(max_requests_per_s) * MICRO_STARTS_PER_START
 }
 
 /// Ceilings of all client accounts that have one.
@@ -156,12 +156,12 @@
     /// use sedgeridge_coordination::account_ceilings::AccountCeilings;
     /// use sedgeridge_state::ids::AccountId;
     ///
-    /// AccountCeilings::default().started(Duration::ZERO, &AccountId::from("no-ceiling"));
+    /// AccountCeilings::default().record_start(Duration::ZERO, &AccountId::from("no-ceiling"));
     /// ```
-    pub fn started(&mut self, now: Duration, account: &AccountId) {
+    pub fn record_start(&mut self, now: Duration, account: &AccountId) {
         if let Some(ceiling) = self.ceilings.get_mut(account) {
             ceiling.refill(now);
-            ceiling.micro_starts = ceiling.micro_starts.saturating_sub(MICRO_STARTS);
+            ceiling.micro_starts = ceiling.micro_starts.saturating_sub(MICRO_STARTS_PER_START);
         }
     }
 }
--- a/crates/coordination/src/account_table.rs
+++ b/crates/coordination/src/account_table.rs
@@ -43,7 +43,7 @@
             self.set_weight(index, configured.weight);
             self.accounts[index].configured = true;
         }
-        self.rank();
+        self.update_ranks();
         was_configured
             .into_iter()
             .filter(|index| !self.accounts[*index].configured)
@@ -91,7 +91,7 @@
         self.accounts[index].weight = weight;
     }
 
-    fn rank(&mut self) {
+    fn update_ranks(&mut self) {
         self.order.clear();
         let mut by_rank: Vec<usize> = (0..self.accounts.len()).collect();
         let accounts = &self.accounts;
@@ -181,7 +181,7 @@
                 joined.push(index);
                 continue;
             }
-            self.list(index, backlogged.then(|| self.tag(index)));
+            self.set_listed_tag(index, backlogged.then(|| self.tag(index)));
         }
         let floor = self.order.floor();
         for index in joined {
@@ -189,11 +189,11 @@
             if tag < floor {
                 self.rebase(index, floor);
             }
-            self.list(index, Some(tag.max(floor)));
+            self.set_listed_tag(index, Some(tag.max(floor)));
         }
     }
 
-    fn list(&mut self, index: usize, tag: Option<Tag>) {
+    fn set_listed_tag(&mut self, index: usize, tag: Option<Tag>) {
         let account = &mut self.accounts[index];
         let listed = std::mem::replace(&mut account.listed_tag, tag);
         if listed == tag {
--- a/crates/coordination/src/attempt_results.rs
+++ b/crates/coordination/src/attempt_results.rs
@@ -1,4 +1,4 @@
-//! What attempts told about their endpoints, gathered for the home of the pool.
+//! What attempts told about their endpoints, tally for the home of the pool.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -38,11 +38,11 @@
 /// Results not yet reported.
 #[derive(Debug, Default)]
 pub(crate) struct AttemptResults {
-    endpoints: BTreeMap<EndpointId, Gathered>,
+    endpoints: BTreeMap<EndpointId, EndpointTally>,
 }
 
 #[derive(Debug, Default)]
-struct Gathered {
+struct EndpointTally {
     answered: u32,
     first_byte_sum: Duration,
     started_ago: Duration,
@@ -50,27 +50,27 @@
 }
 
 impl AttemptResults {
-    pub(crate) fn answered(
+    pub(crate) fn record_answer(
         &mut self,
         endpoint: &EndpointId,
         first_byte: Duration,
         started_ago: Duration,
     ) {
-        let gathered = self.endpoints.entry(endpoint.clone()).or_default();
-        gathered.answered += 1;
-        gathered.first_byte_sum += first_byte;
-        gathered.started_ago = gathered.started_ago.max(started_ago);
+        let tally = self.endpoints.entry(endpoint.clone()).or_default();
+        tally.answered += 1;
+        tally.first_byte_sum += first_byte;
+        tally.started_ago = tally.started_ago.max(started_ago);
     }
 
-    pub(crate) fn failed(
+    pub(crate) fn record_failure(
         &mut self,
         endpoint: &EndpointId,
         kind: FailureKind,
         started_ago: Duration,
     ) {
-        let gathered = self.endpoints.entry(endpoint.clone()).or_default();
-        if gathered.failures.len() < MAX_FAILURES {
-            gathered.failures.push(ReportedFailure {
+        let tally = self.endpoints.entry(endpoint.clone()).or_default();
+        if tally.failures.len() < MAX_FAILURES {
+            tally.failures.push(ReportedFailure {
                 kind,
                 started_ago_ms: millis_u32(started_ago),
             });
@@ -82,19 +82,21 @@
     }
 
     pub(crate) fn has_failures(&self) -> bool {
-        self.endpoints.values().any(|g| !g.failures.is_empty())
+        self.endpoints
+            .values()
+            .any(|tally| !tally.failures.is_empty())
     }
 
     pub(crate) fn take(&mut self) -> Vec<EndpointResult> {
-        let gathered = std::mem::take(&mut self.endpoints);
-        let results = gathered.into_iter().map(|(endpoint, gathered)| {
-            let first_byte = gathered.first_byte_sum / gathered.answered.max(1);
+        let endpoints = std::mem::take(&mut self.endpoints);
+        let results = endpoints.into_iter().map(|(endpoint, tally)| {
+            let first_byte = tally.first_byte_sum / tally.answered.max(1);
             EndpointResult {
                 endpoint,
-                answered: gathered.answered,
+                answered: tally.answered,
                 first_byte_ms: millis_u32(first_byte),
-                started_ago_ms: millis_u32(gathered.started_ago),
-                failures: gathered.failures,
+                started_ago_ms: millis_u32(tally.started_ago),
+                failures: tally.failures,
             }
         });
         results.collect()
--- a/crates/coordination/src/drain_rate.rs
+++ b/crates/coordination/src/drain_rate.rs
@@ -5,9 +5,9 @@
 /// Starts after which the measured gap is believed.
 const MIN_STARTS: u32 = 3;
 /// Least that the past keeps of its weight at each start.
-const LEAST_KEPT: f64 = 0.875;
+const MIN_KEPT_WEIGHT: f64 = 0.875;
 /// Time in which the past loses its weight when starts come fast.
-const MEMORY: Duration = Duration::from_secs(5);
+const DECAY_TIME: Duration = Duration::from_secs(5);
 /// Time without waiting requests after which the measurement is forgotten.
 const STALE_AFTER: Duration = Duration::from_secs(60);
 
@@ -21,11 +21,11 @@
 /// use sedgeridge_coordination::drain_rate::DrainRate;
 ///
 /// let mut rate = DrainRate::default();
-/// rate.queued(Duration::ZERO);
+/// rate.record_queued(Duration::ZERO);
 /// for second in 1..=10 {
-///     rate.started(Duration::from_secs(second), true);
+///     rate.record_started(Duration::from_secs(second), true);
 /// }
-/// assert_eq!(rate.gap(Duration::from_secs(10)), Some(Duration::from_secs(1)));
+/// assert_eq!(rate.expected_gap(Duration::from_secs(10)), Some(Duration::from_secs(1)));
 /// ```
 #[derive(Debug, Default)]
 pub struct DrainRate {
@@ -38,7 +38,7 @@
 
 impl DrainRate {
     /// Notes that a request joined the queue.
-    pub fn queued(&mut self, now: Duration) {
+    pub fn record_queued(&mut self, now: Duration) {
         if self.is_stale(now) {
             *self = Self::default();
         }
@@ -47,7 +47,7 @@
     }
 
     /// Notes that a request left the queue to run; `others_wait` tells whether more wait.
-    pub fn started(&mut self, now: Duration, others_wait: bool) {
+    pub fn record_started(&mut self, now: Duration, others_wait: bool) {
         let elapsed_s = self.elapsed_s(now);
         let kept = kept_weight(elapsed_s);
         self.starts = self.starts.saturating_add(1);
@@ -64,11 +64,11 @@
     /// use sedgeridge_coordination::drain_rate::DrainRate;
     ///
     /// let mut rate = DrainRate::default();
-    /// rate.queued(Duration::ZERO);
-    /// rate.emptied(Duration::from_secs(1));
+    /// rate.record_queued(Duration::ZERO);
+    /// rate.record_emptied(Duration::from_secs(1));
     /// assert!(rate.is_stale(Duration::from_secs(100)));
     /// ```
-    pub fn emptied(&mut self, now: Duration) {
+    pub fn record_emptied(&mut self, now: Duration) {
         self.waiting_since = None;
         self.changed_at = now;
     }
@@ -81,9 +81,9 @@
     /// use std::time::Duration;
     /// use sedgeridge_coordination::drain_rate::DrainRate;
     ///
-    /// assert_eq!(DrainRate::default().gap(Duration::ZERO), None);
+    /// assert_eq!(DrainRate::default().expected_gap(Duration::ZERO), None);
     /// ```
-    pub fn gap(&self, now: Duration) -> Option<Duration> {
+    pub fn expected_gap(&self, now: Duration) -> Option<Duration> {
         if self.starts < MIN_STARTS || self.is_stale(now) {
             return None;
         }
@@ -113,5 +113,7 @@
 }
 
 fn kept_weight(elapsed_s: f64) -> f64 {
-    (-elapsed_s / MEMORY.as_secs_f64()).exp().max(LEAST_KEPT)
+    (-elapsed_s / DECAY_TIME.as_secs_f64())
+        .exp()
+        .max(MIN_KEPT_WEIGHT)
 }
--- a/crates/coordination/src/entry.rs
+++ b/crates/coordination/src/entry.rs
@@ -22,7 +22,7 @@
 use crate::entry_events::GiveUp;
 use crate::entry_events::RequestKey;
 use crate::entry_pool::EntryPool;
-use crate::entry_pool::HeadFacts;
+use crate::entry_pool::LaneHead;
 use crate::entry_pool::Urgency;
 use crate::limits;
 use crate::limits::Admission;
@@ -30,17 +30,17 @@
 use crate::quarantine::Quarantine;
 use crate::refusal::Outcome;
 use crate::refusal::RefusalReason;
-use crate::request_table::Place;
 use crate::request_table::Request;
+use crate::request_table::RequestState;
 use crate::request_table::RequestTable;
 use crate::retry_budget::RetryBudgets;
 use crate::retry_budget::RetryDenial;
 use crate::retry_budget::RetryReason;
 
 /// Time after which a suspect of crashing endpoints asks again for its trial.
-const TRIAL_PAUSE: Duration = Duration::from_millis(100);
+const QUARANTINE_RETRY_DELAY: Duration = Duration::from_millis(100);
 /// Time between two clean-ups of measurements that nobody needs any more.
-const FORGET_INTERVAL: Duration = Duration::from_secs(10);
+const CLEANUP_INTERVAL: Duration = Duration::from_secs(10);
 
 /// Keeps the requests of one router's callers.
 #[derive(Debug)]
@@ -52,12 +52,12 @@
     pools: BTreeMap<PoolId, EntryPool>,
     admission: Admission,
     ceilings: AccountCeilings,
-    retries: RetryBudgets,
+    retry_budgets: RetryBudgets,
     quarantine: Quarantine,
     estimates: CostEstimates,
     waiting: u32,
     stopping: bool,
-    forgot_at: Duration,
+    last_cleanup_at: Duration,
 }
 
 impl Entry {
@@ -71,12 +71,12 @@
             pools: BTreeMap::new(),
             admission: Admission::new(settings.front.clone(), seed),
             ceilings: AccountCeilings::default(),
-            retries: RetryBudgets::new(settings.retry.clone(), seed.wrapping_add(1)),
+            retry_budgets: RetryBudgets::new(settings.retry.clone(), seed.wrapping_add(1)),
             quarantine: Quarantine::new(settings.health.clone()),
             estimates: CostEstimates::default(),
             waiting: 0,
             stopping: false,
-            forgot_at: Duration::ZERO,
+            last_cleanup_at: Duration::ZERO,
         };
         entry.configure(Duration::ZERO, settings);
         entry
@@ -91,17 +91,17 @@
         }
         self.admission.configure(settings.front.clone());
         self.ceilings.configure(now, &settings.accounts);
-        self.retries.configure(settings.retry.clone());
+        self.retry_budgets.configure(settings.retry.clone());
         let known: BTreeSet<&AccountId> = settings.accounts.iter().map(|a| &a.id).collect();
-        self.retries.retain_accounts(|id| known.contains(id));
+        self.retry_budgets.retain_accounts(|id| known.contains(id));
         self.quarantine.configure(settings.health.clone());
     }
 
     /// Takes one event and appends what is to be done.
     pub fn handle(&mut self, now: Duration, event: EntryEvent, actions: &mut Vec<EntryAction>) {
         match event {
-            EntryEvent::Arrived(arrival) => self.arrived(now, arrival, actions),
-            EntryEvent::Granted(grant) => self.granted(now, &grant, actions),
+            EntryEvent::Arrived(arrival) => self.on_arrival(now, arrival, actions),
+            EntryEvent::Granted(grant) => self.on_grant(now, &grant, actions),
             EntryEvent::FullReportWanted { pool } => self.pool(&pool).request_full_report(),
             EntryEvent::HomeResync { host } => {
                 let homed = self
@@ -114,11 +114,11 @@
             EntryEvent::Progress {
                 attempt,
                 charged_tokens,
-            } => self.progressed(attempt, charged_tokens),
+            } => self.on_progress(attempt, charged_tokens),
             EntryEvent::AttemptEnded { attempt, end } => {
-                self.attempt_ended(now, attempt, end, actions);
+                self.on_attempt_ended(now, attempt, end, actions);
             }
-            EntryEvent::CallerGone { key } => self.caller_gone(now, key),
+            EntryEvent::CallerGone { key } => self.on_caller_gone(now, key),
             EntryEvent::Poison(notice) => self.quarantine.on_notice(now, notice),
             EntryEvent::StopRequested => self.stop(now, actions),
             EntryEvent::Tick => self.tick(now, actions),
@@ -154,7 +154,7 @@
     /// news of what urgency at least, also decides whether results of attempts go along.
     pub fn report(
         &mut self,
-        least: Urgency,
+        min_urgency: Urgency,
         wanted: impl Fn(&Member, Urgency) -> bool,
         actions: &mut Vec<EntryAction>,
     ) {
@@ -167,12 +167,12 @@
             }
             let head = |key: RequestKey| {
                 let arrival = &requests.get(key)?.arrival;
-                Some(HeadFacts {
+                Some(LaneHead {
                     cost_tokens: estimates.estimate(&arrival.account, arrival.hint_tokens),
                     prefix: arrival.prefix,
                 })
             };
-            if let Some((to, report)) = pool.report(&self.member, least, head) {
+            if let Some((to, report)) = pool.report(&self.member, min_urgency, head) {
                 actions.push(EntryAction::Report { to, report });
             }
         }
@@ -191,12 +191,12 @@
     pub fn retry_counts(
         &self,
     ) -> impl Iterator<Item = (RetryReason, Option<RetryDenial>, u64)> + '_ {
-        self.retries.counts()
+        self.retry_budgets.counts()
     }
 
     /// Returns when a put-off request is to be queued again.
     pub fn next_wake(&self) -> Option<Duration> {
-        self.requests.next_due()
+        self.requests.next_due_at()
     }
 
     /// Counts the requests that wait.
@@ -220,13 +220,13 @@
             .or_insert_with(|| EntryPool::new(id.clone(), self.grant_span))
     }
 
-    fn arrived(&mut self, now: Duration, arrival: Arrival, actions: &mut Vec<EntryAction>) {
+    fn on_arrival(&mut self, now: Duration, arrival: Arrival, actions: &mut Vec<EntryAction>) {
         let key = arrival.key;
         if let Err(refusal) = self.admit(now, &arrival) {
             actions.push(give_up(key, refusal, Outcome::NotRun));
             return;
         }
-        self.ceilings.started(now, &arrival.account);
+        self.ceilings.record_start(now, &arrival.account);
         self.requests.insert(Request::new(arrival));
         self.enqueue(now, key, false);
     }
@@ -242,15 +242,15 @@
         if let Some(left) = self.quarantine.refused_for(now, arrival.fingerprint) {
             return refuse(&mut self.admission, RefusalReason::Quarantined, left);
         }
-        let in_progress = self.requests.in_progress(&arrival.account);
+        let in_progress = self.requests.in_progress_of_account(&arrival.account);
         if let Err(reached) = self.ceilings.check(now, &arrival.account, in_progress) {
             let earliest = reached.next_start_in.unwrap_or_default();
             return refuse(&mut self.admission, reached.reason, earliest);
         }
-        let waiting_of_account = self.waiting_of(&arrival.account);
+        let waiting_of_account = self.waiting_of_account(&arrival.account);
         let pool = self.pool(&arrival.pool);
-        let min_run = pool.least_run(&arrival.account);
-        let ahead = pool.ahead(&arrival.account, arrival.class);
+        let min_run_time = pool.min_run_time(&arrival.account);
+        let requests_ahead = pool.requests_ahead(&arrival.account, arrival.class);
         let backlogged_accounts = pool.backlogged_accounts_with(&arrival.account);
         self.admission.admit(
             now,
@@ -259,57 +259,57 @@
                 pool: &arrival.pool,
                 waiting: self.waiting,
                 waiting_of_account,
-                ahead,
+                requests_ahead,
                 backlogged_accounts,
                 deadline: arrival.deadline,
-                min_run,
+                min_run_time,
             },
         )
     }
 
-    fn waiting_of(&self, account: &AccountId) -> u32 {
+    fn waiting_of_account(&self, account: &AccountId) -> u32 {
         let pools = self.pools.values();
-        pools.map(|pool| pool.waiting_of(account)).sum()
+        pools.map(|pool| pool.waiting_of_account(account)).sum()
     }
 
-    fn enqueue(&mut self, now: Duration, key: RequestKey, first: bool) {
+    fn enqueue(&mut self, now: Duration, key: RequestKey, at_front: bool) {
         let Some(request) = self.requests.get_mut(key) else {
             return;
         };
-        request.place = Place::Queued;
+        request.state = RequestState::Queued;
         let lane = request.lane();
         let pool = request.arrival.pool.clone();
-        self.admission.queued(now, &pool, &lane.account);
+        self.admission.record_queued(now, &pool, &lane.account);
         self.waiting += 1;
-        self.pool(&pool).enqueue(lane, key, first);
+        self.pool(&pool).enqueue(lane, key, at_front);
     }
 
     /// Tells the measurement of the drain rate that a request left the queue without running.
-    fn note_left(&mut self, now: Duration, pool: &PoolId, account: &AccountId) {
+    fn record_left_queue(&mut self, now: Duration, pool: &PoolId, account: &AccountId) {
         let view = self.pool(pool);
         let waiting_of_pool = view.waiting();
-        let waiting_of_account = view.waiting_of(account);
+        let waiting_of_account = view.waiting_of_account(account);
         self.admission
-            .left(now, pool, account, waiting_of_pool, waiting_of_account);
+            .record_left(now, pool, account, waiting_of_pool, waiting_of_account);
     }
 
     /// Takes a request out of wherever it waits.
-    fn take_out(&mut self, now: Duration, key: RequestKey) -> Option<Request> {
+    fn remove(&mut self, now: Duration, key: RequestKey) -> Option<Request> {
         let request = self.requests.remove(key)?;
-        if request.place == Place::Queued {
+        if request.state == RequestState::Queued {
             let lane = request.lane();
             if self.pool(&request.arrival.pool).remove_waiting(&lane, key) {
                 self.waiting -= 1;
-                self.note_left(now, &request.arrival.pool, &lane.account);
+                self.record_left_queue(now, &request.arrival.pool, &lane.account);
             }
         }
         Some(request)
     }
 
-    fn caller_gone(&mut self, now: Duration, key: RequestKey) {
-        let waits = |request: &Request| request.place != Place::Running;
+    fn on_caller_gone(&mut self, now: Duration, key: RequestKey) {
+        let waits = |request: &Request| request.state != RequestState::Running;
         if self.requests.get(key).is_some_and(waits) {
-            self.take_out(now, key);
+            self.remove(now, key);
         }
     }
 
@@ -320,7 +320,7 @@
         reason: RefusalReason,
         actions: &mut Vec<EntryAction>,
     ) {
-        let Some(request) = self.take_out(now, key) else {
+        let Some(request) = self.remove(now, key) else {
             return;
         };
         let arrival = &request.arrival;
@@ -337,14 +337,14 @@
 
     fn tick(&mut self, now: Duration, actions: &mut Vec<EntryAction>) {
         self.quarantine.tick(now);
-        while let Some(key) = self.requests.overdue(now) {
+        while let Some(key) = self.requests.next_expired(now) {
             self.give_up(now, key, RefusalReason::DeadlinePassed, actions);
         }
         while let Some(key) = self.requests.take_due(now) {
             self.enqueue(now, key, true);
         }
-        if now >= self.forgot_at + FORGET_INTERVAL {
-            self.forgot_at = now;
+        if now >= self.last_cleanup_at + CLEANUP_INTERVAL {
+            self.last_cleanup_at = now;
             self.admission.forget_stale(now);
         }
     }
@@ -353,7 +353,7 @@
         self.stopping = true;
         // A request that was attempted before is in progress for its caller, who may hold part of
         // the answer: it still gets its next attempt.
-        for key in self.requests.untried() {
+        for key in self.requests.never_attempted() {
             self.give_up(now, key, RefusalReason::Draining, actions);
         }
     }
--- a/crates/coordination/src/entry/attempts.rs
+++ b/crates/coordination/src/entry/attempts.rs
@@ -6,7 +6,7 @@
 use sedgeridge_state::ids::PoolId;
 
 use crate::entry::Entry;
-use crate::entry::TRIAL_PAUSE;
+use crate::entry::QUARANTINE_RETRY_DELAY;
 use crate::entry::charge_of;
 use crate::entry_events::Arrival;
 use crate::entry_events::AttemptEnd;
@@ -20,36 +20,41 @@
 use crate::quarantine::Permit;
 use crate::refusal::RefusalReason;
 use crate::request_table::Attempt;
-use crate::request_table::Place;
+use crate::request_table::RequestState;
 use crate::retry_budget::FailedAttempt;
 use crate::retry_budget::RetryDecision;
 
 impl Entry {
-    pub(super) fn granted(&mut self, now: Duration, grant: &Grant, actions: &mut Vec<EntryAction>) {
+    pub(super) fn on_grant(
+        &mut self,
+        now: Duration,
+        grant: &Grant,
+        actions: &mut Vec<EntryAction>,
+    ) {
         if !self.pool(&grant.pool).accept(grant) {
             return;
         }
-        while let Some(key) = self.pool(&grant.pool).pop_for(grant) {
+        while let Some(key) = self.pool(&grant.pool).pop_for_grant(grant) {
             if self.may_start(now, key, actions) {
-                let cost_tokens = self.cost_of(key);
+                let cost_tokens = self.estimate_cost(key);
                 self.pool(&grant.pool).hold(now, grant, cost_tokens);
-                return self.start(now, key, &grant.id, &grant.endpoint, actions);
+                return self.start_attempt(now, key, &grant.id, &grant.endpoint, actions);
             }
         }
-        self.pool(&grant.pool).give_back(grant);
+        self.pool(&grant.pool).return_unused(grant);
     }
 
     /// Uses a grant again for the next request that it covers, or ends it.
-    fn go_on(
+    fn start_next_or_release(
         &mut self,
         now: Duration,
         pool: &PoolId,
         grant: &GrantId,
         actions: &mut Vec<EntryAction>,
     ) {
-        while let Some((key, endpoint)) = self.pool(pool).next_of_grant(now, grant) {
+        while let Some((key, endpoint)) = self.pool(pool).next_request_of(now, grant) {
             if self.may_start(now, key, actions) {
-                return self.start(now, key, grant, &endpoint, actions);
+                return self.start_attempt(now, key, grant, &endpoint, actions);
             }
         }
         self.pool(pool).release(now, grant);
@@ -71,8 +76,8 @@
         let account = request.arrival.account.clone();
         let fingerprint = request.arrival.fingerprint;
         if self.is_too_late(now, key) {
-            self.note_left(now, &pool, &account);
-            self.forget_place(key);
+            self.record_left_queue(now, &pool, &account);
+            self.mark_dequeued(key);
             self.give_up(now, key, RefusalReason::DeadlinePassed, actions);
             return false;
         }
@@ -80,11 +85,11 @@
         if permit == Permit::Start {
             return true;
         }
-        self.note_left(now, &pool, &account);
+        self.record_left_queue(now, &pool, &account);
         if permit == Permit::Wait {
-            self.requests.put_off(key, now + TRIAL_PAUSE);
+            self.requests.delay(key, now + QUARANTINE_RETRY_DELAY);
         } else {
-            self.forget_place(key);
+            self.mark_dequeued(key);
             self.give_up(now, key, RefusalReason::Quarantined, actions);
         }
         false
@@ -104,17 +109,17 @@
         let deadline = request.arrival.deadline;
         let account = request.arrival.account.clone();
         let pool = request.arrival.pool.clone();
-        now + self.pool(&pool).least_run(&account) > deadline
+        now + self.pool(&pool).min_run_time(&account) > deadline
     }
 
     /// Marks a request that is in no queue any more.
-    fn forget_place(&mut self, key: RequestKey) {
+    fn mark_dequeued(&mut self, key: RequestKey) {
         if let Some(request) = self.requests.get_mut(key) {
-            request.place = Place::Running;
+            request.state = RequestState::Running;
         }
     }
 
-    fn cost_of(&self, key: RequestKey) -> u64 {
+    fn estimate_cost(&self, key: RequestKey) -> u64 {
         self.requests.get(key).map_or(1, |request| {
             let arrival = &request.arrival;
             self.estimates
@@ -122,7 +127,7 @@
         })
     }
 
-    fn start(
+    fn start_attempt(
         &mut self,
         now: Duration,
         key: RequestKey,
@@ -136,7 +141,7 @@
             return;
         };
         request.attempts += 1;
-        request.place = Place::Running;
+        request.state = RequestState::Running;
         let account = request.arrival.account.clone();
         let pool = request.arrival.pool.clone();
         actions.push(EntryAction::Start(StartAttempt {
@@ -149,12 +154,12 @@
         }));
         let view = self.pool(&pool);
         let waiting_of_pool = view.waiting();
-        let waiting_of_account = view.waiting_of(&account);
+        let waiting_of_account = view.waiting_of_account(&account);
         self.admission
-            .started(now, &pool, &account, waiting_of_pool, waiting_of_account);
+            .record_started(now, &pool, &account, waiting_of_pool, waiting_of_account);
     }
 
-    pub(super) fn progressed(&mut self, attempt: AttemptKey, charged_tokens: u64) {
+    pub(super) fn on_progress(&mut self, attempt: AttemptKey, charged_tokens: u64) {
         let Some(Attempt { key, grant, .. }) = self.requests.attempt(attempt) else {
             return;
         };
@@ -166,7 +171,7 @@
         self.pool(&pool).raise_estimate(&grant, charged_tokens);
     }
 
-    pub(super) fn attempt_ended(
+    pub(super) fn on_attempt_ended(
         &mut self,
         now: Duration,
         attempt: AttemptKey,
@@ -185,7 +190,7 @@
             AttemptEnd::Finished { .. } => {
                 self.estimates
                     .learn(&arrival.account, arrival.hint_tokens, charge_of(end));
-                self.retries.on_success(now, &arrival.account);
+                self.retry_budgets.on_success(now, &arrival.account);
                 self.quarantine.finished(now, arrival.fingerprint);
                 self.requests.remove(ended.key);
             }
@@ -199,13 +204,13 @@
                 head_sent,
                 ..
             } => {
-                self.blame(now, &arrival, endpoint.as_ref(), failure);
+                self.record_failure_for_quarantine(now, &arrival, endpoint.as_ref(), failure);
                 if let Some(request) = self.requests.get_mut(ended.key) {
                     request.sent_tokens = request.sent_tokens.max(sent_tokens);
                     request.may_have_run |= failure.may_have_run();
                     request.head_sent |= head_sent;
                 }
-                self.after_failure(now, ended.key, failure, actions);
+                self.retry_or_give_up(now, ended.key, failure, actions);
             }
         }
     }
@@ -223,18 +228,18 @@
         let pool = self.pool(&arrival.pool);
         let endpoint = pool.settle(&ended.grant, &arrival.account, charge_of(end));
         if let Some(endpoint) = &endpoint {
-            pool.note_result(endpoint, ran, end);
+            pool.record_result(endpoint, ran, end);
         }
         if matches!(end, AttemptEnd::Finished { .. }) {
-            pool.learn_run_time(&arrival.account, ran);
-            self.go_on(now, &arrival.pool, &ended.grant, actions);
+            pool.record_run_time(&arrival.account, ran);
+            self.start_next_or_release(now, &arrival.pool, &ended.grant, actions);
         } else {
             pool.release(now, &ended.grant);
         }
         endpoint
     }
 
-    fn blame(
+    fn record_failure_for_quarantine(
         &mut self,
         now: Duration,
         arrival: &Arrival,
@@ -259,7 +264,7 @@
         }
     }
 
-    fn after_failure(
+    fn retry_or_give_up(
         &mut self,
         now: Duration,
         key: RequestKey,
@@ -274,7 +279,7 @@
         };
         // A request that may not be repeated and may have run is never sent again: the caller
         // would see its effect twice. One that certainly did not start may go to another endpoint.
-        let decision = self.retries.may_retry(
+        let decision = self.retry_budgets.decide_retry(
             now,
             FailedAttempt {
                 account: &request.arrival.account,
@@ -287,7 +292,7 @@
         match decision {
             RetryDecision::Retry { backoff } => {
                 actions.push(EntryAction::Retried { key, reason });
-                self.requests.put_off(key, now + backoff);
+                self.requests.delay(key, now + backoff);
             }
             RetryDecision::Denied(_) => {
                 let reason = match failure {
--- a/crates/coordination/src/entry_pool.rs
+++ b/crates/coordination/src/entry_pool.rs
@@ -27,11 +27,11 @@
 use crate::run_times::RunTimes;
 
 /// Classes in the order in which a grant is used.
-const CLASSES: [RequestClass; 2] = [RequestClass::Interactive, RequestClass::Deferred];
+const CLASSES_BY_PRIORITY: [RequestClass; 2] = [RequestClass::Interactive, RequestClass::Deferred];
 /// Most missing grants that are named one by one; after more, a full report says what is held.
 const MAX_MISSING_GRANTS: u64 = 256;
 /// Time in use from which on the end of a grant may be told late, as a small part of it.
-const LONG_GRANT: Duration = Duration::from_secs(2);
+const LONG_GRANT_DURATION: Duration = Duration::from_secs(2);
 /// Part of a cost by which it may be off without the home being told.
 const COST_TOLERANCE_DIVISOR: u64 = 8;
 
@@ -49,7 +49,7 @@
 
 /// What the home was last told of a lane, and the grants for it that came since.
 #[derive(Debug, Clone, Copy, Default)]
-struct Told {
+struct ReportedLane {
     waiting: u32,
     granted: u32,
     cost_tokens: u64,
@@ -57,7 +57,7 @@
 
 /// Cost and prefix of a waiting request.
 #[derive(Debug, Clone, Copy)]
-pub struct HeadFacts {
+pub struct LaneHead {
     /// What it is expected to cost.
     pub cost_tokens: u64,
     /// Prefix of its prompt.
@@ -70,21 +70,21 @@
     id: PoolId,
     home: Option<Member>,
     queue: EntryQueue,
-    held: HeldGrants,
-    served: BTreeMap<AccountId, u64>,
+    held_grants: HeldGrants,
+    served_tokens: BTreeMap<AccountId, u64>,
     run_times: RunTimes,
     grant_span: Duration,
     grants_received: u64,
-    sequence: u64,
-    full_wanted: bool,
-    urgent: bool,
-    contended: bool,
-    told: BTreeMap<Lane, Told>,
+    report_sequence: u64,
+    full_report_requested: bool,
+    has_urgent_changes: bool,
+    slots_contended: bool,
+    reported_lanes: BTreeMap<Lane, ReportedLane>,
     changed_lanes: BTreeSet<Lane>,
     changed_served: BTreeSet<AccountId>,
-    ended: Vec<GrantId>,
-    unacknowledged: bool,
-    results: AttemptResults,
+    ended_grants: Vec<GrantId>,
+    acknowledgement_due: bool,
+    attempt_results: AttemptResults,
 }
 
 impl EntryPool {
@@ -95,21 +95,21 @@
             id,
             home: None,
             queue: EntryQueue::default(),
-            held: HeldGrants::default(),
-            served: BTreeMap::new(),
+            held_grants: HeldGrants::default(),
+            served_tokens: BTreeMap::new(),
             run_times: RunTimes::default(),
             grant_span,
             grants_received: 0,
-            sequence: 0,
-            full_wanted: false,
-            urgent: false,
-            contended: false,
-            told: BTreeMap::new(),
+            report_sequence: 0,
+            full_report_requested: false,
+            has_urgent_changes: false,
+            slots_contended: false,
+            reported_lanes: BTreeMap::new(),
             changed_lanes: BTreeSet::new(),
             changed_served: BTreeSet::new(),
-            ended: Vec::new(),
-            unacknowledged: false,
-            results: AttemptResults::default(),
+            ended_grants: Vec::new(),
+            acknowledgement_due: false,
+            attempt_results: AttemptResults::default(),
         }
     }
 
@@ -127,13 +127,13 @@
         if self.home != home {
             self.home = home;
             self.grants_received = 0;
-            self.full_wanted = true;
+            self.full_report_requested = true;
         }
     }
 
     /// Makes the next report a full one.
     pub fn request_full_report(&mut self) {
-        self.full_wanted = true;
+        self.full_report_requested = true;
     }
 
     /// Tells whether the pool's home stands on a host.
@@ -147,8 +147,8 @@
     }
 
     /// Returns a time in which hardly a request of the account runs.
-    pub fn least_run(&self, account: &AccountId) -> Duration {
-        self.run_times.least(account)
+    pub fn min_run_time(&self, account: &AccountId) -> Duration {
+        self.run_times.min_run_time(account)
     }
 
     /// Counts all waiting requests.
@@ -157,8 +157,8 @@
     }
 
     /// Counts the waiting requests of an account that go before a new one of this class.
-    pub fn ahead(&self, account: &AccountId, class: RequestClass) -> u32 {
-        let before = CLASSES.iter().filter(|other| **other <= class);
+    pub fn requests_ahead(&self, account: &AccountId, class: RequestClass) -> u32 {
+        let before = CLASSES_BY_PRIORITY.iter().filter(|other| **other <= class);
         before
             .map(|other| self.queue.lane_len(&lane(account, *other)))
             .sum()
@@ -176,8 +176,8 @@
     }
 
     /// Counts the waiting requests of an account.
-    pub fn waiting_of(&self, account: &AccountId) -> u32 {
-        CLASSES
+    pub fn waiting_of_account(&self, account: &AccountId) -> u32 {
+        CLASSES_BY_PRIORITY
             .iter()
             .map(|class| self.queue.lane_len(&lane(account, *class)))
             .sum()
@@ -192,18 +192,18 @@
     pub(crate) fn account_views(&self) -> Vec<AccountView> {
         let mut views = BTreeMap::new();
         for lane in self.queue.lanes() {
-            self.view_of(&mut views, &lane.account).waiting += self.queue.lane_len(lane);
+            self.view_mut(&mut views, &lane.account).waiting += self.queue.lane_len(lane);
         }
-        for holding in self.held.holdings() {
-            self.view_of(&mut views, &holding.account).running += 1;
+        for holding in self.held_grants.holdings() {
+            self.view_mut(&mut views, &holding.account).running += 1;
         }
-        for (account, served_tokens) in &self.served {
-            self.view_of(&mut views, account).served_tokens = *served_tokens;
+        for (account, served_tokens) in &self.served_tokens {
+            self.view_mut(&mut views, account).served_tokens = *served_tokens;
         }
         views.into_values().collect()
     }
 
-    fn view_of<'a>(
+    fn view_mut<'a>(
         &self,
         views: &'a mut BTreeMap<AccountId, AccountView>,
         account: &AccountId,
@@ -224,28 +224,30 @@
         } else {
             self.queue.push_back(lane.clone(), key);
         }
-        self.lane_changed(lane);
+        self.mark_lane_changed(lane);
     }
 
     /// Takes a waiting request out.
     pub fn remove_waiting(&mut self, lane: &Lane, key: RequestKey) -> bool {
         let removed = self.queue.remove(lane, key);
         if removed {
-            self.lane_changed(lane.clone());
+            self.mark_lane_changed(lane.clone());
         }
         removed
     }
 
     /// Notes what an attempt told about its endpoint.
-    pub fn note_result(&mut self, endpoint: &EndpointId, started_ago: Duration, end: AttemptEnd) {
+    pub fn record_result(&mut self, endpoint: &EndpointId, started_ago: Duration, end: AttemptEnd) {
         match end {
             AttemptEnd::Finished { first_byte, .. } => {
-                self.results.answered(endpoint, first_byte, started_ago);
+                self.attempt_results
+                    .record_answer(endpoint, first_byte, started_ago);
             }
             AttemptEnd::Failed { failure, .. } => {
                 if let Some(kind) = failure.endpoint_failure() {
-                    self.results.failed(endpoint, kind, started_ago);
-                    self.urgent = true;
+                    self.attempt_results
+                        .record_failure(endpoint, kind, started_ago);
+                    self.has_urgent_changes = true;
                 }
             }
             AttemptEnd::CallerGone { .. } => {}
@@ -253,7 +255,7 @@
     }
 
     /// Learns how long a request of an account ran.
-    pub fn learn_run_time(&mut self, account: &AccountId, run: Duration) {
+    pub fn record_run_time(&mut self, account: &AccountId, run: Duration) {
         self.run_times.learn(account, run);
     }
 }
--- a/crates/coordination/src/entry_pool/grants.rs
+++ b/crates/coordination/src/entry_pool/grants.rs
@@ -7,10 +7,10 @@
 use sedgeridge_state::settings::RequestClass;
 
 use crate::entry_events::RequestKey;
-use crate::entry_pool::CLASSES;
+use crate::entry_pool::CLASSES_BY_PRIORITY;
 use crate::entry_pool::COST_TOLERANCE_DIVISOR;
 use crate::entry_pool::EntryPool;
-use crate::entry_pool::LONG_GRANT;
+use crate::entry_pool::LONG_GRANT_DURATION;
 use crate::entry_pool::MAX_MISSING_GRANTS;
 use crate::entry_pool::lane;
 use crate::held_grants::HeldGrant;
@@ -29,12 +29,12 @@
         if grant.id.sequence <= self.grants_received {
             return false;
         }
-        self.give_back_missing(grant);
+        self.return_missing(grant);
         self.grants_received = grant.id.sequence;
-        self.unacknowledged = true;
-        self.contended = grant.contended;
+        self.acknowledgement_due = true;
+        self.slots_contended = grant.contended;
         let lane = lane(&grant.account, grant.class);
-        if let Some(told) = self.told.get_mut(&lane) {
+        if let Some(told) = self.reported_lanes.get_mut(&lane) {
             told.granted += 1;
         }
         self.changed_lanes.insert(lane);
@@ -47,17 +47,17 @@
     /// be acknowledged with them and hold its slot until the home compares lists. The first grant of
     /// a home does not tell whether others were lost, as homes begin their sequences anywhere; a
     /// full report does.
-    pub(super) fn give_back_missing(&mut self, grant: &Grant) {
+    pub(super) fn return_missing(&mut self, grant: &Grant) {
         if self.grants_received == 0 {
-            self.full_wanted = true;
+            self.full_report_requested = true;
             return;
         }
         let missing = self.grants_received + 1..grant.id.sequence;
         if missing.end.saturating_sub(missing.start) > MAX_MISSING_GRANTS {
-            self.full_wanted = true;
+            self.full_report_requested = true;
             return;
         }
-        self.ended.extend(missing.map(|sequence| GrantId {
+        self.ended_grants.extend(missing.map(|sequence| GrantId {
             home: grant.id.home.clone(),
             sequence,
         }));
@@ -65,13 +65,15 @@
 
     /// Takes the next request that a grant can be used for: of the class meant, or else of the
     /// account's other class, so that no slot idles while the account waits.
-    pub fn pop_for(&mut self, grant: &Grant) -> Option<RequestKey> {
-        let others = CLASSES.into_iter().filter(|class| *class != grant.class);
+    pub fn pop_for_grant(&mut self, grant: &Grant) -> Option<RequestKey> {
+        let others = CLASSES_BY_PRIORITY
+            .into_iter()
+            .filter(|class| *class != grant.class);
         let classes = std::iter::once(grant.class).chain(others);
-        self.pop_of(&grant.account, classes)
+        self.pop_first_of(&grant.account, classes)
     }
 
-    pub(super) fn pop_of(
+    pub(super) fn pop_first_of(
         &mut self,
         account: &AccountId,
         classes: impl Iterator<Item = RequestClass>,
@@ -79,7 +81,7 @@
         for class in classes {
             let lane = lane(account, class);
             if let Some(key) = self.queue.pop(&lane) {
-                self.lane_changed(lane);
+                self.mark_lane_changed(lane);
                 return Some(key);
             }
         }
@@ -87,16 +89,16 @@
     }
 
     /// Gives back a grant that cannot be used.
-    pub fn give_back(&mut self, grant: &Grant) {
-        self.ended.push(grant.id.clone());
-        self.urgent = true;
+    pub fn return_unused(&mut self, grant: &Grant) {
+        self.ended_grants.push(grant.id.clone());
+        self.has_urgent_changes = true;
     }
 
     /// Records that a grant is in use. `cost_tokens` is what one of its requests is expected to
     /// cost.
     pub fn hold(&mut self, now: Duration, grant: &Grant, cost_tokens: u64) {
         let requests = self.run_times.bundle_size(&grant.account, self.grant_span);
-        let left = (requests - 1).min(self.waiting_of(&grant.account));
+        let left = (requests - 1).min(self.waiting_of_account(&grant.account));
         let estimate_tokens = cost_tokens * u64::from(left + 1);
         let holding = Holding {
             grant: grant.id.clone(),
@@ -104,33 +106,33 @@
             account: grant.account.clone(),
             estimate_tokens,
         };
-        self.held.insert(HeldGrant {
+        self.held_grants.insert(HeldGrant {
             holding,
-            left: requests - 1,
-            since: now,
-            until: now + self.grant_span,
+            remaining_requests: requests - 1,
+            started_at: now,
+            reusable_until: now + self.grant_span,
         });
         // The home charged the cost that it was told with the demand. Naming each grant again would
         // be a third of all control traffic, so only a cost that turned out otherwise does.
-        let told = self.told.get(&lane(&grant.account, grant.class));
+        let told = self.reported_lanes.get(&lane(&grant.account, grant.class));
         let told_tokens = told.map_or(0, |told| told.cost_tokens);
         if estimate_tokens.abs_diff(told_tokens) > told_tokens / COST_TOLERANCE_DIVISOR {
-            self.held.mark_changed(&grant.id);
+            self.held_grants.mark_changed(&grant.id);
         }
     }
 
     /// Takes the next request that a grant in use still covers, with the endpoint that runs it.
-    pub fn next_of_grant(
+    pub fn next_request_of(
         &mut self,
         now: Duration,
         grant: &GrantId,
     ) -> Option<(RequestKey, EndpointId)> {
-        let holding = &self.held.get_mut(grant)?.holding;
+        let holding = &self.held_grants.get_mut(grant)?.holding;
         let (account, endpoint) = (holding.account.clone(), holding.endpoint.clone());
-        if !self.held.take_next(now, grant) {
+        if !self.held_grants.try_reuse(now, grant) {
             return None;
         }
-        let key = self.pop_of(&account, CLASSES.into_iter())?;
+        let key = self.pop_first_of(&account, CLASSES_BY_PRIORITY.into_iter())?;
         Some((key, endpoint))
     }
 
@@ -139,12 +141,12 @@
     /// A request that runs far over its estimate would keep its account at the front of the order
     /// until it ends, and the account would be served too much meanwhile.
     pub fn raise_estimate(&mut self, grant: &GrantId, charged_tokens: u64) {
-        let Some(held) = self.held.get_mut(grant) else {
+        let Some(held) = self.held_grants.get_mut(grant) else {
             return;
         };
         if charged_tokens > held.holding.estimate_tokens {
             held.holding.estimate_tokens = charged_tokens + charged_tokens / 2;
-            self.held.mark_changed(grant);
+            self.held_grants.mark_changed(grant);
         }
     }
 
@@ -155,12 +157,12 @@
         account: &AccountId,
         charged_tokens: u64,
     ) -> Option<EndpointId> {
-        *self.served.entry(account.clone()).or_default() += charged_tokens;
+        *self.served_tokens.entry(account.clone()).or_default() += charged_tokens;
         self.changed_served.insert(account.clone());
-        let holding = &mut self.held.get_mut(grant)?.holding;
+        let holding = &mut self.held_grants.get_mut(grant)?.holding;
         holding.estimate_tokens = holding.estimate_tokens.saturating_sub(charged_tokens);
         let endpoint = holding.endpoint.clone();
-        self.held.mark_changed(grant);
+        self.held_grants.mark_changed(grant);
         Some(endpoint)
     }
 
@@ -168,9 +170,9 @@
     /// short: slots of short grants told of late would seem occupied most of the time, and callers
     /// would wait at half load.
     pub fn release(&mut self, now: Duration, grant: &GrantId) {
-        let held = self.held.remove(grant);
-        let was_long = held.is_some_and(|held| now >= held.since + LONG_GRANT);
-        self.ended.push(grant.clone());
-        self.urgent |= self.contended || !was_long;
+        let held = self.held_grants.remove(grant);
+        let was_long = held.is_some_and(|held| now >= held.started_at + LONG_GRANT_DURATION);
+        self.ended_grants.push(grant.clone());
+        self.has_urgent_changes |= self.slots_contended || !was_long;
     }
 }
--- a/crates/coordination/src/entry_pool/reports.rs
+++ b/crates/coordination/src/entry_pool/reports.rs
@@ -5,8 +5,8 @@
 use crate::attempt_results::EndpointResult;
 use crate::entry_events::RequestKey;
 use crate::entry_pool::EntryPool;
-use crate::entry_pool::HeadFacts;
-use crate::entry_pool::Told;
+use crate::entry_pool::LaneHead;
+use crate::entry_pool::ReportedLane;
 use crate::entry_pool::Urgency;
 use crate::entry_queue::Lane;
 use crate::pool_messages::Demand;
@@ -19,15 +19,15 @@
         if self.home.is_none() {
             return Urgency::None;
         }
-        if self.urgent || self.full_wanted {
+        if self.has_urgent_changes || self.full_report_requested {
             return Urgency::Urgent;
         }
         let lazy = !self.changed_lanes.is_empty()
-            || !self.ended.is_empty()
+            || !self.ended_grants.is_empty()
             || !self.changed_served.is_empty()
-            || self.held.has_changes()
-            || !self.results.is_empty()
-            || self.unacknowledged;
+            || self.held_grants.has_changes()
+            || !self.attempt_results.is_empty()
+            || self.acknowledgement_due;
         if lazy { Urgency::Lazy } else { Urgency::None }
     }
 
@@ -35,40 +35,41 @@
     pub fn report(
         &mut self,
         from: &Member,
-        least: Urgency,
-        head: impl Fn(RequestKey) -> Option<HeadFacts>,
+        min_urgency: Urgency,
+        head: impl Fn(RequestKey) -> Option<LaneHead>,
     ) -> Option<(Member, EntryReport)> {
         if self.urgency() == Urgency::None {
             return None;
         }
         let home = self.home.clone()?;
-        self.sequence += 1;
-        self.urgent = false;
-        self.unacknowledged = false;
-        let full = std::mem::take(&mut self.full_wanted);
+        self.report_sequence += 1;
+        self.has_urgent_changes = false;
+        self.acknowledgement_due = false;
+        let full = std::mem::take(&mut self.full_report_requested);
         if full {
             self.mark_all_changed();
         }
         let lanes = std::mem::take(&mut self.changed_lanes);
         let demand: Vec<Demand> = lanes.iter().map(|lane| self.demand(lane, &head)).collect();
         let demand = demand.into_iter().zip(&lanes);
-        let demand = demand.filter_map(|(demand, lane)| self.tell(demand, lane, full));
+        let demand =
+            demand.filter_map(|(demand, lane)| self.record_reported_lane(demand, lane, full));
         let demand = demand.collect();
         let served = std::mem::take(&mut self.changed_served);
         let report = EntryReport {
             from: from.clone(),
             pool: self.id.clone(),
-            sequence: self.sequence,
+            sequence: self.report_sequence,
             full,
             grants_received: self.grants_received,
             demand,
-            holdings: self.held.take_changes(),
-            ended: std::mem::take(&mut self.ended),
-            results: self.results_for(least),
+            holdings: self.held_grants.take_changes(),
+            ended: std::mem::take(&mut self.ended_grants),
+            results: self.take_due_results(min_urgency),
             served: served
                 .into_iter()
                 .map(|account| Served {
-                    total_tokens: self.served[&account],
+                    total_tokens: self.served_tokens[&account],
                     account,
                 })
                 .collect(),
@@ -78,45 +79,51 @@
 
     /// Takes the results if they are due: whole answers can wait for the next lazy report, failures
     /// cannot.
-    pub(super) fn results_for(&mut self, least: Urgency) -> Vec<EndpointResult> {
-        if least == Urgency::Lazy || self.results.has_failures() {
-            self.results.take()
+    pub(super) fn take_due_results(&mut self, min_urgency: Urgency) -> Vec<EndpointResult> {
+        if min_urgency == Urgency::Lazy || self.attempt_results.has_failures() {
+            self.attempt_results.take()
         } else {
             Vec::new()
         }
     }
 
     pub(super) fn mark_all_changed(&mut self) {
-        self.told.clear();
+        self.reported_lanes.clear();
         self.changed_lanes.extend(self.queue.lanes().cloned());
-        self.held.mark_all_changed();
-        self.changed_served.extend(self.served.keys().cloned());
+        self.held_grants.mark_all_changed();
+        self.changed_served
+            .extend(self.served_tokens.keys().cloned());
     }
 
     /// Notes what the home is told of a lane; leaves out what it knows already.
-    pub(super) fn tell(&mut self, demand: Demand, lane: &Lane, full: bool) -> Option<Demand> {
-        let known = self.told.get(lane).copied().unwrap_or_default();
+    pub(super) fn record_reported_lane(
+        &mut self,
+        demand: Demand,
+        lane: &Lane,
+        full: bool,
+    ) -> Option<Demand> {
+        let known = self.reported_lanes.get(lane).copied().unwrap_or_default();
         if !full && known.waiting == 0 && demand.waiting == 0 {
             return None;
         }
         if demand.waiting == 0 {
-            self.told.remove(lane);
+            self.reported_lanes.remove(lane);
         } else {
-            let told = Told {
+            let told = ReportedLane {
                 waiting: demand.waiting,
                 granted: 0,
                 cost_tokens: demand.head_cost_tokens,
             };
-            self.told.insert(lane.clone(), told);
+            self.reported_lanes.insert(lane.clone(), told);
         }
         Some(demand)
     }
 
     /// Notes that a lane changed. It is urgent when the home believes that nothing waits there.
-    pub(super) fn lane_changed(&mut self, lane: Lane) {
-        let told = self.told.get(&lane).copied().unwrap_or_default();
+    pub(super) fn mark_lane_changed(&mut self, lane: Lane) {
+        let told = self.reported_lanes.get(&lane).copied().unwrap_or_default();
         if told.waiting <= told.granted && self.queue.lane_len(&lane) > 0 {
-            self.urgent = true;
+            self.has_urgent_changes = true;
         }
         self.changed_lanes.insert(lane);
     }
@@ -126,7 +133,7 @@
     pub(super) fn demand(
         &self,
         lane: &Lane,
-        head: &impl Fn(RequestKey) -> Option<HeadFacts>,
+        head: &impl Fn(RequestKey) -> Option<LaneHead>,
     ) -> Demand {
         let waiting = self.queue.lane_len(lane);
         let requests = self.run_times.bundle_size(&lane.account, self.grant_span);
--- a/crates/coordination/src/grant_slots.rs
+++ b/crates/coordination/src/grant_slots.rs
@@ -43,7 +43,7 @@
                 return;
             };
             let estimate_tokens = reported.head_cost_tokens.max(MIN_CHARGE_TOKENS);
-            actions.push(self.grant(now, key, endpoint, estimate_tokens));
+            actions.push(self.issue_grant(now, key, endpoint, estimate_tokens));
         }
     }
 
@@ -54,7 +54,7 @@
         }
     }
 
-    fn grant(
+    fn issue_grant(
         &mut self,
         now: Duration,
         key: DemandKey,
--- a/crates/coordination/src/held_grants.rs
+++ b/crates/coordination/src/held_grants.rs
@@ -13,11 +13,11 @@
     /// What the home is told of it.
     pub(crate) holding: Holding,
     /// Requests that it still covers beside the one that runs.
-    pub(crate) left: u32,
+    pub(crate) remaining_requests: u32,
     /// When it came into use.
-    pub(crate) since: Duration,
+    pub(crate) started_at: Duration,
     /// Time from which on it covers no further request.
-    pub(crate) until: Duration,
+    pub(crate) reusable_until: Duration,
 }
 
 /// Grants in use, by id.
@@ -46,14 +46,14 @@
     }
 
     /// Takes one further request from a grant; false when it covers none any more.
-    pub(crate) fn take_next(&mut self, now: Duration, id: &GrantId) -> bool {
+    pub(crate) fn try_reuse(&mut self, now: Duration, id: &GrantId) -> bool {
         let Some(held) = self.grants.get_mut(id) else {
             return false;
         };
-        if held.left == 0 || now >= held.until {
+        if held.remaining_requests == 0 || now >= held.reusable_until {
             return false;
         }
-        held.left -= 1;
+        held.remaining_requests -= 1;
         true
     }
 
--- a/crates/coordination/src/limits.rs
+++ b/crates/coordination/src/limits.rs
@@ -19,7 +19,7 @@
 /// Longest time after which a refused caller is asked back, before the jitter of up to a half.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(60);
 /// Longest wait that is estimated; above it, it only matters that it is long.
-const MAX_WAIT: Duration = Duration::from_secs(3_600);
+const MAX_ESTIMATED_WAIT: Duration = Duration::from_secs(3_600);
 
 /// A request that asks to join the queue.
 #[derive(Debug, Clone, Copy)]
@@ -33,13 +33,13 @@
     /// Requests of the account that wait in this router, over all pools.
     pub waiting_of_account: u32,
     /// Requests of the account for this pool that would go before this one.
-    pub ahead: u32,
+    pub requests_ahead: u32,
     /// Accounts with waiting requests for this pool in this router, this one included.
     pub backlogged_accounts: u32,
     /// Deadline on the clock of `now`.
     pub deadline: Duration,
     /// Least time that the run itself takes; zero when unknown.
-    pub min_run: Duration,
+    pub min_run_time: Duration,
 }
 
 /// A refusal, with the time after which the caller is asked back.
@@ -52,7 +52,7 @@
 }
 
 #[derive(Debug, Default)]
-struct Queue {
+struct QueueRate {
     rate: DrainRate,
     next_return_at: Duration,
 }
@@ -74,10 +74,10 @@
 ///     pool: &pool,
 ///     waiting: 4_096,
 ///     waiting_of_account: 1,
-///     ahead: 1,
+///     requests_ahead: 1,
 ///     backlogged_accounts: 9,
 ///     deadline: Duration::from_secs(60),
-///     min_run: Duration::ZERO,
+///     min_run_time: Duration::ZERO,
 /// };
 /// let refusal = admission.admit(Duration::ZERO, arrival).unwrap_err();
 /// assert_eq!(refusal.reason, RefusalReason::QueueFull);
@@ -87,8 +87,8 @@
 pub struct Admission {
     settings: FrontSettings,
     random: SeededRandom,
-    pools: BTreeMap<PoolId, Queue>,
-    accounts: BTreeMap<(PoolId, AccountId), Queue>,
+    pools: BTreeMap<PoolId, QueueRate>,
+    accounts: BTreeMap<(PoolId, AccountId), QueueRate>,
 }
 
 impl Admission {
@@ -108,13 +108,13 @@
     }
 
     /// Decides whether a request may wait; an admitted one is reported with
-    /// [`queued`](Self::queued).
+    /// [`record_queued`](Self::record_queued).
     pub fn admit(&mut self, now: Duration, arrival: AdmissionRequest<'_>) -> Result<(), Refusal> {
         let Some(reason) = self.refusal_reason(now, arrival) else {
             return Ok(());
         };
         let wait = self.estimated_wait(now, arrival).unwrap_or_default();
-        let left = arrival.deadline.saturating_sub(now + arrival.min_run);
+        let left = arrival.deadline.saturating_sub(now + arrival.min_run_time);
         let too_long_by = wait.saturating_sub(left);
         Err(self.refuse(now, reason, arrival.pool, arrival.account, too_long_by))
     }
@@ -159,9 +159,9 @@
     }
 
     /// Notes that a request of `account` joined the queue for `pool`.
-    pub fn queued(&mut self, now: Duration, pool: &PoolId, account: &AccountId) {
-        self.pool(pool).rate.queued(now);
-        self.account(pool, account).rate.queued(now);
+    pub fn record_queued(&mut self, now: Duration, pool: &PoolId, account: &AccountId) {
+        self.pool(pool).rate.record_queued(now);
+        self.account(pool, account).rate.record_queued(now);
     }
 
     /// Notes that a request left the queue to run, and how many wait for `pool` after it.
@@ -174,10 +174,10 @@
     ///
     /// let (pool, account) = (PoolId::from("desk"), AccountId::from("crew-07"));
     /// let mut admission = Admission::new(FrontSettings::default(), 1);
-    /// admission.queued(Duration::ZERO, &pool, &account);
-    /// admission.started(Duration::from_millis(3), &pool, &account, 0, 0);
+    /// admission.record_queued(Duration::ZERO, &pool, &account);
+    /// admission.record_started(Duration::from_millis(3), &pool, &account, 0, 0);
     /// ```
-    pub fn started(
+    pub fn record_started(
         &mut self,
         now: Duration,
         pool: &PoolId,
@@ -185,13 +185,15 @@
         waiting_of_pool: u32,
         waiting_of_account: u32,
     ) {
-        self.pool(pool).rate.started(now, waiting_of_pool > 0);
+        self.pool(pool)
+            .rate
+            .record_started(now, waiting_of_pool > 0);
         let queue = self.account(pool, account);
-        queue.rate.started(now, waiting_of_account > 0);
+        queue.rate.record_started(now, waiting_of_account > 0);
     }
 
     /// Notes that a waiting request left without having run: cancelled, or past its deadline.
-    pub fn left(
+    pub fn record_left(
         &mut self,
         now: Duration,
         pool: &PoolId,
@@ -200,16 +202,16 @@
         waiting_of_account: u32,
     ) {
         if waiting_of_pool == 0 {
-            self.pool(pool).rate.emptied(now);
+            self.pool(pool).rate.record_emptied(now);
         }
         if waiting_of_account == 0 {
-            self.account(pool, account).rate.emptied(now);
+            self.account(pool, account).rate.record_emptied(now);
         }
     }
 
     /// Forgets queues in which nobody waited for a long time. Called now and then.
     pub fn forget_stale(&mut self, now: Duration) {
-        let in_use = |queue: &Queue| !queue.rate.is_stale(now) || queue.next_return_at > now;
+        let in_use = |queue: &QueueRate| !queue.rate.is_stale(now) || queue.next_return_at > now;
         self.accounts.retain(|_, queue| in_use(queue));
         self.pools.retain(|_, queue| in_use(queue));
     }
@@ -229,17 +231,17 @@
     ///     pool: &pool,
     ///     waiting: 0,
     ///     waiting_of_account: 0,
-    ///     ahead: 0,
+    ///     requests_ahead: 0,
     ///     backlogged_accounts: 1,
     ///     deadline: Duration::from_secs(60),
-    ///     min_run: Duration::ZERO,
+    ///     min_run_time: Duration::ZERO,
     /// };
     /// assert_eq!(admission.estimated_wait(Duration::ZERO, arrival), None);
     /// ```
     pub fn estimated_wait(&self, now: Duration, arrival: AdmissionRequest<'_>) -> Option<Duration> {
-        let gap = self.account_gap(now, arrival)?;
-        let wait = gap.saturating_mul(arrival.ahead.saturating_add(1));
-        Some(wait.min(MAX_WAIT))
+        let gap = self.expected_account_gap(now, arrival)?;
+        let wait = gap.saturating_mul(arrival.requests_ahead.saturating_add(1));
+        Some(wait.min(MAX_ESTIMATED_WAIT))
     }
 
     fn refusal_reason(
@@ -247,7 +249,7 @@
         now: Duration,
         arrival: AdmissionRequest<'_>,
     ) -> Option<RefusalReason> {
-        if arrival.deadline <= now + arrival.min_run {
+        if arrival.deadline <= now + arrival.min_run_time {
             return Some(RefusalReason::DeadlineUnreachable);
         }
         if arrival.waiting >= self.settings.max_queue {
@@ -259,20 +261,27 @@
         // After an outage the measured gap is longer than any deadline. If that refused the only
         // request of an account, nothing would start, the gap would never be measured again and
         // the account would be shut out for good. So the first in line is always let in.
-        if arrival.ahead == 0 {
+        if arrival.requests_ahead == 0 {
             return None;
         }
         let wait = self.estimated_wait(now, arrival)?;
-        let in_time = now + wait + arrival.min_run <= arrival.deadline;
+        let in_time = now + wait + arrival.min_run_time <= arrival.deadline;
         (!in_time).then_some(RefusalReason::DeadlineUnreachable)
     }
 
     // An account that was not seen waiting yet is expected to get an equal part of its pool.
-    fn account_gap(&self, now: Duration, arrival: AdmissionRequest<'_>) -> Option<Duration> {
+    fn expected_account_gap(
+        &self,
+        now: Duration,
+        arrival: AdmissionRequest<'_>,
+    ) -> Option<Duration> {
         let key = (arrival.pool.clone(), arrival.account.clone());
-        let own = self.accounts.get(&key).and_then(|q| q.rate.gap(now));
+        let own = self
+            .accounts
+            .get(&key)
+            .and_then(|q| q.rate.expected_gap(now));
         own.or_else(|| {
-            let pool_gap = self.pools.get(arrival.pool)?.rate.gap(now)?;
+            let pool_gap = self.pools.get(arrival.pool)?.rate.expected_gap(now)?;
             Some(pool_gap.saturating_mul(arrival.backlogged_accounts.max(1)))
         })
     }
@@ -290,28 +299,28 @@
             | RefusalReason::DeadlineUnreachable
             | RefusalReason::ConcurrencyLimited => self.account(pool, account),
             RefusalReason::QueueFull => self.pool(pool),
-            _ => return self.spread(earliest),
+            _ => return self.add_jitter(earliest),
         };
-        let gap = queue.rate.gap(now).unwrap_or_default();
+        let gap = queue.rate.expected_gap(now).unwrap_or_default();
         let first = now + earliest.max(MIN_RETRY_AFTER).min(MAX_RETRY_AFTER);
         let last = now + MAX_RETRY_AFTER;
         let return_at = queue.next_return_at.max(first).min(last);
         queue.next_return_at = (return_at + gap.min(MAX_RETRY_AFTER)).min(last);
-        self.spread(return_at - now)
+        self.add_jitter(return_at - now)
     }
 
     // Callers refused in the same instant, also by different routers, come back apart.
-    fn spread(&mut self, after: Duration) -> Duration {
+    fn add_jitter(&mut self, after: Duration) -> Duration {
         let after = after.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER);
         let most_us = u64::try_from(after.as_micros() / 2).unwrap_or(u64::MAX);
         after + Duration::from_micros(self.random.below(most_us))
     }
 
-    fn pool(&mut self, pool: &PoolId) -> &mut Queue {
+    fn pool(&mut self, pool: &PoolId) -> &mut QueueRate {
         self.pools.entry(pool.clone()).or_default()
     }
 
-    fn account(&mut self, pool: &PoolId, account: &AccountId) -> &mut Queue {
+    fn account(&mut self, pool: &PoolId, account: &AccountId) -> &mut QueueRate {
         let key = (pool.clone(), account.clone());
         self.accounts.entry(key).or_default()
     }
--- a/crates/coordination/src/prefix_affinity.rs
+++ b/crates/coordination/src/prefix_affinity.rs
@@ -13,7 +13,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct PrefixAffinity {
     endpoints: BTreeMap<PrefixHash, Vec<usize>>,
-    oldest: VecDeque<PrefixHash>,
+    insertion_order: VecDeque<PrefixHash>,
 }
 
 impl PrefixAffinity {
@@ -29,12 +29,12 @@
             recent.truncate(MAX_ENDPOINTS);
             return;
         }
-        if self.oldest.len() == MAX_PREFIXES
-            && let Some(evicted) = self.oldest.pop_front()
+        if self.insertion_order.len() == MAX_PREFIXES
+            && let Some(evicted) = self.insertion_order.pop_front()
         {
             self.endpoints.remove(&evicted);
         }
-        self.oldest.push_back(prefix);
+        self.insertion_order.push_back(prefix);
         self.endpoints.insert(prefix, vec![endpoint]);
     }
 }
--- a/crates/coordination/src/request_table.rs
+++ b/crates/coordination/src/request_table.rs
@@ -20,16 +20,16 @@
     pub(crate) sent_tokens: u64,
     pub(crate) may_have_run: bool,
     pub(crate) head_sent: bool,
-    pub(crate) place: Place,
+    pub(crate) state: RequestState,
 }
 
 /// Where a request stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Place {
+pub(crate) enum RequestState {
     /// In the queue of its pool.
     Queued,
     /// Put off until this time.
-    PutOff(Duration),
+    Delayed(Duration),
     /// On an endpoint.
     Running,
 }
@@ -42,7 +42,7 @@
             sent_tokens: 0,
             may_have_run: false,
             head_sent: false,
-            place: Place::Queued,
+            state: RequestState::Queued,
         }
     }
 
@@ -68,7 +68,7 @@
     requests: BTreeMap<RequestKey, Request>,
     attempts: BTreeMap<AttemptKey, Attempt>,
     deadlines: BTreeSet<(Duration, RequestKey)>,
-    put_off: BTreeSet<(Duration, RequestKey)>,
+    delayed: BTreeSet<(Duration, RequestKey)>,
     in_progress: BTreeMap<AccountId, u32>,
     next_attempt: u64,
 }
@@ -93,8 +93,8 @@
     pub(crate) fn remove(&mut self, key: RequestKey) -> Option<Request> {
         let request = self.requests.remove(&key)?;
         self.deadlines.remove(&(request.arrival.deadline, key));
-        if let Place::PutOff(until) = request.place {
-            self.put_off.remove(&(until, key));
+        if let RequestState::Delayed(until) = request.state {
+            self.delayed.remove(&(until, key));
         }
         let account = &request.arrival.account;
         if let Some(count) = self.in_progress.get_mut(account) {
@@ -107,36 +107,36 @@
     }
 
     /// Counts an account's requests in hand.
-    pub(crate) fn in_progress(&self, account: &AccountId) -> u32 {
+    pub(crate) fn in_progress_of_account(&self, account: &AccountId) -> u32 {
         self.in_progress.get(account).copied().unwrap_or(0)
     }
 
-    pub(crate) fn put_off(&mut self, key: RequestKey, until: Duration) {
+    pub(crate) fn delay(&mut self, key: RequestKey, until: Duration) {
         if let Some(request) = self.requests.get_mut(&key) {
-            request.place = Place::PutOff(until);
-            self.put_off.insert((until, key));
+            request.state = RequestState::Delayed(until);
+            self.delayed.insert((until, key));
         }
     }
 
     /// Takes a request whose time to be queued again has come.
     pub(crate) fn take_due(&mut self, now: Duration) -> Option<RequestKey> {
-        let (until, key) = *self.put_off.first()?;
+        let (until, key) = *self.delayed.first()?;
         if until > now {
             return None;
         }
-        self.put_off.pop_first();
+        self.delayed.pop_first();
         Some(key)
     }
 
     /// Returns a waiting request whose deadline has passed.
     ///
     /// A running one is ended by its attempt, which knows what already went to the caller.
-    pub(crate) fn overdue(&mut self, now: Duration) -> Option<RequestKey> {
+    pub(crate) fn next_expired(&mut self, now: Duration) -> Option<RequestKey> {
         while let Some((deadline, key)) = self.deadlines.first().copied() {
             if deadline > now {
                 return None;
             }
-            if self.requests[&key].place != Place::Running {
+            if self.requests[&key].state != RequestState::Running {
                 return Some(key);
             }
             self.deadlines.pop_first();
@@ -145,14 +145,14 @@
     }
 
     /// Returns when the next put-off request is due.
-    pub(crate) fn next_due(&self) -> Option<Duration> {
-        self.put_off.first().map(|(until, _)| *until)
+    pub(crate) fn next_due_at(&self) -> Option<Duration> {
+        self.delayed.first().map(|(until, _)| *until)
     }
 
     /// Lists the requests that were never attempted.
-    pub(crate) fn untried(&self) -> Vec<RequestKey> {
-        let untried = self.requests.values().filter(|r| r.attempts == 0);
-        untried.map(|request| request.arrival.key).collect()
+    pub(crate) fn never_attempted(&self) -> Vec<RequestKey> {
+        let never_attempted = self.requests.values().filter(|r| r.attempts == 0);
+        never_attempted.map(|request| request.arrival.key).collect()
     }
 
     pub(crate) fn start_attempt(
--- a/crates/coordination/src/retry_budget.rs
+++ b/crates/coordination/src/retry_budget.rs
@@ -12,17 +12,17 @@
 use crate::random::SeededRandom;
 
 /// Thousandths of a retry: the unit in which budgets are kept.
-const MILLI_RETRIES: u64 = 1_000;
+const MILLI_RETRIES_PER_RETRY: u64 = 1_000;
 /// Retries that one account may save up at one router.
-const ACCOUNT_CAP: u64 = 10 * MILLI_RETRIES;
+const ACCOUNT_CAP_MILLI_RETRIES: u64 = 10 * MILLI_RETRIES_PER_RETRY;
 /// Retries that a router may save up over all accounts.
-const ROUTER_CAP: u64 = 100 * MILLI_RETRIES;
+const ROUTER_CAP_MILLI_RETRIES: u64 = 100 * MILLI_RETRIES_PER_RETRY;
 /// Retries that are there without any success: a quiet account still survives one bad endpoint.
-const ACCOUNT_FLOOR: u64 = 2 * MILLI_RETRIES;
+const ACCOUNT_FLOOR_MILLI_RETRIES: u64 = 2 * MILLI_RETRIES_PER_RETRY;
 /// Retries of a router that are there without any success.
-const ROUTER_FLOOR: u64 = 10 * MILLI_RETRIES;
+const ROUTER_FLOOR_MILLI_RETRIES: u64 = 10 * MILLI_RETRIES_PER_RETRY;
 /// Time in which the floor of a bucket fills up again.
-const FLOOR_REFILL: Duration = Duration::from_secs(20);
+const FLOOR_REFILL_TIME: Duration = Duration::from_secs(20);
 /// Longest backoff.
 const MAX_BACKOFF: Duration = Duration::from_secs(1);
 /// Most doublings of the backoff.
@@ -152,44 +152,48 @@
 #[derive(Debug)]
 struct Bucket {
     milli_retries: u64,
-    floor: u64,
-    cap: u64,
+    floor_milli_retries: u64,
+    cap_milli_retries: u64,
     refilled_at: Duration,
 }
 
 impl Bucket {
-    fn new(now: Duration, floor: u64, cap: u64) -> Self {
+    fn new(now: Duration, floor_milli_retries: u64, cap_milli_retries: u64) -> Self {
         Self {
-            milli_retries: floor,
-            floor,
-            cap,
+            milli_retries: floor_milli_retries,
+            floor_milli_retries,
+            cap_milli_retries,
             refilled_at: now,
         }
     }
 
     fn refill(&mut self, now: Duration) {
         let elapsed = now.saturating_sub(self.refilled_at);
-        let trickle = u128::from(self.floor) * elapsed.as_micros() / FLOOR_REFILL.as_micros();
-        if trickle == 0 {
+        let refill = u128::from(self.floor_milli_retries) * elapsed.as_micros()
+            / FLOOR_REFILL_TIME.as_micros();
+        if refill == 0 {
             return;
         }
         self.refilled_at = now;
-        if self.milli_retries < self.floor {
-            let trickle = u64::try_from(trickle).unwrap_or(self.floor);
-            self.milli_retries = self.milli_retries.saturating_add(trickle).min(self.floor);
+        if self.milli_retries < self.floor_milli_retries {
+            let refill = u64::try_from(refill).unwrap_or(self.floor_milli_retries);
+            self.milli_retries = self
+                .milli_retries
+                .saturating_add(refill)
+                .min(self.floor_milli_retries);
         }
     }
 
     fn deposit(&mut self, amount: u64) {
-        self.milli_retries = (self.milli_retries + amount).min(self.cap);
+        self.milli_retries = (self.milli_retries + amount).min(self.cap_milli_retries);
     }
 
     fn affords_one(&self) -> bool {
-        self.milli_retries >= MILLI_RETRIES
+        self.milli_retries >= MILLI_RETRIES_PER_RETRY
     }
 
     fn withdraw_one(&mut self) {
-        self.milli_retries -= MILLI_RETRIES;
+        self.milli_retries -= MILLI_RETRIES_PER_RETRY;
     }
 }
 
@@ -211,7 +215,7 @@
 ///     repeatable: true,
 ///     deadline: Duration::from_secs(5),
 /// };
-/// let decision = budgets.may_retry(Duration::ZERO, failed);
+/// let decision = budgets.decide_retry(Duration::ZERO, failed);
 /// assert!(matches!(decision, RetryDecision::Retry { .. }));
 /// ```
 #[derive(Debug)]
@@ -252,7 +256,7 @@
     /// budgets.on_success(Duration::ZERO, &AccountId::from("crew-07"));
     /// ```
     pub fn on_success(&mut self, now: Duration, account: &AccountId) {
-        let amount = u64::from(self.settings.budget_percent) * MILLI_RETRIES / 100;
+        let amount = u64::from(self.settings.budget_percent) * MILLI_RETRIES_PER_RETRY / 100;
         let (router, bucket) = self.buckets(now, account);
         router.deposit(amount);
         bucket.deposit(amount);
@@ -278,10 +282,10 @@
     ///     deadline: Duration::from_secs(5),
     /// };
     /// let mut budgets = RetryBudgets::new(RetrySettings::default(), 1);
-    /// let decision = budgets.may_retry(Duration::ZERO, deposit_charge);
+    /// let decision = budgets.decide_retry(Duration::ZERO, deposit_charge);
     /// assert_eq!(decision, RetryDecision::Denied(RetryDenial::NotRepeatable));
     /// ```
-    pub fn may_retry(&mut self, now: Duration, failed: FailedAttempt<'_>) -> RetryDecision {
+    pub fn decide_retry(&mut self, now: Duration, failed: FailedAttempt<'_>) -> RetryDecision {
         let decision = match self.decide(now, failed) {
             Ok(backoff) => RetryDecision::Retry { backoff },
             Err(denial) => RetryDecision::Denied(denial),
@@ -366,13 +370,12 @@
     }
 
     fn buckets(&mut self, now: Duration, account: &AccountId) -> (&mut Bucket, &mut Bucket) {
-        let router = self
-            .router
-            .get_or_insert_with(|| Bucket::new(now, ROUTER_FLOOR, ROUTER_CAP));
-        let bucket = self
-            .accounts
-            .entry(account.clone())
-            .or_insert_with(|| Bucket::new(now, ACCOUNT_FLOOR, ACCOUNT_CAP));
+        let router = self.router.get_or_insert_with(|| {
+            Bucket::new(now, ROUTER_FLOOR_MILLI_RETRIES, ROUTER_CAP_MILLI_RETRIES)
+        });
+        let bucket = self.accounts.entry(account.clone()).or_insert_with(|| {
+            Bucket::new(now, ACCOUNT_FLOOR_MILLI_RETRIES, ACCOUNT_CAP_MILLI_RETRIES)
+        });
         router.refill(now);
         bucket.refill(now);
         (router, bucket)
--- a/crates/coordination/src/run_times.rs
+++ b/crates/coordination/src/run_times.rs
@@ -8,7 +8,7 @@
 /// Weight of the past against the newest run, as a divisor.
 const LEARNING_DIVISOR: u32 = 8;
 /// Most requests that one grant covers.
-const MAX_BUNDLE: u32 = 32;
+const MAX_BUNDLE_REQUESTS: u32 = 32;
 
 /// Mean run time of each account's requests in one pool.
 ///
@@ -45,9 +45,9 @@
     ///
     /// let mut times = RunTimes::default();
     /// times.learn(&"crew-07".into(), Duration::from_secs(4));
-    /// assert_eq!(times.least(&"crew-07".into()), Duration::from_secs(2));
+    /// assert_eq!(times.min_run_time(&"crew-07".into()), Duration::from_secs(2));
     /// ```
-    pub fn least(&self, account: &AccountId) -> Duration {
+    pub fn min_run_time(&self, account: &AccountId) -> Duration {
         self.means
             .get(account)
             .map_or(Duration::ZERO, |mean| *mean / 2)
@@ -60,6 +60,8 @@
             return 1;
         };
         let runs = span.as_micros() / mean.as_micros().max(1);
-        u32::try_from(runs).unwrap_or(u32::MAX).clamp(1, MAX_BUNDLE)
+        u32::try_from(runs)
+            .unwrap_or(u32::MAX)
+            .clamp(1, MAX_BUNDLE_REQUESTS)
     }
 }
--- a/crates/coordination/tests/entry_pool_and_home.rs
+++ b/crates/coordination/tests/entry_pool_and_home.rs
@@ -4,7 +4,7 @@
 
 use sedgeridge_coordination::entry_events::RequestKey;
 use sedgeridge_coordination::entry_pool::EntryPool;
-use sedgeridge_coordination::entry_pool::HeadFacts;
+use sedgeridge_coordination::entry_pool::LaneHead;
 use sedgeridge_coordination::entry_pool::Urgency;
 use sedgeridge_coordination::entry_queue::Lane;
 use sedgeridge_coordination::pool_home::AccountWeight;
@@ -56,7 +56,7 @@
     home
 }
 
-const FACTS: HeadFacts = HeadFacts {
+const FACTS: LaneHead = LaneHead {
     cost_tokens: 100,
     prefix: None,
 };
@@ -114,7 +114,7 @@
     let grants = exchange(&mut entry, &mut home);
     assert_eq!(grants.len(), 2);
     assert!(entry.accept(&grants[1]));
-    assert!(entry.pop_for(&grants[1]).is_some());
+    assert!(entry.pop_for_grant(&grants[1]).is_some());
     entry.hold(Duration::ZERO, &grants[1], 100);
     assert_eq!(exchange(&mut entry, &mut home).len(), 1);
 }
@@ -136,7 +136,7 @@
         let grant = &grants[0];
         assert!(!grant.contended);
         assert!(entry.accept(grant));
-        assert!(entry.pop_for(grant).is_some());
+        assert!(entry.pop_for_grant(grant).is_some());
         entry.hold(Duration::ZERO, grant, 100);
         exchange(&mut entry, &mut home);
         entry.release(ran, &grant.id);
--- a/crates/coordination/tests/limits.rs
+++ b/crates/coordination/tests/limits.rs
@@ -61,15 +61,15 @@
             pool: &self.pool,
             waiting,
             waiting_of_account: waiting,
-            ahead: waiting,
+            requests_ahead: waiting,
             backlogged_accounts: 1,
             deadline: now + patience,
-            min_run: Duration::ZERO,
+            min_run_time: Duration::ZERO,
         };
         self.admission
             .admit(now, arrival)
             .map_err(|refusal| refusal.reason)?;
-        self.admission.queued(now, &self.pool, &self.account);
+        self.admission.record_queued(now, &self.pool, &self.account);
         self.deadlines.push_back(now + patience);
         Ok(())
     }
@@ -80,11 +80,12 @@
             let (pool, account) = (&self.pool, &self.account);
             if deadline < now {
                 self.expired += 1;
-                self.admission.left(now, pool, account, left, left);
+                self.admission.record_left(now, pool, account, left, left);
                 continue;
             }
             self.in_time += 1;
-            self.admission.started(now, pool, account, left, left);
+            self.admission
+                .record_started(now, pool, account, left, left);
             return;
         }
     }
@@ -102,10 +103,10 @@
         pool: &pool,
         waiting,
         waiting_of_account: of_account,
-        ahead: of_account,
+        requests_ahead: of_account,
         backlogged_accounts: 1,
         deadline,
-        min_run: Duration::ZERO,
+        min_run_time: Duration::ZERO,
     };
     let mut admission = Admission::new(FrontSettings::default(), 1);
     let refusal = admission.admit(Duration::ZERO, arrival).unwrap_err();
@@ -208,16 +209,16 @@
 fn drain_rate_is_not_misled_by_bursts_or_by_slow_queues() {
     for (burst, period_s) in [(1, 20), (10, 1), (10, 20)] {
         let mut rate = DrainRate::default();
-        rate.queued(Duration::ZERO);
+        rate.record_queued(Duration::ZERO);
         let mut now = Duration::ZERO;
         for _ in 0..50 {
             now += Duration::from_secs(period_s);
             for _ in 0..burst {
-                rate.started(now, true);
+                rate.record_started(now, true);
             }
         }
         let real_s = period_s as f64 / f64::from(burst);
-        let gap_s = rate.gap(now).unwrap().as_secs_f64();
+        let gap_s = rate.expected_gap(now).unwrap().as_secs_f64();
         assert!((gap_s / real_s - 1.0).abs() < 0.25, "{gap_s} for {real_s}");
     }
 }
@@ -226,10 +227,10 @@
 fn idle_time_is_no_slow_drain() {
     let mut rate = DrainRate::default();
     for s in 0..20 {
-        rate.queued(Duration::from_secs(s));
-        rate.started(Duration::from_secs(s) + millis(10), false);
+        rate.record_queued(Duration::from_secs(s));
+        rate.record_started(Duration::from_secs(s) + millis(10), false);
     }
-    let gap = rate.gap(Duration::from_secs(20)).unwrap();
+    let gap = rate.expected_gap(Duration::from_secs(20)).unwrap();
     assert!(gap <= millis(11), "{gap:?}");
 }
 
@@ -241,7 +242,7 @@
     for _ in 0..10 {
         ceilings.configure(Duration::ZERO, &[account_settings(0, 1)]);
         if ceilings.check(Duration::ZERO, &account, 0).is_ok() {
-            ceilings.started(Duration::ZERO, &account);
+            ceilings.record_start(Duration::ZERO, &account);
             starts += 1;
         }
     }
@@ -283,7 +284,7 @@
             match ceilings.check(now, &account, in_progress) {
                 Ok(()) => {
                     prop_assert!(in_progress < max_in_progress);
-                    ceilings.started(now, &account);
+                    ceilings.record_start(now, &account);
                     starts.push(now);
                 }
                 Err(reached) => {
--- a/crates/coordination/tests/retry_budget.rs
+++ b/crates/coordination/tests/retry_budget.rs
@@ -60,7 +60,7 @@
         deadline,
     };
     assert_eq!(
-        budgets.may_retry(Duration::ZERO, attempt),
+        budgets.decide_retry(Duration::ZERO, attempt),
         RetryDecision::Denied(why)
     );
 }
@@ -73,7 +73,7 @@
         repeatable: false,
         ..failed(&account, reason)
     };
-    assert!(granted(budgets.may_retry(Duration::ZERO, attempt)));
+    assert!(granted(budgets.decide_retry(Duration::ZERO, attempt)));
 }
 
 /// A pool is down for a minute and each of 1,000 requests a second fails at once.
@@ -86,7 +86,7 @@
     let mut retries = 0;
     for ms in 0..60_000 {
         let now = Duration::from_millis(ms);
-        let decision = budgets.may_retry(now, failed(&account, RetryReason::ConnectFailed));
+        let decision = budgets.decide_retry(now, failed(&account, RetryReason::ConnectFailed));
         retries += u32::from(granted(decision));
     }
     assert!(retries <= 2 + 6, "{retries} retries for 60,000 failures");
@@ -101,9 +101,9 @@
     let small = AccountId::from("small");
     let mut budgets = RetryBudgets::new(RetrySettings::default(), 1);
     for _ in 0..1_000 {
-        budgets.may_retry(Duration::ZERO, failed(&flood, RetryReason::ServerError));
+        budgets.decide_retry(Duration::ZERO, failed(&flood, RetryReason::ServerError));
     }
-    let decision = budgets.may_retry(Duration::ZERO, failed(&small, RetryReason::ServerError));
+    let decision = budgets.decide_retry(Duration::ZERO, failed(&small, RetryReason::ServerError));
     assert!(granted(decision));
     let counts: Vec<_> = budgets.counts().collect();
     let denied = Some(RetryDenial::AccountBudget);
@@ -133,7 +133,7 @@
             attempts,
             ..failed(&account, RetryReason::ServerError)
         };
-        let RetryDecision::Retry { backoff } = budgets.may_retry(Duration::ZERO, attempt) else {
+        let RetryDecision::Retry { backoff } = budgets.decide_retry(Duration::ZERO, attempt) else {
             panic!("denied at attempt {attempts}");
         };
         let full = Duration::from_millis(25 << (attempts - 1).min(10)).min(Duration::from_secs(1));
@@ -191,7 +191,7 @@
             if success {
                 budgets.on_success(now, account);
                 successes[index] += 1;
-            } else if granted(budgets.may_retry(now, failed(account, RetryReason::ServerError))) {
+            } else if granted(budgets.decide_retry(now, failed(account, RetryReason::ServerError))) {
                 retries[index] += 1;
             }
             let floor_milli = 2_000 + now.as_millis() as u64 / 10 + 1;
