--- a/crates/coordination/examples/embed.rs
+++ b/crates/coordination/examples/embed.rs
@@ -1,8 +1,8 @@
-//! Embeds one router's decisions: events and the time go in, actions come out.
+//! Embeds the decision logic of one router: the inputs are events and the time, the outputs actions.
 //!
-//! The host program owns sockets, threads and the clock. Here they are left out: time is a number,
-//! and the only endpoint answers at once. Two client accounts each send two requests to an endpoint
-//! with one slot; the slot goes to the account with the least service received.
+//! A real program owns sockets, threads and the clock. This example has none: time is a number, and
+//! the only endpoint answers at once. Two client accounts each send two requests to an endpoint with
+//! one slot; the slot goes to the account that received the least service.
 //!
 //! ```text
 //! cargo run -p sedgeridge-coordination --example embed
@@ -54,17 +54,17 @@
 [account.crew-08]
 key_sha256 = 03c87fa8415e2e6a2dd31126417f2ff23e8c9920413ba3d679be31aabc9ac54c
 ";
-/// Feeds the random choices; the same seed and events give the same actions.
+/// Seed of the random choices; the same seed and events give the same actions.
 const SEED: u64 = 42;
-/// Time between two events of this program.
-const STEP: Duration = Duration::from_millis(10);
-/// Steps after which the program gives up waiting for answers.
+/// Time by which the clock advances per step.
+const STEP_TIME: Duration = Duration::from_millis(10);
+/// Number of steps after which the program stops waiting for answers.
 const MAX_STEPS: u32 = 1_000;
-/// What each request is charged when it ends.
+/// Service charged for each request when it ends.
 const CHARGED_TOKENS: u64 = 100;
 
 fn main() {
-    let settings = load(SETTINGS, "embedded", None).expect("the settings above are sound");
+    let settings = load(SETTINGS, "embedded", None).expect("the settings above are valid");
     let member = Member {
         host: "router-1".into(),
         incarnation: Incarnation(1),
@@ -87,7 +87,7 @@
 
     let mut answered = Vec::new();
     for step in 0..MAX_STEPS {
-        let now = STEP * step;
+        let now = STEP_TIME * step;
         events.push(NodeEvent::Tick);
         let mut actions = Vec::new();
         for event in events.drain(..) {
--- a/crates/coordination/src/account_ceilings.rs
+++ b/crates/coordination/src/account_ceilings.rs
@@ -1,9 +1,10 @@
-//! Ceilings of client accounts: requests started a second, and requests in progress at once.
+//! Limits of client accounts: requests started per second, and requests in progress.
 //!
-//! The same part stands at two places. An entry router asks it on arrival, with its own requests
-//! in progress: what one router alone is over, the fleet is over, so the refusal is right and comes
-//! at once. The home of a pool asks it before a grant, with the account's holdings in the whole
-//! fleet: so the sum holds wherever the account's traffic arrives, without a message of its own.
+//! The limits are checked at two places. An entry router checks them on arrival against its own
+//! requests in progress: if one router alone exceeds a limit, so does the fleet, and the refusal is
+//! correct and immediate. The home of a pool checks them before a grant against the holdings of the
+//! account in the whole fleet. So the limits hold at whichever routers the traffic of the account
+//! arrives, without extra messages.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,15 +14,15 @@
 
 use crate::refusal::RefusalReason;
 
-/// Millionths of a start: the unit of the rate budget.
+/// The rate budget is kept in millionths of a start.
 const MICRO_STARTS_PER_START: u64 = 1_000_000;
 
-/// A ceiling that an account has reached.
+/// A limit that an account has reached.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CeilingReached {
-    /// Which ceiling: `RateLimited` or `ConcurrencyLimited`.
+    /// The limit: `RateLimited` or `ConcurrencyLimited`.
     pub reason: RefusalReason,
-    /// When the next start is allowed; nothing when that takes the end of another request.
+    /// Time until the next start is allowed; `None` when it depends on the end of another request.
     pub next_start_in: Option<Duration>,
 }
 
@@ -43,7 +44,7 @@
         }
     }
 
-    // The unit makes the refill exact: one start a second is one millionth in each microsecond.
+    // The unit makes the refill exact: one start per second is one millionth per microsecond.
     fn refill(&mut self, now: Duration) {
         let elapsed_us = now.saturating_sub(self.refilled_at).as_micros();
         let earned = elapsed_us * u128::from(self.max_requests_per_s);
@@ -76,12 +77,12 @@
     }
 }
 
-/// Starts that may be saved up: those of one second.
+/// Maximum rate budget: the starts of one second.
 fn burst_micro_starts(max_requests_per_s: u32) -> u64 {
     u64::from(max_requests_per_s) * MICRO_STARTS_PER_START
 }
 
-/// Ceilings of all client accounts that have one.
+/// Limits of all client accounts that have any.
 ///
 /// ```
 /// use std::time::Duration;
@@ -110,7 +111,7 @@
 }
 
 impl AccountCeilings {
-    /// Adopts the accounts of a configuration; unchanged ceilings keep what they have counted.
+    /// Applies the accounts of a configuration; accounts that had limits before get no new budget.
     pub fn configure(&mut self, now: Duration, accounts: &[AccountSettings]) {
         let mut previous = std::mem::take(&mut self.ceilings);
         for account in accounts {
@@ -118,9 +119,9 @@
                 continue;
             }
             let mut ceiling = Ceiling::new(account, now);
-            if let Some(old) = previous.remove(&account.id) {
-                ceiling.micro_starts = ceiling.micro_starts.min(old.micro_starts);
-                ceiling.refilled_at = old.refilled_at;
+            if let Some(previous) = previous.remove(&account.id) {
+                ceiling.micro_starts = ceiling.micro_starts.min(previous.micro_starts);
+                ceiling.refilled_at = previous.refilled_at;
             }
             self.ceilings.insert(account.id.clone(), ceiling);
         }
@@ -149,7 +150,7 @@
         }
     }
 
-    /// Counts a start that was allowed.
+    /// Records a start that was allowed.
     ///
     /// ```
     /// use std::time::Duration;
--- a/crates/coordination/src/account_table.rs
+++ b/crates/coordination/src/account_table.rs
@@ -1,4 +1,4 @@
-//! Accounts as the home of a pool sees them: weight, service, tag, and their place in the order.
+//! Accounts at the home of a pool: weight, service, tag, and their position in the fair order.
 
 use sedgeridge_state::ids::AccountId;
 
@@ -14,14 +14,14 @@
     id: AccountId,
     weight: u32,
     configured: bool,
-    /// Position among all accounts by name: breaks ties between equal tags.
+    /// Position among all accounts by name; breaks ties between equal tags.
     rank: u32,
     base_tag: Tag,
-    /// Service at which the tag was `base_tag`.
+    /// Service of the account when its tag was `base_tag`.
     base_service_tokens: i64,
-    /// Estimates of grants and holdings that are not settled.
+    /// Estimated cost of grants and holdings that have not ended.
     in_progress_tokens: u64,
-    /// Tag under which the account stands in the order, while it is backlogged.
+    /// Tag of the account in the fair order; `None` while it is not backlogged.
     listed_tag: Option<Tag>,
 }
 
@@ -35,7 +35,7 @@
 }
 
 impl AccountTable {
-    /// Takes the configured weights and returns the accounts that are no longer configured.
+    /// Applies the configured weights and returns the accounts that are no longer configured.
     pub(crate) fn configure(&mut self, weights: &[AccountWeight]) -> Vec<usize> {
         let was_configured = self.take_configured();
         for configured in weights {
@@ -78,10 +78,10 @@
         index
     }
 
-    /// Changes a weight for service from now on.
+    /// Changes a weight for future service.
     ///
-    /// Dividing all past service by a new weight would move the tag by years of service at once:
-    /// a doubled weight would shut everybody else out until they had caught up.
+    /// Dividing all past service by a new weight would move the tag by years of service at once: an
+    /// account whose weight is doubled would block all others until its tag caught up.
     fn set_weight(&mut self, index: usize, weight: u32) {
         if self.accounts[index].weight == weight {
             return;
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Finds an account, also one that is no longer configured.
+    /// Finds an account, even one that is no longer configured.
     pub(crate) fn find(&self, id: &AccountId) -> Option<usize> {
         self.by_id.find(id)
     }
@@ -123,10 +123,10 @@
         &self.ledger
     }
 
-    /// Starts the counters of a router run; what it served before is history and moves no tag.
+    /// Starts the counters of a router run; service that it reports from before moves no tag.
     ///
-    /// A run that comes back after a partition was served by another home meanwhile. Charging an
-    /// hour of that service at once would starve its accounts until all others had caught up.
+    /// A run that returns after a partition was served by another home meanwhile. Charging an hour of
+    /// that service at once would starve its accounts until all others caught up.
     pub(crate) fn admit_run(&mut self, router: usize, totals: impl Iterator<Item = (usize, u64)>) {
         self.ledger.admit(router, totals);
     }
@@ -144,7 +144,7 @@
         self.accounts[account].in_progress_tokens += estimate_tokens;
     }
 
-    /// Takes an estimate back, because it changed or because the grant ended.
+    /// Removes an estimate that changed or whose grant ended.
     pub(crate) fn refund(&mut self, account: usize, estimate_tokens: u64) {
         self.accounts[account].in_progress_tokens -= estimate_tokens;
     }
@@ -166,12 +166,13 @@
         self.accounts[index].base_tag = tag;
     }
 
-    /// Brings the places of `changed` accounts in the order up to date.
+    /// Updates the positions of `changed` accounts in the order.
     ///
-    /// Newly backlogged accounts are lifted to the minimum of those that were backlogged before,
-    /// so that idle time gives no credit. All of one event start from the same minimum: one after
-    /// the other, the first one's tag would lift the second one's. The lift never adds to a tag
-    /// above the minimum, so an account whose requests come one by one is charged for these only.
+    /// The tags of newly backlogged accounts are raised to the minimum of those that were backlogged
+    /// before, so that idle time gives no credit. All accounts of one event start from the same
+    /// minimum; if they were added one by one, the tag of the first would raise that of the second. A
+    /// tag above the minimum stays, so an account whose requests arrive one by one is charged only for
+    /// these.
     pub(crate) fn refresh(&mut self, changed: &[usize], is_backlogged: impl Fn(usize) -> bool) {
         self.order.note_minimum();
         let mut joined = Vec::new();
@@ -207,7 +208,7 @@
         }
     }
 
-    /// Returns the backlogged account with the least tag.
+    /// Returns the backlogged account with the lowest tag.
     pub(crate) fn next(&self) -> Option<usize> {
         self.order.first().map(|account| account as usize)
     }
--- a/crates/coordination/src/attempt_results.rs
+++ b/crates/coordination/src/attempt_results.rs
@@ -1,4 +1,4 @@
-//! What attempts told about their endpoints, tally for the home of the pool.
+//! Results of attempts by endpoint, collected for the report to the home of the pool.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,35 +7,35 @@
 
 use crate::breaker::FailureKind;
 
-/// What the attempts of one entry router told about one endpoint since its last report.
+/// Results of the attempts of one entry router on one endpoint since its last report.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EndpointResult {
     /// The endpoint.
     pub endpoint: EndpointId,
-    /// Whole answers.
+    /// Number of whole answers.
     pub answered: u32,
-    /// Mean time until they began.
+    /// Mean time until their first byte.
     pub first_byte_ms: u32,
-    /// Longest time since the attempt of one of them began: an answer to an attempt from before an
-    /// ejection says nothing about the endpoint's health after it.
+    /// Longest time since one of their attempts started. An answer to an attempt that started before
+    /// an ejection says nothing about the health of the endpoint after it.
     pub started_ago_ms: u32,
-    /// Failures, each with the time since its attempt began.
+    /// Failures, each with the time since its attempt started.
     pub failures: Vec<ReportedFailure>,
 }
 
 /// A failed attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReportedFailure {
-    /// How it failed.
+    /// Kind of the failure.
     pub kind: FailureKind,
-    /// Time since it began.
+    /// Time since the attempt started.
     pub started_ago_ms: u32,
 }
 
-/// Most failures of one endpoint that one report carries; more say nothing new.
+/// Maximum number of failures of one endpoint in one report; more add no information.
 const MAX_FAILURES: usize = 8;
 
-/// Results not yet reported.
+/// Results of attempts that are not reported yet.
 #[derive(Debug, Default)]
 pub(crate) struct AttemptResults {
     endpoints: BTreeMap<EndpointId, EndpointTally>,
--- a/crates/coordination/src/backoff.rs
+++ b/crates/coordination/src/backoff.rs
@@ -1,4 +1,4 @@
-//! Exponential backoff with jitter from a passed seed.
+//! Exponential backoff with seeded jitter.
 
 use std::time::Duration;
 
@@ -6,7 +6,8 @@
 
 const MAX_DOUBLINGS: u32 = 16;
 
-/// Spreads retries, so that hosts which failed together do not return together.
+/// Exponential backoff that spreads retries, so that hosts that failed together do not retry
+/// together.
 #[derive(Debug)]
 pub struct Backoff {
     base: Duration,
@@ -32,8 +33,8 @@
         }
     }
 
-    /// Returns the delay before the retry that follows this many failures: between half of the
-    /// doubled base and all of it.
+    /// Returns the delay before the retry after this many failures: between half and all of the base,
+    /// doubled for each failure after the first.
     ///
     /// ```
     /// use std::time::Duration;
@@ -48,7 +49,7 @@
         self.jitter(full)
     }
 
-    /// Returns a time between half of `full` and all of it.
+    /// Returns a random time between half of `full` and `full`.
     ///
     /// ```
     /// use std::time::Duration;
@@ -62,7 +63,7 @@
         half + self.spread(half)
     }
 
-    /// Returns a time between zero and `full`.
+    /// Returns a random time between zero and `full`.
     ///
     /// ```
     /// use std::time::Duration;
--- a/crates/coordination/src/clock.rs
+++ b/crates/coordination/src/clock.rs
@@ -1,14 +1,14 @@
-//! The clock as an interface, so that every decision can be replayed.
+//! Clock interface, so that tests can replay every decision.
 
 use std::time::Duration;
 
-/// Tells the time since the process started. It never goes back.
+/// Monotonic clock.
 pub trait Clock {
-    /// Returns the time since the process started.
+    /// Returns the time since the process started. It never goes back.
     fn now(&self) -> Duration;
 }
 
-/// A clock that a test moves by hand.
+/// A clock that a test advances.
 ///
 /// ```
 /// use std::time::Duration;
--- a/crates/coordination/src/cost_estimate.rs
+++ b/crates/coordination/src/cost_estimate.rs
@@ -1,15 +1,15 @@
-//! Estimates what a request will cost, from its hint and from what the account's requests cost
-//! before.
+//! Estimates the cost of a request from its hint and from the cost of earlier requests of the
+//! account.
 
 use std::collections::BTreeMap;
 
 use sedgeridge_state::ids::AccountId;
 
-/// Fixed-point one: ratios are kept in 1/1024.
+/// The ratio 1 in fixed point: ratios are kept in units of 1/1024.
 const RATIO_ONE: u64 = 1_024;
-/// Weight of the newest observation, as a divisor.
+/// Divisor that gives the weight of the newest observation.
 const LEARNING_DIVISOR: u64 = 8;
-/// Bounds of a learnt ratio, so that one odd request cannot spoil the estimate.
+/// Bounds of an observed ratio, so that one unusual request cannot distort the estimate.
 const RATIO_RANGE: std::ops::RangeInclusive<u64> = (RATIO_ONE / 64)..=(RATIO_ONE * 64);
 
 /// Learnt ratio of actual cost to hint, for each client account.
@@ -39,9 +39,9 @@
 
     /// Learns from a finished request.
     pub fn learn(&mut self, account: &AccountId, hint_tokens: u64, charged_tokens: u64) {
-        let seen = charged_tokens.saturating_mul(RATIO_ONE) / hint_tokens.max(1);
-        let seen = seen.clamp(*RATIO_RANGE.start(), *RATIO_RANGE.end());
+        let observed = charged_tokens.saturating_mul(RATIO_ONE) / hint_tokens.max(1);
+        let observed = observed.clamp(*RATIO_RANGE.start(), *RATIO_RANGE.end());
         let ratio = self.ratios.entry(account.clone()).or_insert(RATIO_ONE);
-        *ratio = (*ratio * (LEARNING_DIVISOR - 1) + seen) / LEARNING_DIVISOR;
+        *ratio = (*ratio * (LEARNING_DIVISOR - 1) + observed) / LEARNING_DIVISOR;
     }
 }
--- a/crates/coordination/src/drain_rate.rs
+++ b/crates/coordination/src/drain_rate.rs
@@ -1,20 +1,20 @@
-//! How fast a queue moves, measured only while somebody waits in it.
+//! Rate at which requests start from a queue, measured only while requests wait in it.
 
 use std::time::Duration;
 
-/// Starts after which the measured gap is believed.
+/// Number of starts from which on the measured gap is used.
 const MIN_STARTS: u32 = 3;
-/// Least that the past keeps of its weight at each start.
+/// Minimum factor by which the weight of the past is multiplied at each start.
 const MIN_KEPT_WEIGHT: f64 = 0.875;
-/// Time in which the past loses its weight when starts come fast.
+/// Time constant with which the weight of the past decays when starts follow quickly.
 const DECAY_TIME: Duration = Duration::from_secs(5);
-/// Time without waiting requests after which the measurement is forgotten.
+/// Time without waiting requests after which the measurement is discarded.
 const STALE_AFTER: Duration = Duration::from_secs(60);
 
-/// Mean gap between two starts out of one queue.
+/// Mean gap between two starts from one queue.
 ///
-/// Starts come in bursts, since grants travel in batches. The past is therefore weighed by time
-/// when starts come fast, and by their number when they come slowly.
+/// Starts come in bursts, since grants are sent in batches. The past is therefore weighted by time
+/// when starts follow quickly, and by their number when they follow slowly.
 ///
 /// ```
 /// use std::time::Duration;
@@ -31,13 +31,13 @@
 pub struct DrainRate {
     starts: u32,
     weighted_starts: f64,
-    weighted_s: f64,
+    weighted_gaps_s: f64,
     waiting_since: Option<Duration>,
     changed_at: Duration,
 }
 
 impl DrainRate {
-    /// Notes that a request joined the queue.
+    /// Records that a request joined the queue.
     pub fn record_queued(&mut self, now: Duration) {
         if self.is_stale(now) {
             *self = Self::default();
@@ -46,18 +46,18 @@
         self.changed_at = now;
     }
 
-    /// Notes that a request left the queue to run; `others_wait` tells whether more wait.
+    /// Records that a request left the queue to run; `others_wait` tells whether more wait.
     pub fn record_started(&mut self, now: Duration, others_wait: bool) {
         let elapsed_s = self.elapsed_s(now);
         let kept = kept_weight(elapsed_s);
         self.starts = self.starts.saturating_add(1);
         self.weighted_starts = self.weighted_starts * kept + 1.0;
-        self.weighted_s = self.weighted_s * kept + elapsed_s;
+        self.weighted_gaps_s = self.weighted_gaps_s * kept + elapsed_s;
         self.waiting_since = others_wait.then_some(now);
         self.changed_at = now;
     }
 
-    /// Notes that the last waiting request left without having run.
+    /// Records that the last waiting request left without having run.
     ///
     /// ```
     /// use std::time::Duration;
@@ -73,9 +73,9 @@
         self.changed_at = now;
     }
 
-    /// Returns the expected gap between two starts, or nothing while too little was seen.
+    /// Returns the expected gap between two starts, or `None` while too few starts were measured.
     ///
-    /// A queue that has stopped moving is believed to be slower the longer it stands still.
+    /// While requests wait and none starts, the expected gap grows.
     ///
     /// ```
     /// use std::time::Duration;
@@ -89,12 +89,13 @@
         }
         let elapsed_s = self.elapsed_s(now);
         let kept = kept_weight(elapsed_s);
-        let measured_s = self.weighted_s / self.weighted_starts;
-        let stalled_s = (self.weighted_s * kept + elapsed_s) / (self.weighted_starts * kept + 1.0);
+        let measured_s = self.weighted_gaps_s / self.weighted_starts;
+        let stalled_s =
+            (self.weighted_gaps_s * kept + elapsed_s) / (self.weighted_starts * kept + 1.0);
         Some(Duration::from_secs_f64(measured_s.max(stalled_s)))
     }
 
-    /// Tells whether nobody waited for so long that the measurement means nothing.
+    /// Tells whether no request waited for so long that the measurement is obsolete.
     ///
     /// ```
     /// use std::time::Duration;
--- a/crates/coordination/src/endpoint_schedule.rs
+++ b/crates/coordination/src/endpoint_schedule.rs
@@ -1,4 +1,4 @@
-//! What is to be done again and again for a changing set of endpoints.
+//! Schedule of a periodic action for a changing set of endpoints.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -6,20 +6,20 @@
 
 use sedgeridge_state::ids::EndpointId;
 
-/// When each endpoint is due next.
+/// Next due time of each endpoint.
 #[derive(Debug, Default)]
 pub(crate) struct EndpointSchedule {
     due: BTreeMap<EndpointId, Duration>,
 }
 
 impl EndpointSchedule {
-    /// Takes the endpoints as they are now; new ones are due at once. Returns those that are gone.
+    /// Replaces the set of endpoints; new ones are due at once. Returns the removed endpoints.
     pub(crate) fn sync_endpoints(
         &mut self,
         now: Duration,
         endpoints: &BTreeSet<EndpointId>,
     ) -> Vec<EndpointId> {
-        let gone: Vec<_> = self
+        let removed: Vec<_> = self
             .due
             .keys()
             .filter(|e| !endpoints.contains(*e))
@@ -29,10 +29,10 @@
         for endpoint in endpoints {
             self.due.entry(endpoint.clone()).or_insert(now);
         }
-        gone
+        removed
     }
 
-    /// Takes the endpoints that are due and sets when they are due again.
+    /// Returns the due endpoints and sets their next due time.
     pub(crate) fn take_due(&mut self, now: Duration, interval: Duration) -> Vec<EndpointId> {
         let due = self.due.iter_mut().filter(|(_, at)| **at <= now);
         due.map(|(endpoint, at)| {
--- a/crates/coordination/src/entry.rs
+++ b/crates/coordination/src/entry.rs
@@ -1,5 +1,5 @@
-//! The entry router: keeps its callers' requests, tells each pool's home what waits, and binds a
-//! granted slot to the account's first waiting request.
+//! The entry router: queues the requests of its callers, reports the demand to the home of each
+//! pool, and uses each granted slot for the first waiting request of the account.
 
 mod attempts;
 
@@ -37,12 +37,12 @@
 use crate::retry_budget::RetryDenial;
 use crate::retry_budget::RetryReason;
 
-/// Time after which a suspect of crashing endpoints asks again for its trial.
+/// Delay before a request suspected of crashing endpoints tries again to start.
 const QUARANTINE_RETRY_DELAY: Duration = Duration::from_millis(100);
-/// Time between two clean-ups of measurements that nobody needs any more.
+/// Interval at which stale queue measurements are removed.
 const CLEANUP_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Keeps the requests of one router's callers.
+/// Queues and runs the requests of the callers of one router.
 #[derive(Debug)]
 pub struct Entry {
     member: Member,
@@ -61,7 +61,7 @@
 }
 
 impl Entry {
-    /// Creates the entry part of the router run `member`; `seed` feeds the jitter.
+    /// Creates the entry part of the router run `member`; `seed` seeds the jitter.
     pub fn new(member: Member, settings: &Settings, seed: u64) -> Self {
         let mut entry = Self {
             member,
@@ -82,7 +82,7 @@
         entry
     }
 
-    /// Adopts a configuration; requests in hand and what was measured stay.
+    /// Applies a configuration; requests in progress and measurements are kept.
     pub fn configure(&mut self, now: Duration, settings: &Settings) {
         self.max_attempts = settings.retry.max_attempts;
         self.grant_span = millis(settings.fair.grant_span_ms);
@@ -97,7 +97,7 @@
         self.quarantine.configure(settings.health.clone());
     }
 
-    /// Takes one event and appends what is to be done.
+    /// Handles one event and appends the resulting actions.
     pub fn handle(&mut self, now: Duration, event: EntryEvent, actions: &mut Vec<EntryAction>) {
         match event {
             EntryEvent::Arrived(arrival) => self.on_arrival(now, arrival, actions),
@@ -127,31 +127,31 @@
         actions.extend(notices.into_iter().map(EntryAction::Announce));
     }
 
-    /// Lists the pools.
     pub(crate) fn pools(&self) -> impl Iterator<Item = &EntryPool> {
         self.pools.values()
     }
 
-    /// Tells whether a request would be refused on arrival, so that nothing is claimed for it.
+    /// Returns the refusal that a request would get on arrival, if any. The caller checks this
+    /// before it writes a claim for the request.
     pub fn check_admission(&mut self, now: Duration, arrival: &Arrival) -> Option<EntryAction> {
         let refusal = self.admit(now, arrival).err()?;
         Some(give_up(arrival.key, refusal, Outcome::NotRun))
     }
 
-    /// Tells whether a request in hand may have run.
+    /// Tells whether a request in progress may have run.
     pub fn may_have_run(&self, key: RequestKey) -> bool {
         self.requests
             .get(key)
             .is_some_and(|request| request.may_have_run)
     }
 
-    /// Tells whether a request is in hand.
+    /// Tells whether a request is waiting or running.
     pub fn contains(&self, key: RequestKey) -> bool {
         self.requests.get(key).is_some()
     }
 
-    /// Appends a report for each pool about which something is new and whose home is `wanted`; with
-    /// news of what urgency at least, also decides whether results of attempts go along.
+    /// Appends a report for each pool that has changes and whose home and urgency satisfy `wanted`.
+    /// `min_urgency` decides whether the reports include results of attempts that can wait.
     pub fn report(
         &mut self,
         min_urgency: Urgency,
@@ -178,7 +178,7 @@
         }
     }
 
-    /// Tells how soon some home other than `own` has to be told something.
+    /// Returns the highest urgency of the pending reports to homes other than `own`.
     pub fn urgency(&self, own: &Member) -> Urgency {
         let remote = self.pools.values().filter(|pool| pool.home() != Some(own));
         remote
@@ -187,29 +187,29 @@
             .unwrap_or(Urgency::None)
     }
 
-    /// Returns how often each failure was followed by a retry, or why it was not.
+    /// Returns the number of retry decisions by failure and by denial; no denial means a retry.
     pub fn retry_counts(
         &self,
     ) -> impl Iterator<Item = (RetryReason, Option<RetryDenial>, u64)> + '_ {
         self.retry_budgets.counts()
     }
 
-    /// Returns when a put-off request is to be queued again.
+    /// Returns the time at which the next delayed request is queued again.
     pub fn next_wake(&self) -> Option<Duration> {
         self.requests.next_due_at()
     }
 
-    /// Counts the requests that wait.
+    /// Returns the number of queued requests.
     pub fn waiting(&self) -> u32 {
         self.waiting
     }
 
-    /// Counts the requests that run.
+    /// Returns the number of running requests.
     pub fn running(&self) -> usize {
         self.requests.running()
     }
 
-    /// Counts all requests in hand.
+    /// Returns the number of requests that are queued, delayed or running.
     pub fn request_count(&self) -> usize {
         self.requests.len()
     }
@@ -284,7 +284,7 @@
         self.pool(&pool).enqueue(lane, key, at_front);
     }
 
-    /// Tells the measurement of the drain rate that a request left the queue without running.
+    /// Records for the drain rate that a request left the queue without running.
     fn record_left_queue(&mut self, now: Duration, pool: &PoolId, account: &AccountId) {
         let view = self.pool(pool);
         let waiting_of_pool = view.waiting();
@@ -293,7 +293,7 @@
             .record_left(now, pool, account, waiting_of_pool, waiting_of_account);
     }
 
-    /// Takes a request out of wherever it waits.
+    /// Removes a request, also from its queue if it waits there.
     fn remove(&mut self, now: Duration, key: RequestKey) -> Option<Request> {
         let request = self.requests.remove(key)?;
         if request.state == RequestState::Queued {
@@ -351,8 +351,8 @@
 
     fn stop(&mut self, now: Duration, actions: &mut Vec<EntryAction>) {
         self.stopping = true;
-        // A request that was attempted before is in progress for its caller, who may hold part of
-        // the answer: it still gets its next attempt.
+        // The caller of a request that was attempted may already have part of the answer, so the
+        // request still gets its next attempt.
         for key in self.requests.never_attempted() {
             self.give_up(now, key, RefusalReason::Draining, actions);
         }
--- a/crates/coordination/src/entry/attempts.rs
+++ b/crates/coordination/src/entry/attempts.rs
@@ -1,4 +1,4 @@
-//! Grants, the attempts that use them, and what follows when one ends.
+//! Use of grants: starting attempts, and handling their end.
 
 use std::time::Duration;
 
@@ -44,7 +44,7 @@
         self.pool(&grant.pool).return_unused(grant);
     }
 
-    /// Uses a grant again for the next request that it covers, or ends it.
+    /// Starts the next request that a grant covers, or releases the grant.
     fn start_next_or_release(
         &mut self,
         now: Duration,
@@ -60,8 +60,8 @@
         self.pool(pool).release(now, grant);
     }
 
-    /// Decides about a request that was taken from its queue; one that may not start now is put off
-    /// or given up.
+    /// Tells whether a request that was taken from its queue may start. If not, delays it or gives
+    /// it up.
     fn may_start(
         &mut self,
         now: Duration,
@@ -95,10 +95,10 @@
         false
     }
 
-    /// Tells whether hardly a request like this one, not attempted yet, ends before its deadline.
+    /// Tells whether a request that was not attempted yet is unlikely to end before its deadline.
     ///
-    /// Started all the same, it would break off at the deadline: its caller gets half an answer, or
-    /// is told that it may have run, in place of "not run", and the slot's work is for nothing.
+    /// If it started, it would be cut off at the deadline. Its caller would get half an answer, or
+    /// the outcome "unknown" in place of "not run", and the work of the slot would be wasted.
     fn is_too_late(&mut self, now: Duration, key: RequestKey) -> bool {
         let Some(request) = self.requests.get(key) else {
             return false;
@@ -112,7 +112,7 @@
         now + self.pool(&pool).min_run_time(&account) > deadline
     }
 
-    /// Marks a request that is in no queue any more.
+    /// Marks a request as no longer queued.
     fn mark_dequeued(&mut self, key: RequestKey) {
         if let Some(request) = self.requests.get_mut(key) {
             request.state = RequestState::Running;
@@ -215,7 +215,8 @@
         }
     }
 
-    /// Charges what an attempt received, and uses its grant again or ends it. Returns the endpoint.
+    /// Charges the service of an ended attempt to its account, and reuses or releases its grant.
+    /// Returns the endpoint.
     fn settle(
         &mut self,
         now: Duration,
@@ -277,8 +278,8 @@
         let Some(reason) = failure.retry_reason() else {
             return self.give_up(now, key, RefusalReason::DeadlinePassedRunning, actions);
         };
-        // A request that may not be repeated and may have run is never sent again: the caller
-        // would see its effect twice. One that certainly did not start may go to another endpoint.
+        // A non-repeatable request that may have run is never sent again, as its effect could occur
+        // twice. One that certainly did not start may go to another endpoint.
         let decision = self.retry_budgets.decide_retry(
             now,
             FailedAttempt {
--- a/crates/coordination/src/entry_events.rs
+++ b/crates/coordination/src/entry_events.rs
@@ -1,4 +1,4 @@
-//! What goes into and comes out of [`crate::entry::Entry`].
+//! Events and actions of [`crate::entry::Entry`].
 
 use std::time::Duration;
 
@@ -30,21 +30,21 @@
 /// A request that a caller sent to this router.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Arrival {
-    /// Identifies the request.
+    /// Key of the request.
     pub key: RequestKey,
     /// The client account.
     pub account: AccountId,
-    /// The pool that runs it.
+    /// Pool that runs the request.
     pub pool: PoolId,
-    /// Rank within the account.
+    /// Priority class within the account.
     pub class: RequestClass,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// Rough hint of its cost.
+    /// Rough estimate of the cost.
     pub hint_tokens: u64,
     /// Prefix of the prompt.
     pub prefix: Option<PrefixHash>,
-    /// Equal for equal requests of one account.
+    /// Hash that is equal for equal requests of one account.
     pub fingerprint: Fingerprint,
     /// Time since the process started by which the answer must be complete.
     pub deadline: Duration,
@@ -53,9 +53,9 @@
 /// Why an attempt failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptFailure {
-    /// No connection could be opened: no byte of the request left.
+    /// No connection could be opened, so no byte of the request was sent.
     ConnectFailed,
-    /// The endpoint refused before it started.
+    /// The endpoint refused the request before starting it.
     NotStarted,
     /// The endpoint answered with a server error.
     ServerError,
@@ -63,7 +63,7 @@
     ConnectionLost,
     /// The connection was lost, and the endpoint refuses new ones.
     Crashed,
-    /// The answer went silent on an open connection.
+    /// No more data of the answer arrived on an open connection.
     Silent,
     /// The deadline passed.
     DeadlinePassed,
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Returns what the failure says about the endpoint.
+    /// Returns the failure to record for the health of the endpoint, if any.
     pub(crate) fn endpoint_failure(self) -> Option<FailureKind> {
         match self {
             Self::ConnectFailed => Some(FailureKind::ConnectFailed),
@@ -109,12 +109,12 @@
     Finished {
         /// Service received.
         charged_tokens: u64,
-        /// Time until the answer began.
+        /// Time until the first byte of the answer.
         first_byte: Duration,
     },
     /// The attempt failed.
     Failed {
-        /// Why.
+        /// Kind of the failure.
         failure: AttemptFailure,
         /// Output tokens that went to the caller over all attempts.
         sent_tokens: u64,
@@ -123,14 +123,14 @@
         /// Whether the head of the answer went to the caller, in this attempt or an earlier one.
         head_sent: bool,
     },
-    /// The caller went away.
+    /// The caller disconnected.
     CallerGone {
         /// Service received.
         charged_tokens: u64,
     },
 }
 
-/// What happens to the entry router.
+/// An event for the entry router.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum EntryEvent {
     /// A caller sent a request.
@@ -142,12 +142,12 @@
         /// The pool.
         pool: PoolId,
     },
-    /// Messages to a home were lost: it is told everything again.
+    /// Messages to a home were lost, so the next reports to it are full ones.
     HomeResync {
         /// The host of the home.
         host: HostId,
     },
-    /// A pool has another home now; `None` while there is none.
+    /// The home of a pool changed; `None` while there is none.
     HomeChanged {
         /// The pool.
         pool: PoolId,
@@ -168,14 +168,15 @@
         /// How it ended.
         end: AttemptEnd,
     },
-    /// A waiting request's caller went away.
+    /// The caller of a waiting request disconnected.
     CallerGone {
         /// The request.
         key: RequestKey,
     },
-    /// Another router tells about a request that crashes endpoints.
+    /// Another router reports a request that crashes endpoints.
     Poison(PoisonNotice),
-    /// The router was told to stop: what waits is refused, what runs is finished.
+    /// The router was told to stop: requests that were never attempted are refused, the others are
+    /// finished.
     StopRequested,
     /// Time passed.
     Tick,
@@ -190,11 +191,11 @@
     pub attempt: AttemptKey,
     /// The endpoint.
     pub endpoint: EndpointId,
-    /// Output tokens that the caller already holds.
+    /// Output tokens that the caller already received.
     pub resume_after_tokens: u64,
-    /// Whether the caller already holds the head of the answer.
+    /// Whether the caller already received the head of the answer.
     pub head_sent: bool,
-    /// Whether an endpoint's server error goes to the caller, since no attempt follows.
+    /// Whether a server error of the endpoint is passed to the caller, since no attempt follows.
     pub last_attempt: bool,
 }
 
@@ -203,15 +204,15 @@
 pub struct GiveUp {
     /// The request.
     pub key: RequestKey,
-    /// Why.
+    /// Reason of the refusal.
     pub reason: RefusalReason,
     /// Whether the request ran.
     pub outcome: Outcome,
-    /// When to come back.
+    /// Time after which the caller may retry.
     pub retry_after: Option<Duration>,
 }
 
-/// What the entry router wants done.
+/// An action that the entry router requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum EntryAction {
     /// Run a request on an endpoint.
@@ -222,10 +223,10 @@
     Retried {
         /// The request.
         key: RequestKey,
-        /// Why.
+        /// Reason of the retry.
         reason: RetryReason,
     },
-    /// Tell the other routers about a request that crashes endpoints.
+    /// Notify the other routers of a request that crashes endpoints.
     Announce(PoisonNotice),
     /// Send a report to the home of its pool.
     Report {
--- a/crates/coordination/src/entry_pool.rs
+++ b/crates/coordination/src/entry_pool.rs
@@ -1,5 +1,5 @@
-//! What an entry router knows of one pool: its waiting requests, the grants it holds and what the
-//! pool's home has not been told yet.
+//! State of one pool at an entry router: its waiting requests, the grants it holds, and the changes
+//! not yet reported to the home of the pool.
 
 mod grants;
 mod reports;
@@ -26,28 +26,30 @@
 use crate::pool_messages::PrefixHash;
 use crate::run_times::RunTimes;
 
-/// Classes in the order in which a grant is used.
+/// Request classes in the order in which a grant in use serves them.
 const CLASSES_BY_PRIORITY: [RequestClass; 2] = [RequestClass::Interactive, RequestClass::Deferred];
-/// Most missing grants that are named one by one; after more, a full report says what is held.
+/// Maximum number of missing grants listed one by one; if more are missing, a full report lists
+/// the grants in use instead.
 const MAX_MISSING_GRANTS: u64 = 256;
-/// Time in use from which on the end of a grant may be told late, as a small part of it.
+/// Time in use from which on the end of a grant may be reported late: the delay is then only a
+/// small part of the time.
 const LONG_GRANT_DURATION: Duration = Duration::from_secs(2);
-/// Part of a cost by which it may be off without the home being told.
+/// Divisor of a cost that gives the error tolerated without a report to the home.
 const COST_TOLERANCE_DIVISOR: u64 = 8;
 
-/// How soon the home has to be told what is new.
+/// How soon changes must be reported to the home.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Urgency {
-    /// Nothing is new.
+    /// Nothing changed.
     None,
-    /// A slot or a waiting request is not touched by it: with the next urgent news, or after the
-    /// report interval.
+    /// No slot or waiting request depends on the changes: they are reported with the next urgent
+    /// change, or after the report interval.
     Lazy,
-    /// Work may wait, or a slot idle, until the home knows.
+    /// Work may wait, or a slot may idle, until the home is informed.
     Urgent,
 }
 
-/// What the home was last told of a lane, and the grants for it that came since.
+/// Last reported demand of a lane, and the number of grants received for it since.
 #[derive(Debug, Clone, Copy, Default)]
 struct ReportedLane {
     waiting: u32,
@@ -55,12 +57,12 @@
     cost_tokens: u64,
 }
 
-/// Cost and prefix of a waiting request.
+/// Cost and prefix of the first waiting request of a lane.
 #[derive(Debug, Clone, Copy)]
 pub struct LaneHead {
-    /// What it is expected to cost.
+    /// Expected cost.
     pub cost_tokens: u64,
-    /// Prefix of its prompt.
+    /// Prefix of the prompt.
     pub prefix: Option<PrefixHash>,
 }
 
@@ -88,8 +90,8 @@
 }
 
 impl EntryPool {
-    /// Creates the view of a pool that has no home yet. A grant covers what runs within
-    /// `grant_span`, and one request at least.
+    /// Creates the view of a pool that has no home yet. A grant covers the requests that run within
+    /// `grant_span`, and at least one request.
     pub fn new(id: PoolId, grant_span: Duration) -> Self {
         Self {
             id,
@@ -113,16 +115,16 @@
         }
     }
 
-    /// Adopts a changed span of a grant.
+    /// Applies a changed time span of a grant.
     pub fn set_grant_span(&mut self, grant_span: Duration) {
         self.grant_span = grant_span;
     }
 
-    /// Names the pool's home; another one than before is told everything.
+    /// Sets the home of the pool; a different home than before gets a full report.
     ///
-    /// The sequence of reports goes on: this view of the members may have changed and changed back
-    /// while the home never knew. It would drop all reports up to its last sequence, and the callers
-    /// here would wait for as long.
+    /// The report sequence continues. The members seen here may have changed and changed back
+    /// without the home knowing. If the sequence restarted, the home would drop all reports up to
+    /// the last sequence it knows, and the callers here would wait that long.
     pub fn set_home(&mut self, home: Option<Member>) {
         if self.home != home {
             self.home = home;
@@ -136,27 +138,27 @@
         self.full_report_requested = true;
     }
 
-    /// Tells whether the pool's home stands on a host.
+    /// Tells whether the home of the pool runs on a host.
     pub fn is_homed_on(&self, host: &HostId) -> bool {
         self.home.as_ref().is_some_and(|home| home.host == *host)
     }
 
-    /// Returns the pool's home.
+    /// Returns the home of the pool.
     pub fn home(&self) -> Option<&Member> {
         self.home.as_ref()
     }
 
-    /// Returns a time in which hardly a request of the account runs.
+    /// Returns a run time that few requests of the account stay below; zero while none is known.
     pub fn min_run_time(&self, account: &AccountId) -> Duration {
         self.run_times.min_run_time(account)
     }
 
-    /// Counts all waiting requests.
+    /// Returns the number of waiting requests.
     pub fn waiting(&self) -> u32 {
         self.queue.waiting()
     }
 
-    /// Counts the waiting requests of an account that go before a new one of this class.
+    /// Returns the number of waiting requests of an account that run before a new one of `class`.
     pub fn requests_ahead(&self, account: &AccountId, class: RequestClass) -> u32 {
         let before = CLASSES_BY_PRIORITY.iter().filter(|other| **other <= class);
         before
@@ -164,7 +166,7 @@
             .sum()
     }
 
-    /// Counts the accounts that wait here, `account` included.
+    /// Returns the number of accounts with waiting requests here, counting `account` in any case.
     pub fn backlogged_accounts_with(&self, account: &AccountId) -> u32 {
         let others: BTreeSet<&AccountId> = self
             .queue
@@ -175,7 +177,7 @@
         others.len() as u32 + 1
     }
 
-    /// Counts the waiting requests of an account.
+    /// Returns the number of waiting requests of an account.
     pub fn waiting_of_account(&self, account: &AccountId) -> u32 {
         CLASSES_BY_PRIORITY
             .iter()
@@ -183,12 +185,12 @@
             .sum()
     }
 
-    /// Returns the pool.
+    /// Returns the id of the pool.
     pub(crate) fn id(&self) -> &PoolId {
         &self.id
     }
 
-    /// Lists the accounts that wait, run or were served.
+    /// Returns the accounts that have waiting or running requests, or received service.
     pub(crate) fn account_views(&self) -> Vec<AccountView> {
         let mut views = BTreeMap::new();
         for lane in self.queue.lanes() {
@@ -217,9 +219,9 @@
         })
     }
 
-    /// Adds a waiting request, as the first of its lane when it was served in part before.
-    pub fn enqueue(&mut self, lane: Lane, key: RequestKey, first: bool) {
-        if first {
+    /// Adds a waiting request; `at_front` puts a request that was delayed first in its lane.
+    pub fn enqueue(&mut self, lane: Lane, key: RequestKey, at_front: bool) {
+        if at_front {
             self.queue.push_front(lane.clone(), key);
         } else {
             self.queue.push_back(lane.clone(), key);
@@ -227,7 +229,7 @@
         self.mark_lane_changed(lane);
     }
 
-    /// Takes a waiting request out.
+    /// Removes a waiting request; false when it is not in the lane.
     pub fn remove_waiting(&mut self, lane: &Lane, key: RequestKey) -> bool {
         let removed = self.queue.remove(lane, key);
         if removed {
@@ -236,7 +238,7 @@
         removed
     }
 
-    /// Notes what an attempt told about its endpoint.
+    /// Records what the end of an attempt says about the health of its endpoint.
     pub fn record_result(&mut self, endpoint: &EndpointId, started_ago: Duration, end: AttemptEnd) {
         match end {
             AttemptEnd::Finished { first_byte, .. } => {
@@ -254,7 +256,7 @@
         }
     }
 
-    /// Learns how long a request of an account ran.
+    /// Records how long a request of an account ran.
     pub fn record_run_time(&mut self, account: &AccountId, run: Duration) {
         self.run_times.learn(account, run);
     }
--- a/crates/coordination/src/entry_pool/grants.rs
+++ b/crates/coordination/src/entry_pool/grants.rs
@@ -1,4 +1,5 @@
-//! Grants of one pool: which count, what they are used for, when they end.
+//! Grants of one pool at an entry router: which are accepted, which requests they serve, and when
+//! they end.
 
 use std::time::Duration;
 
@@ -19,10 +20,10 @@
 use crate::pool_messages::Holding;
 
 impl EntryPool {
-    /// Tells whether a grant counts; one that came before, or from a former home, does not.
+    /// Accepts a grant, unless it was received before or comes from a former home.
     pub fn accept(&mut self, grant: &Grant) -> bool {
-        // The slot of a former home is no longer its to give, and using it could put two requests
-        // on one slot. The former home frees it with the holdings of this member.
+        // A former home no longer owns its slots, so using the grant could put two requests on one
+        // slot. The former home frees the slot together with the holdings of this member.
         if self.home.as_ref() != Some(&grant.id.home) {
             return false;
         }
@@ -34,19 +35,19 @@
         self.acknowledgement_due = true;
         self.slots_contended = grant.contended;
         let lane = lane(&grant.account, grant.class);
-        if let Some(told) = self.reported_lanes.get_mut(&lane) {
-            told.granted += 1;
+        if let Some(reported) = self.reported_lanes.get_mut(&lane) {
+            reported.granted += 1;
         }
         self.changed_lanes.insert(lane);
         true
     }
 
-    /// Gives back the grants between the last one received and this one.
+    /// Returns the grants between the last one received and this one.
     ///
     /// `grants_received` acknowledges all grants up to it. A grant lost on a broken connection would
-    /// be acknowledged with them and hold its slot until the home compares lists. The first grant of
-    /// a home does not tell whether others were lost, as homes begin their sequences anywhere; a
-    /// full report does.
+    /// be acknowledged with them and occupy its slot until the home compares the lists of grants. The
+    /// first grant of a home does not show whether earlier ones were lost, as homes start their
+    /// sequences at any number, so a full report is sent then.
     pub(super) fn return_missing(&mut self, grant: &Grant) {
         if self.grants_received == 0 {
             self.full_report_requested = true;
@@ -63,8 +64,8 @@
         }));
     }
 
-    /// Takes the next request that a grant can be used for: of the class meant, or else of the
-    /// account's other class, so that no slot idles while the account waits.
+    /// Takes the next request that a grant can serve: of the class of the grant, or else of the other
+    /// class of the account, so that no slot idles while the account waits.
     pub fn pop_for_grant(&mut self, grant: &Grant) -> Option<RequestKey> {
         let others = CLASSES_BY_PRIORITY
             .into_iter()
@@ -88,18 +89,17 @@
         None
     }
 
-    /// Gives back a grant that cannot be used.
+    /// Returns a grant that no request can use.
     pub fn return_unused(&mut self, grant: &Grant) {
         self.ended_grants.push(grant.id.clone());
         self.has_urgent_changes = true;
     }
 
-    /// Records that a grant is in use. `cost_tokens` is what one of its requests is expected to
-    /// cost.
+    /// Records that a grant is in use. `cost_tokens` is the expected cost of one of its requests.
     pub fn hold(&mut self, now: Duration, grant: &Grant, cost_tokens: u64) {
         let requests = self.run_times.bundle_size(&grant.account, self.grant_span);
-        let left = (requests - 1).min(self.waiting_of_account(&grant.account));
-        let estimate_tokens = cost_tokens * u64::from(left + 1);
+        let further = (requests - 1).min(self.waiting_of_account(&grant.account));
+        let estimate_tokens = cost_tokens * u64::from(further + 1);
         let holding = Holding {
             grant: grant.id.clone(),
             endpoint: grant.endpoint.clone(),
@@ -112,11 +112,11 @@
             started_at: now,
             reusable_until: now + self.grant_span,
         });
-        // The home charged the cost that it was told with the demand. Naming each grant again would
-        // be a third of all control traffic, so only a cost that turned out otherwise does.
-        let told = self.reported_lanes.get(&lane(&grant.account, grant.class));
-        let told_tokens = told.map_or(0, |told| told.cost_tokens);
-        if estimate_tokens.abs_diff(told_tokens) > told_tokens / COST_TOLERANCE_DIVISOR {
+        // The home charged the cost reported with the demand. Listing each grant again would be a
+        // third of all control traffic, so a grant is listed only if its cost differs from that.
+        let reported = self.reported_lanes.get(&lane(&grant.account, grant.class));
+        let reported_tokens = reported.map_or(0, |lane| lane.cost_tokens);
+        if estimate_tokens.abs_diff(reported_tokens) > reported_tokens / COST_TOLERANCE_DIVISOR {
             self.held_grants.mark_changed(&grant.id);
         }
     }
@@ -136,10 +136,11 @@
         Some((key, endpoint))
     }
 
-    /// Raises what a grant in use is expected to cost, once its request has received more than that.
+    /// Raises the estimated cost of a grant in use once its request has received more service than
+    /// that.
     ///
-    /// A request that runs far over its estimate would keep its account at the front of the order
-    /// until it ends, and the account would be served too much meanwhile.
+    /// Otherwise a request that runs far over its estimate keeps its account at the front of the
+    /// order until it ends, and the account gets too much service meanwhile.
     pub fn raise_estimate(&mut self, grant: &GrantId, charged_tokens: u64) {
         let Some(held) = self.held_grants.get_mut(grant) else {
             return;
@@ -150,7 +151,8 @@
         }
     }
 
-    /// Adds what a request received under a grant, and returns the endpoint that served it.
+    /// Charges the service that a request received under a grant, and returns the endpoint that
+    /// served it.
     pub fn settle(
         &mut self,
         grant: &GrantId,
@@ -166,9 +168,9 @@
         Some(endpoint)
     }
 
-    /// Ends a grant. The home is told at once when others wait for slots, or when the grant was
-    /// short: slots of short grants told of late would seem occupied most of the time, and callers
-    /// would wait at half load.
+    /// Ends a grant. The end is reported at once when other requests wait for slots, or when the
+    /// grant was short. If the ends of short grants were reported late, their slots would seem
+    /// occupied most of the time, and callers would wait at half load.
     pub fn release(&mut self, now: Duration, grant: &GrantId) {
         let held = self.held_grants.remove(grant);
         let was_long = held.is_some_and(|held| now >= held.started_at + LONG_GRANT_DURATION);
--- a/crates/coordination/src/entry_pool/reports.rs
+++ b/crates/coordination/src/entry_pool/reports.rs
@@ -1,4 +1,4 @@
-//! What the home of a pool is told, and how soon.
+//! Reports of an entry router to the home of a pool, and their urgency.
 
 use sedgeridge_state::ids::Member;
 
@@ -14,7 +14,7 @@
 use crate::pool_messages::Served;
 
 impl EntryPool {
-    /// Tells how soon the home has to be told something.
+    /// Returns how soon the pending changes must be reported to the home.
     pub fn urgency(&self) -> Urgency {
         if self.home.is_none() {
             return Urgency::None;
@@ -31,7 +31,8 @@
         if lazy { Urgency::Lazy } else { Urgency::None }
     }
 
-    /// Makes the report that the home is due, if any. `head` gives the facts of a waiting request.
+    /// Returns the next report and the home that it goes to, if there are changes. `head` returns cost
+    /// and prefix of a waiting request.
     pub fn report(
         &mut self,
         from: &Member,
@@ -77,8 +78,8 @@
         Some((home, report))
     }
 
-    /// Takes the results if they are due: whole answers can wait for the next lazy report, failures
-    /// cannot.
+    /// Takes the results of attempts if they are due: whole answers can wait for the next lazy report,
+    /// failures cannot.
     pub(super) fn take_due_results(&mut self, min_urgency: Urgency) -> Vec<EndpointResult> {
         if min_urgency == Urgency::Lazy || self.attempt_results.has_failures() {
             self.attempt_results.take()
@@ -95,41 +96,44 @@
             .extend(self.served_tokens.keys().cloned());
     }
 
-    /// Notes what the home is told of a lane; leaves out what it knows already.
+    /// Records the reported demand of a lane; returns nothing when the home already knows that the
+    /// lane is empty.
     pub(super) fn record_reported_lane(
         &mut self,
         demand: Demand,
         lane: &Lane,
         full: bool,
     ) -> Option<Demand> {
-        let known = self.reported_lanes.get(lane).copied().unwrap_or_default();
-        if !full && known.waiting == 0 && demand.waiting == 0 {
+        let previous = self.reported_lanes.get(lane).copied().unwrap_or_default();
+        if !full && previous.waiting == 0 && demand.waiting == 0 {
             return None;
         }
         if demand.waiting == 0 {
             self.reported_lanes.remove(lane);
         } else {
-            let told = ReportedLane {
+            let reported = ReportedLane {
                 waiting: demand.waiting,
                 granted: 0,
                 cost_tokens: demand.head_cost_tokens,
             };
-            self.reported_lanes.insert(lane.clone(), told);
+            self.reported_lanes.insert(lane.clone(), reported);
         }
         Some(demand)
     }
 
-    /// Notes that a lane changed. It is urgent when the home believes that nothing waits there.
+    /// Records that a lane changed. The change is urgent if requests wait there while the home
+    /// assumes that none do.
     pub(super) fn mark_lane_changed(&mut self, lane: Lane) {
-        let told = self.reported_lanes.get(&lane).copied().unwrap_or_default();
-        if told.waiting <= told.granted && self.queue.lane_len(&lane) > 0 {
+        let reported = self.reported_lanes.get(&lane).copied().unwrap_or_default();
+        if reported.waiting <= reported.granted && self.queue.lane_len(&lane) > 0 {
             self.has_urgent_changes = true;
         }
         self.changed_lanes.insert(lane);
     }
 
-    /// Counts a lane in bundles. Requests that grants in use will come to are counted as well: an
-    /// account that seems to wait for nothing meanwhile would lose what it is owed each time.
+    /// Returns the demand of a lane, in bundles of requests that one grant covers. Requests that
+    /// grants in use will reach are counted as well. Without them the account would seem to have no
+    /// demand meanwhile, and would lose the service it is owed each time.
     pub(super) fn demand(
         &self,
         lane: &Lane,
--- a/crates/coordination/src/entry_queue.rs
+++ b/crates/coordination/src/entry_queue.rs
@@ -8,12 +8,12 @@
 
 use crate::entry_events::RequestKey;
 
-/// Where a request waits: its account and its class.
+/// Queue of one client account and class.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Lane {
     /// The client account.
     pub account: AccountId,
-    /// Rank within the account.
+    /// Priority class within the account.
     pub class: RequestClass,
 }
 
@@ -44,13 +44,13 @@
         self.waiting += 1;
     }
 
-    /// Puts a request that was already served in part before all others of its lane.
+    /// Puts a request that was delayed first in its lane.
     pub fn push_front(&mut self, lane: Lane, key: RequestKey) {
         self.lanes.entry(lane).or_default().push_front(key);
         self.waiting += 1;
     }
 
-    /// Takes the first request of a lane.
+    /// Removes and returns the first request of a lane.
     pub fn pop(&mut self, lane: &Lane) -> Option<RequestKey> {
         let requests = self.lanes.get_mut(lane)?;
         let key = requests.pop_front()?;
@@ -61,7 +61,7 @@
         Some(key)
     }
 
-    /// Takes one request out of a lane, wherever it stands.
+    /// Removes a request from any position in a lane; false when it is not there.
     pub fn remove(&mut self, lane: &Lane, key: RequestKey) -> bool {
         let Some(requests) = self.lanes.get_mut(lane) else {
             return false;
@@ -82,19 +82,19 @@
         self.lanes.get(lane)?.front().copied()
     }
 
-    /// Counts the requests that wait in a lane.
+    /// Returns the number of requests in a lane.
     pub fn lane_len(&self, lane: &Lane) -> u32 {
         self.lanes
             .get(lane)
             .map_or(0, |requests| requests.len() as u32)
     }
 
-    /// Counts all requests that wait.
+    /// Returns the number of requests in all lanes.
     pub fn waiting(&self) -> u32 {
         self.waiting
     }
 
-    /// Lists the lanes in which requests wait.
+    /// Returns the lanes that have requests.
     pub fn lanes(&self) -> impl Iterator<Item = &Lane> {
         self.lanes.keys()
     }
--- a/crates/coordination/src/entry_record.rs
+++ b/crates/coordination/src/entry_record.rs
@@ -1,4 +1,4 @@
-//! What the home of a pool keeps of one entry router.
+//! State that the home of a pool keeps for one entry router.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,14 +8,14 @@
 
 use crate::pool_messages::GrantId;
 
-/// How far a grant got.
+/// Progress of a grant.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum GrantStage {
-    /// Sent; not seen by the router as far as is known. Occupies its slot.
+    /// Sent but not acknowledged. Occupies its slot.
     Sent { expires_at: Duration },
     /// Not acknowledged in time. Its slot was returned.
     TimedOut,
-    /// Seen by the router. Occupies its slot until it ends.
+    /// Received by the router. Occupies its slot until it ends.
     Acknowledged,
 }
 
@@ -35,18 +35,18 @@
     pub(crate) member: Member,
     /// Site of its host, if known.
     pub(crate) site: Option<usize>,
-    /// Sequence of the last report; `None` until a full one came.
+    /// Sequence of the last report; `None` until a full report arrives.
     pub(crate) last_sequence: Option<u64>,
     pub(crate) last_full_at: Duration,
-    /// When a full report was asked for that has not come.
+    /// Time of the request for a full report that has not arrived yet.
     pub(crate) full_report_requested_at: Option<Duration>,
-    /// Whether its reports named what the configuration here does not know yet.
+    /// Whether its reports named accounts or endpoints that the configuration here does not contain.
     pub(crate) has_unknown_names: bool,
     pub(crate) grants_received: u64,
     pub(crate) last_grant_sequence: u64,
-    /// Grants of this home by sequence.
+    /// Grants of this home that have not ended, by sequence.
     pub(crate) own_grants: BTreeMap<u64, GrantRecord>,
-    /// Grants of earlier homes.
+    /// Grants of earlier homes that have not ended.
     pub(crate) foreign_grants: BTreeMap<GrantId, GrantRecord>,
 }
 
--- a/crates/coordination/src/entry_table.rs
+++ b/crates/coordination/src/entry_table.rs
@@ -1,4 +1,4 @@
-//! Entry routers known to the home of a pool, and which of their reports may be taken.
+//! Entry routers known to the home of a pool, and the check whether a report is accepted.
 
 use sedgeridge_state::ids::HostId;
 use sedgeridge_state::ids::Member;
@@ -8,15 +8,15 @@
 use crate::name_index::NameIndex;
 use crate::pool_messages::EntryReport;
 
-/// A report that is not taken.
+/// Rejection of a report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct ReportRejection {
     pub(crate) reason: RejectionReason,
-    /// Whether a full report would help.
+    /// Whether a full report would be accepted instead.
     pub(crate) needs_full_report: bool,
 }
 
-/// A report that may be taken.
+/// Acceptance of a report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ReportAdmission {
     /// From the run that is known at this index.
@@ -25,7 +25,7 @@
     Restarted(usize),
 }
 
-/// Entry routers by index; the index of a host that left is used again.
+/// Entry routers by index; the index of a host that left is reused.
 #[derive(Debug, Default)]
 pub(crate) struct EntryTable {
     records: Vec<Option<EntryRecord>>,
@@ -78,13 +78,13 @@
         }
     }
 
-    /// Whether every known router has sent a full report.
+    /// Tells whether every known router has sent a full report.
     pub(crate) fn all_reported(&self) -> bool {
         let mut live = self.records.iter().flatten();
         live.all(|record| record.last_sequence.is_some())
     }
 
-    /// Decides by sender and sequence whether a report is taken.
+    /// Decides by sender and sequence whether a report is accepted.
     pub(crate) fn admit(&self, report: &EntryReport) -> Result<ReportAdmission, ReportRejection> {
         let Some(router) = self.find(&report.from.host) else {
             return Err(rejection(RejectionReason::NotAMember, !report.full));
--- a/crates/coordination/src/grant_slots.rs
+++ b/crates/coordination/src/grant_slots.rs
@@ -1,4 +1,4 @@
-//! How the home of a pool grants free slots, and takes back what was lost.
+//! Granting of free slots by the home of a pool, and expiry of grants that were not acknowledged.
 
 use std::time::Duration;
 
@@ -18,18 +18,18 @@
 impl PoolHome {
     /// Starts granting once the slots in use are known.
     ///
-    /// A new home that grants at once hands out slots that still run requests granted by the home
-    /// before it: endpoints get up to twice their load at each rehoming. Every live member lists
-    /// its grants in use in its full report, so when all have come no slot in use is unknown. A
-    /// member that stays silent may hold its reports back for the gather time at most; what it
-    /// holds is then over-admitted until its report arrives.
+    /// If a new home granted at once, it would grant slots that still run requests granted by the
+    /// previous home, and endpoints would get up to twice their load after each change of home. Every
+    /// live member lists its grants in use in its full report, so once all reports have arrived, all
+    /// slots in use are known. The home waits for silent members for the gather timeout at most; the
+    /// slots that they use may then be granted twice until their reports arrive.
     pub(crate) fn finish_gathering(&mut self, now: Duration) {
         if self.granting || !self.configured {
             return;
         }
         let started_at = self.started_at.unwrap_or(now);
-        let waited = now >= started_at + millis(self.settings.gather_timeout_ms);
-        self.granting = waited || (self.members_known && self.entries.all_reported());
+        let is_timed_out = now >= started_at + millis(self.settings.gather_timeout_ms);
+        self.granting = is_timed_out || (self.members_known && self.entries.all_reported());
     }
 
     pub(crate) fn grant_free_slots(&mut self, now: Duration, actions: &mut Vec<HomeAction>) {
@@ -61,7 +61,7 @@
         endpoint: usize,
         estimate_tokens: u64,
     ) -> HomeAction {
-        let at = now + millis(self.settings.grant_timeout_ms);
+        let expires_at = now + millis(self.settings.grant_timeout_ms);
         let record = self.entries.record_mut(key.router);
         record.last_grant_sequence += 1;
         let sequence = record.last_grant_sequence;
@@ -71,12 +71,12 @@
             class: key.class,
             endpoint,
             estimate_tokens,
-            stage: GrantStage::Sent { expires_at: at },
+            stage: GrantStage::Sent { expires_at },
         };
         record.own_grants.insert(sequence, held);
         let to = record.member.clone();
         self.expiries.push_back(Expiry {
-            at,
+            at: expires_at,
             router: key.router,
             sequence,
         });
@@ -100,10 +100,10 @@
         HomeAction::Grant { to, grant }
     }
 
-    /// Returns the slots of grants that were not acknowledged in time.
+    /// Frees the slots of grants that were not acknowledged in time.
     ///
-    /// A lost grant would keep its slot idle for good while work waits. Its router gets no further
-    /// grant until it reports, else each grant to an unreachable router idles a slot anew.
+    /// Otherwise a lost grant would keep its slot idle forever while work waits. The router gets no
+    /// further grant until it reports, as each grant to an unreachable router would idle a slot again.
     pub(crate) fn expire_grants(&mut self, now: Duration, actions: &mut Vec<HomeAction>) {
         while self.expiries.front().is_some_and(|first| first.at <= now) {
             let Some(Expiry {
--- a/crates/coordination/src/held_grants.rs
+++ b/crates/coordination/src/held_grants.rs
@@ -1,4 +1,4 @@
-//! The grants that an entry router uses, and what is left of each.
+//! Grants in use at an entry router, and the requests that each still covers.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -7,16 +7,16 @@
 use crate::pool_messages::GrantId;
 use crate::pool_messages::Holding;
 
-/// A grant in use: it covers a few short requests of one account, one after the other.
+/// A grant in use. It covers one request or several short ones of one account, one after another.
 #[derive(Debug)]
 pub(crate) struct HeldGrant {
-    /// What the home is told of it.
+    /// The grant as reported to the home.
     pub(crate) holding: Holding,
-    /// Requests that it still covers beside the one that runs.
+    /// Number of requests still covered, besides the running one.
     pub(crate) remaining_requests: u32,
-    /// When it came into use.
+    /// Time of its first use.
     pub(crate) started_at: Duration,
-    /// Time from which on it covers no further request.
+    /// Time after which it covers no further request.
     pub(crate) reusable_until: Duration,
 }
 
@@ -45,7 +45,7 @@
         self.grants.remove(id)
     }
 
-    /// Takes one further request from a grant; false when it covers none any more.
+    /// Counts one further request against a grant; false when the grant covers no more.
     pub(crate) fn try_reuse(&mut self, now: Duration, id: &GrantId) -> bool {
         let Some(held) = self.grants.get_mut(id) else {
             return false;
@@ -57,7 +57,7 @@
         true
     }
 
-    /// Notes that the home knows an estimate that is no longer right.
+    /// Marks a grant whose estimate at the home is outdated.
     pub(crate) fn mark_changed(&mut self, id: &GrantId) {
         self.changed.insert(id.clone());
     }
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -1,19 +1,20 @@
-//! Every decision of the fleet, free of I/O: events, the time and a seed go in, actions come out.
+//! Decision logic of the fleet without I/O: the inputs are events, the time and a seed, the outputs
+//! are actions.
 //!
-//! Each part has one entry form, `part.handle(now, event, &mut actions)`. `now` is the time since
-//! the process started, read from a [`clock::Clock`] at the edge. Iteration order is fixed, so the
-//! same inputs always give the same actions.
+//! Each part is called as `part.handle(now, event, &mut actions)`. `now` is the time since the
+//! process started; the calling program reads it from a [`clock::Clock`]. Iteration order is fixed,
+//! so the same inputs always give the same actions.
 //!
-//! Where to begin: [`node::Node`] is all decisions of one router, and
-//! [`coordinator::Coordinator`] those of the host that gives orders to engines. They are made of
+//! [`node::Node`] makes all decisions of one router, and [`coordinator::Coordinator`] those of the
+//! host that sends orders to engines. They consist of these parts:
 //!
 //! | part | modules |
 //! | --- | --- |
-//! | callers' requests at one router | [`entry`], [`entry_pool`], [`entry_queue`], [`limits`], [`account_ceilings`], [`drain_rate`], [`cost_estimate`], [`run_times`], [`retry_budget`], [`quarantine`], [`refusal`] |
-//! | order and grants of a pool | [`pool_home`], [`pool_messages`], [`fair_order`], [`service_ledger`], [`rendezvous`], [`report_schedule`] |
+//! | requests of callers at one router | [`entry`], [`entry_pool`], [`entry_queue`], [`limits`], [`account_ceilings`], [`drain_rate`], [`cost_estimate`], [`run_times`], [`retry_budget`], [`quarantine`], [`refusal`] |
+//! | queue order and slot grants of a pool | [`pool_home`], [`pool_messages`], [`fair_order`], [`service_ledger`], [`rendezvous`], [`report_schedule`] |
 //! | health of a pool's endpoints | [`endpoint_health`], [`breaker`], [`slot_budget`], [`attempt_results`] |
-//! | the fleet's members | [`membership`] |
-//! | what must last | [`claims`], [`claim_sweep`], [`lease`], [`orders`], [`config_adoption`], [`store_call`] |
+//! | members of the fleet | [`membership`] |
+//! | state in the table service | [`claims`], [`claim_sweep`], [`lease`], [`orders`], [`config_adoption`], [`store_call`] |
 
 pub mod account_ceilings;
 pub mod attempt_results;
--- a/crates/coordination/src/limits.rs
+++ b/crates/coordination/src/limits.rs
@@ -1,7 +1,7 @@
-//! Admission: whether a request joins the queue of its router, or is refused at once.
+//! Admission control: whether a request joins the queue of its router, or is refused at once.
 //!
-//! Requests in the queue are counted by their owner and passed in with each call, so that a missed
-//! event can't leave a count behind that refuses callers for ever.
+//! The owner of the queue counts its requests and passes the counts with each call, so that a missed
+//! event can't leave a wrong count that refuses callers forever.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,11 +14,11 @@
 use crate::random::SeededRandom;
 use crate::refusal::RefusalReason;
 
-/// Shortest time after which a refused caller is asked back.
+/// Shortest retry delay returned to a refused caller.
 const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
-/// Longest time after which a refused caller is asked back, before the jitter of up to a half.
+/// Longest retry delay returned to a refused caller, before the jitter of up to one half.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(60);
-/// Longest wait that is estimated; above it, it only matters that it is long.
+/// Upper bound of the estimated wait; beyond it the exact value does not matter.
 const MAX_ESTIMATED_WAIT: Duration = Duration::from_secs(3_600);
 
 /// A request that asks to join the queue.
@@ -28,9 +28,9 @@
     pub account: &'a AccountId,
     /// Pool that runs the service.
     pub pool: &'a PoolId,
-    /// Requests that wait in this router, over all pools.
+    /// Waiting requests in this router, over all pools.
     pub waiting: u32,
-    /// Requests of the account that wait in this router, over all pools.
+    /// Waiting requests of the account in this router, over all pools.
     pub waiting_of_account: u32,
     /// Requests of the account for this pool that would go before this one.
     pub requests_ahead: u32,
@@ -38,16 +38,16 @@
     pub backlogged_accounts: u32,
     /// Deadline on the clock of `now`.
     pub deadline: Duration,
-    /// Least time that the run itself takes; zero when unknown.
+    /// Run time that the request is expected to need at least; zero when unknown.
     pub min_run_time: Duration,
 }
 
-/// A refusal, with the time after which the caller is asked back.
+/// A refusal, with the time after which the caller may retry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
+    /// Reason of the refusal.
     pub reason: RefusalReason,
-    /// When to come back; header values are rounded up to whole seconds.
+    /// Time after which the caller may retry; header values are rounded up to whole seconds.
     pub retry_after: Option<Duration>,
 }
 
@@ -92,7 +92,7 @@
 }
 
 impl Admission {
-    /// Creates the admission of a router; `seed` feeds the jitter.
+    /// Creates the admission of a router; `seed` seeds the jitter.
     pub fn new(settings: FrontSettings, seed: u64) -> Self {
         Self {
             settings,
@@ -102,12 +102,12 @@
         }
     }
 
-    /// Adopts changed settings; measured rates stay.
+    /// Applies changed settings; measured rates are kept.
     pub fn configure(&mut self, settings: FrontSettings) {
         self.settings = settings;
     }
 
-    /// Decides whether a request may wait; an admitted one is reported with
+    /// Decides whether a request may wait; the caller then reports an admitted one with
     /// [`record_queued`](Self::record_queued).
     pub fn admit(&mut self, now: Duration, arrival: AdmissionRequest<'_>) -> Result<(), Refusal> {
         let Some(reason) = self.refusal_reason(now, arrival) else {
@@ -115,14 +115,14 @@
         };
         let wait = self.estimated_wait(now, arrival).unwrap_or_default();
         let left = arrival.deadline.saturating_sub(now + arrival.min_run_time);
-        let too_long_by = wait.saturating_sub(left);
-        Err(self.refuse(now, reason, arrival.pool, arrival.account, too_long_by))
+        let excess_wait = wait.saturating_sub(left);
+        Err(self.refuse(now, reason, arrival.pool, arrival.account, excess_wait))
     }
 
-    /// Makes the refusal of a request for any reason.
+    /// Creates the refusal of a request for any reason.
     ///
-    /// Callers refused from the same queue are asked back one gap of the drain rate after another:
-    /// asked back all at once, they would find the queue full again and be refused together.
+    /// The retry delays of callers refused from the same queue are one gap of the drain rate apart.
+    /// If all returned at once, they would find the queue full and be refused again together.
     ///
     /// ```
     /// use std::time::Duration;
@@ -158,13 +158,13 @@
         }
     }
 
-    /// Notes that a request of `account` joined the queue for `pool`.
+    /// Records that a request of `account` joined the queue for `pool`.
     pub fn record_queued(&mut self, now: Duration, pool: &PoolId, account: &AccountId) {
         self.pool(pool).rate.record_queued(now);
         self.account(pool, account).rate.record_queued(now);
     }
 
-    /// Notes that a request left the queue to run, and how many wait for `pool` after it.
+    /// Records that a request left the queue to run, and how many still wait.
     ///
     /// ```
     /// use std::time::Duration;
@@ -192,7 +192,7 @@
         queue.rate.record_started(now, waiting_of_account > 0);
     }
 
-    /// Notes that a waiting request left without having run: cancelled, or past its deadline.
+    /// Records that a waiting request left without having run, for example past its deadline.
     pub fn record_left(
         &mut self,
         now: Duration,
@@ -209,14 +209,14 @@
         }
     }
 
-    /// Forgets queues in which nobody waited for a long time. Called now and then.
+    /// Removes queues in which no request waited for a long time. Called periodically.
     pub fn forget_stale(&mut self, now: Duration) {
         let in_use = |queue: &QueueRate| !queue.rate.is_stale(now) || queue.next_return_at > now;
         self.accounts.retain(|_, queue| in_use(queue));
         self.pools.retain(|_, queue| in_use(queue));
     }
 
-    /// Estimates how long a request would wait; nothing while too little is known.
+    /// Estimates how long a request would wait; `None` while too few starts were measured.
     ///
     /// ```
     /// use std::time::Duration;
@@ -258,9 +258,9 @@
         if arrival.waiting_of_account >= self.settings.max_queue_per_account {
             return Some(RefusalReason::AccountQueueFull);
         }
-        // After an outage the measured gap is longer than any deadline. If that refused the only
-        // request of an account, nothing would start, the gap would never be measured again and
-        // the account would be shut out for good. So the first in line is always let in.
+        // After an outage the measured gap is longer than any deadline. If the only request of an
+        // account were refused for that, nothing would start, the gap would never be measured again,
+        // and the account would be refused forever. So the first request in line is always admitted.
         if arrival.requests_ahead == 0 {
             return None;
         }
@@ -269,7 +269,7 @@
         (!in_time).then_some(RefusalReason::DeadlineUnreachable)
     }
 
-    // An account that was not seen waiting yet is expected to get an equal part of its pool.
+    // An account without a measurement is expected to get an equal share of the rate of its pool.
     fn expected_account_gap(
         &self,
         now: Duration,
@@ -309,11 +309,11 @@
         self.add_jitter(return_at - now)
     }
 
-    // Callers refused in the same instant, also by different routers, come back apart.
+    // Spreads the retries of callers refused at the same time, also by different routers.
     fn add_jitter(&mut self, after: Duration) -> Duration {
         let after = after.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER);
-        let most_us = u64::try_from(after.as_micros() / 2).unwrap_or(u64::MAX);
-        after + Duration::from_micros(self.random.below(most_us))
+        let max_jitter_us = u64::try_from(after.as_micros() / 2).unwrap_or(u64::MAX);
+        after + Duration::from_micros(self.random.below(max_jitter_us))
     }
 
     fn pool(&mut self, pool: &PoolId) -> &mut QueueRate {
--- a/crates/coordination/src/name_index.rs
+++ b/crates/coordination/src/name_index.rs
@@ -1,11 +1,11 @@
-//! Finds the index of a name in constant time.
+//! Hash table from names to indices.
 
 use std::collections::HashMap;
 use std::hash::BuildHasherDefault;
 use std::hash::Hash;
 use std::hash::Hasher;
 
-/// Index by name. It is only looked up, never iterated: its order means nothing.
+/// Index by name. It is only looked up, never iterated, as its order is arbitrary.
 #[derive(Debug)]
 pub(crate) struct NameIndex<K> {
     indices: HashMap<K, usize, BuildHasherDefault<NameHasher>>,
@@ -33,8 +33,8 @@
     }
 }
 
-/// Multiplies in eight bytes at a time. Names come from the configuration, so nobody outside can
-/// choose them to collide, and no random key is needed.
+/// Multiplicative hash of eight bytes at a time. It needs no random key: names come from the
+/// configuration, so no outsider can choose names that collide.
 #[derive(Debug, Default)]
 pub(crate) struct NameHasher {
     hash: u64,
@@ -54,7 +54,7 @@
     }
 
     fn finish(&self) -> u64 {
-        // The table takes its bucket from the low bits, which a product mixes least.
+        // The table selects the bucket by the low bits, which multiplication mixes least.
         self.hash ^ (self.hash >> 32)
     }
 }
--- a/crates/coordination/src/prefix_affinity.rs
+++ b/crates/coordination/src/prefix_affinity.rs
@@ -1,13 +1,13 @@
-//! Remembers which endpoints served a prompt prefix lately, in bounded memory.
+//! Records in bounded memory which endpoints recently served a prompt prefix.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
 
 use crate::pool_messages::PrefixHash;
 
-/// Prefixes remembered by one home.
+/// Maximum number of prefixes recorded by one home.
 const MAX_PREFIXES: usize = 8_192;
-/// Endpoints remembered for one prefix.
+/// Maximum number of endpoints recorded for one prefix.
 const MAX_ENDPOINTS: usize = 4;
 
 #[derive(Debug, Default)]
@@ -17,7 +17,7 @@
 }
 
 impl PrefixAffinity {
-    /// Returns the endpoints that served `prefix` lately, the latest first.
+    /// Returns the endpoints that recently served `prefix`, the latest first.
     pub(crate) fn recent(&self, prefix: PrefixHash) -> &[usize] {
         self.endpoints.get(&prefix).map_or(&[], Vec::as_slice)
     }
--- a/crates/coordination/src/random.rs
+++ b/crates/coordination/src/random.rs
@@ -1,4 +1,4 @@
-//! A small seeded generator for jitter and sampling; not for secrets.
+//! A small seeded random number generator for jitter and sampling; not for secrets.
 
 /// Generates the same sequence for the same seed (the SplitMix64 algorithm).
 ///
@@ -74,7 +74,7 @@
 /// Increment of SplitMix64.
 const SPLIT_MIX_STEP: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// Finaliser of SplitMix64: spreads a difference in any bit over all bits.
+/// Finaliser of SplitMix64: a difference in any input bit affects all output bits.
 pub(crate) fn mix(mut value: u64) -> u64 {
     value = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     value = (value ^ (value >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/coordination/src/refusal.rs
+++ b/crates/coordination/src/refusal.rs
@@ -1,18 +1,18 @@
-//! Every reason for which the fleet gives a caller something other than a whole answer.
+//! Reasons for which a caller gets something other than a whole answer.
 //!
-//! A refusal is a final answer: it tells at once whether the request ran, and whether it is worth
-//! coming back. The names are stable, since metric labels and the reason header carry them.
+//! A refusal is a final answer. It says whether the request ran, and whether a retry may succeed.
+//! The names are stable, since metric labels and the reason header contain them.
 
 use std::fmt;
 
-/// Whether a request ran, as told to its caller.
+/// Whether a request ran, as reported to its caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Outcome {
     /// The request ran to its end.
     Ran,
     /// No endpoint started the request.
     NotRun,
-    /// The request may have run, in part or as a whole.
+    /// The request may have run, in part or completely.
     Unknown,
 }
 
@@ -33,71 +33,71 @@
     }
 }
 
-/// What a refusal looks like to its caller.
+/// Properties of a refusal that its caller sees.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct RefusalFacts {
+struct RefusalProperties {
     name: &'static str,
     status: u16,
     outcome: Outcome,
-    retry_after: bool,
+    offers_retry_after: bool,
 }
 
-const fn not_run(name: &'static str, status: u16) -> RefusalFacts {
-    RefusalFacts {
+const fn not_run(name: &'static str, status: u16) -> RefusalProperties {
+    RefusalProperties {
         name,
         status,
         outcome: Outcome::NotRun,
-        retry_after: false,
+        offers_retry_after: false,
     }
 }
 
-const fn not_run_yet(name: &'static str, status: u16) -> RefusalFacts {
-    RefusalFacts {
-        retry_after: true,
+const fn not_run_retryable(name: &'static str, status: u16) -> RefusalProperties {
+    RefusalProperties {
+        offers_retry_after: true,
         ..not_run(name, status)
     }
 }
 
-const fn unknown(name: &'static str, status: u16) -> RefusalFacts {
-    RefusalFacts {
+const fn unknown(name: &'static str, status: u16) -> RefusalProperties {
+    RefusalProperties {
         outcome: Outcome::Unknown,
         ..not_run(name, status)
     }
 }
 
-const fn unknown_yet(name: &'static str, status: u16) -> RefusalFacts {
-    RefusalFacts {
-        retry_after: true,
+const fn unknown_retryable(name: &'static str, status: u16) -> RefusalProperties {
+    RefusalProperties {
+        offers_retry_after: true,
         ..unknown(name, status)
     }
 }
 
-/// Why a request got no whole answer.
+/// Reason for which a request got no whole answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum RefusalReason {
     /// The key is missing or names no client account.
     Unauthorized,
-    /// No service has the name asked for.
+    /// No service has the requested name.
     UnknownService,
     /// The path is not served with this method.
     MethodNotAllowed,
     /// The request does not parse, or a header has a wrong value.
     BadRequest,
-    /// The body is larger than the front reads.
+    /// The body exceeds the size limit.
     BodyTooLarge,
     /// The head or body did not arrive in time.
     HeaderTimeout,
-    /// The router has as many caller connections as it may.
+    /// The router has reached its limit of caller connections.
     TooManyConnections,
     /// The router's queue is full.
     QueueFull,
     /// The client account's share of the router's queue is full.
     AccountQueueFull,
-    /// The client account starts more requests a second than it may.
+    /// The client account exceeds its limit of requests started per second.
     RateLimited,
-    /// The client account has as many requests in progress as it may.
+    /// The client account has reached its limit of requests in progress.
     ConcurrencyLimited,
-    /// The estimated wait is longer than the deadline leaves.
+    /// The estimated wait ends after the deadline.
     DeadlineUnreachable,
     /// The deadline passed while the request waited.
     DeadlinePassed,
@@ -123,7 +123,7 @@
     InProgress,
     /// A non-repeatable request may or may not have run.
     OutcomeUnknown,
-    /// The endpoint failed after it was given the request, and no retry was allowed.
+    /// The endpoint failed after it received the request, and no retry was allowed.
     EndpointFailed,
     /// The answer ended early, after part of it had been passed on.
     AnswerIncomplete,
@@ -160,7 +160,7 @@
         Self::AnswerIncomplete,
     ];
 
-    const fn facts(self) -> RefusalFacts {
+    const fn properties(self) -> RefusalProperties {
         match self {
             Self::Unauthorized => not_run("unauthorized", 401),
             Self::UnknownService => not_run("unknown_service", 404),
@@ -168,26 +168,26 @@
             Self::BadRequest => not_run("bad_request", 400),
             Self::BodyTooLarge => not_run("body_too_large", 413),
             Self::HeaderTimeout => not_run("header_timeout", 408),
-            Self::TooManyConnections => not_run_yet("too_many_connections", 503),
-            Self::QueueFull => not_run_yet("queue_full", 503),
-            Self::AccountQueueFull => not_run_yet("account_queue_full", 429),
-            Self::RateLimited => not_run_yet("rate_limited", 429),
-            Self::ConcurrencyLimited => not_run_yet("concurrency_limited", 429),
-            Self::DeadlineUnreachable => not_run_yet("deadline_unreachable", 503),
-            Self::DeadlinePassed => not_run_yet("deadline_passed", 504),
-            Self::DeadlinePassedRunning => unknown_yet("deadline_passed_running", 504),
+            Self::TooManyConnections => not_run_retryable("too_many_connections", 503),
+            Self::QueueFull => not_run_retryable("queue_full", 503),
+            Self::AccountQueueFull => not_run_retryable("account_queue_full", 429),
+            Self::RateLimited => not_run_retryable("rate_limited", 429),
+            Self::ConcurrencyLimited => not_run_retryable("concurrency_limited", 429),
+            Self::DeadlineUnreachable => not_run_retryable("deadline_unreachable", 503),
+            Self::DeadlinePassed => not_run_retryable("deadline_passed", 504),
+            Self::DeadlinePassedRunning => unknown_retryable("deadline_passed_running", 504),
             Self::Quarantined => not_run("quarantined", 422),
-            Self::NoEndpoint => not_run_yet("no_endpoint", 503),
-            Self::EndpointRefused => not_run_yet("endpoint_refused", 503),
-            Self::Draining => not_run_yet("draining", 503),
-            Self::NotReady => not_run_yet("not_ready", 503),
-            Self::StoreUnavailable => not_run_yet("store_unavailable", 503),
+            Self::NoEndpoint => not_run_retryable("no_endpoint", 503),
+            Self::EndpointRefused => not_run_retryable("endpoint_refused", 503),
+            Self::Draining => not_run_retryable("draining", 503),
+            Self::NotReady => not_run_retryable("not_ready", 503),
+            Self::StoreUnavailable => not_run_retryable("store_unavailable", 503),
             Self::KeyMissing => not_run("key_missing", 400),
             Self::KeyConflict => not_run("key_conflict", 422),
-            Self::InProgress => unknown_yet("in_progress", 409),
+            Self::InProgress => unknown_retryable("in_progress", 409),
             Self::OutcomeUnknown => unknown("outcome_unknown", 502),
-            Self::EndpointFailed => unknown_yet("endpoint_failed", 502),
-            Self::AnswerIncomplete => unknown_yet("answer_incomplete", 502),
+            Self::EndpointFailed => unknown_retryable("endpoint_failed", 502),
+            Self::AnswerIncomplete => unknown_retryable("answer_incomplete", 502),
         }
     }
 
@@ -199,7 +199,7 @@
     /// assert_eq!(RefusalReason::QueueFull.as_str(), "queue_full");
     /// ```
     pub fn as_str(self) -> &'static str {
-        self.facts().name
+        self.properties().name
     }
 
     /// Returns the HTTP status.
@@ -210,11 +210,11 @@
     /// assert_eq!(RefusalReason::RateLimited.status(), 429);
     /// ```
     pub fn status(self) -> u16 {
-        self.facts().status
+        self.properties().status
     }
 
-    /// Tells whether a refused request ran that was never attempted; after an attempt that may have
-    /// run, the answer says "unknown" whatever the reason.
+    /// Returns the outcome of a refused request that was never attempted. After an attempt that may
+    /// have run, the answer says "unknown" for every reason.
     ///
     /// ```
     /// use sedgeridge_coordination::refusal::{Outcome, RefusalReason};
@@ -222,10 +222,10 @@
     /// assert_eq!(RefusalReason::QueueFull.outcome(), Outcome::NotRun);
     /// ```
     pub fn outcome(self) -> Outcome {
-        self.facts().outcome
+        self.properties().outcome
     }
 
-    /// Tells whether the answer carries `Retry-After`: the same request may succeed later.
+    /// Tells whether the answer has a `Retry-After` header, as the same request may succeed later.
     ///
     /// ```
     /// use sedgeridge_coordination::refusal::RefusalReason;
@@ -234,7 +234,7 @@
     /// assert!(!RefusalReason::BadRequest.offers_retry_after());
     /// ```
     pub fn offers_retry_after(self) -> bool {
-        self.facts().retry_after
+        self.properties().offers_retry_after
     }
 }
 
--- a/crates/coordination/src/rendezvous.rs
+++ b/crates/coordination/src/rendezvous.rs
@@ -1,7 +1,8 @@
-//! Picks the home of a pool: the live member with the highest hash of (pool, host).
+//! Selects the home of a pool by rendezvous hashing: the live member with the highest hash of
+//! (pool, host).
 //!
-//! Every router works the home out alone, from the members that it believes alive. When a member
-//! comes or goes only the pools homed on it move.
+//! Every router computes the home alone, from the members that it considers alive. When a member
+//! joins or leaves, only the pools homed on it move.
 
 use sedgeridge_state::ids::Member;
 use sedgeridge_state::ids::PoolId;
@@ -32,13 +33,15 @@
 
 fn score(pool: &PoolId, member: &Member) -> u64 {
     let hash = stable_hash(FNV_OFFSET, pool.as_str().as_bytes());
-    // FNV alone leaves the high bits of names that differ in their last byte alike, which would
-    // give one host most pools, so the result is mixed. The separator keeps ("ab", "c") and ("a", "bc") apart.
+    // FNV alone gives names that differ only in their last byte similar high bits, so one host would
+    // get most pools; therefore the result is mixed. The separator distinguishes ("ab", "c") from
+    // ("a", "bc").
     let hash = stable_hash(hash, &[0]);
     mix(stable_hash(hash, member.host.as_str().as_bytes()))
 }
 
-/// FNV-1a: every version and platform must agree on it, which the standard hasher does not promise.
+/// FNV-1a hash. Every version and platform must compute the same value, which the hasher of the
+/// standard library does not guarantee.
 fn stable_hash(seed: u64, bytes: &[u8]) -> u64 {
     bytes.iter().fold(seed, |hash, byte| {
         (hash ^ u64::from(*byte)).wrapping_mul(FNV_PRIME)
--- a/crates/coordination/src/request_table.rs
+++ b/crates/coordination/src/request_table.rs
@@ -1,4 +1,4 @@
-//! The requests that an entry router has in hand, and where each of them stands.
+//! Requests of the callers of an entry router that have no final answer yet, and their attempts.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -12,7 +12,7 @@
 use crate::entry_queue::Lane;
 use crate::pool_messages::GrantId;
 
-/// A request in hand.
+/// A request without a final answer.
 #[derive(Debug)]
 pub(crate) struct Request {
     pub(crate) arrival: Arrival,
@@ -23,14 +23,14 @@
     pub(crate) state: RequestState,
 }
 
-/// Where a request stands.
+/// State of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum RequestState {
     /// In the queue of its pool.
     Queued,
-    /// Put off until this time.
+    /// Queued again at this time.
     Delayed(Duration),
-    /// On an endpoint.
+    /// Running on an endpoint.
     Running,
 }
 
@@ -54,7 +54,7 @@
     }
 }
 
-/// An attempt under way.
+/// A running attempt.
 #[derive(Debug)]
 pub(crate) struct Attempt {
     pub(crate) key: RequestKey,
@@ -62,7 +62,7 @@
     pub(crate) started_at: Duration,
 }
 
-/// Requests in hand, by key, by deadline and by the time until which they are put off.
+/// Requests by key, by deadline and by the time until which they are delayed.
 #[derive(Debug, Default)]
 pub(crate) struct RequestTable {
     requests: BTreeMap<RequestKey, Request>,
@@ -106,7 +106,7 @@
         Some(request)
     }
 
-    /// Counts an account's requests in hand.
+    /// Returns the number of requests of an account that are queued, delayed or running.
     pub(crate) fn in_progress_of_account(&self, account: &AccountId) -> u32 {
         self.in_progress.get(account).copied().unwrap_or(0)
     }
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Takes a request whose time to be queued again has come.
+    /// Takes a delayed request that is due to be queued again.
     pub(crate) fn take_due(&mut self, now: Duration) -> Option<RequestKey> {
         let (until, key) = *self.delayed.first()?;
         if until > now {
@@ -130,7 +130,7 @@
 
     /// Returns a waiting request whose deadline has passed.
     ///
-    /// A running one is ended by its attempt, which knows what already went to the caller.
+    /// A running request is ended by its attempt, which knows what was already sent to the caller.
     pub(crate) fn next_expired(&mut self, now: Duration) -> Option<RequestKey> {
         while let Some((deadline, key)) = self.deadlines.first().copied() {
             if deadline > now {
@@ -144,12 +144,12 @@
         None
     }
 
-    /// Returns when the next put-off request is due.
+    /// Returns the time at which the next delayed request is due.
     pub(crate) fn next_due_at(&self) -> Option<Duration> {
         self.delayed.first().map(|(until, _)| *until)
     }
 
-    /// Lists the requests that were never attempted.
+    /// Returns the requests that were never attempted.
     pub(crate) fn never_attempted(&self) -> Vec<RequestKey> {
         let never_attempted = self.requests.values().filter(|r| r.attempts == 0);
         never_attempted.map(|request| request.arrival.key).collect()
--- a/crates/coordination/src/retry_budget.rs
+++ b/crates/coordination/src/retry_budget.rs
@@ -1,7 +1,7 @@
-//! Decides whether a failed attempt may be repeated, and after how long.
+//! Decides whether a failed attempt is retried, and after which backoff.
 //!
-//! Retries are paid for by successes. While an endpoint or a whole pool fails there are few
-//! successes, so the retries stop by themselves instead of multiplying the load.
+//! Each success adds to the retry budget. While an endpoint or a whole pool fails there are few
+//! successes, so retries run out instead of multiplying the load.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,35 +11,36 @@
 
 use crate::random::SeededRandom;
 
-/// Thousandths of a retry: the unit in which budgets are kept.
+/// Budgets are kept in thousandths of a retry.
 const MILLI_RETRIES_PER_RETRY: u64 = 1_000;
-/// Retries that one account may save up at one router.
+/// Maximum budget of one account at one router.
 const ACCOUNT_CAP_MILLI_RETRIES: u64 = 10 * MILLI_RETRIES_PER_RETRY;
-/// Retries that a router may save up over all accounts.
+/// Maximum budget of a router over all accounts.
 const ROUTER_CAP_MILLI_RETRIES: u64 = 100 * MILLI_RETRIES_PER_RETRY;
-/// Retries that are there without any success: a quiet account still survives one bad endpoint.
+/// Budget of an account without any success, so that an account with little traffic can still retry
+/// after a failure of one endpoint.
 const ACCOUNT_FLOOR_MILLI_RETRIES: u64 = 2 * MILLI_RETRIES_PER_RETRY;
-/// Retries of a router that are there without any success.
+/// Budget of a router without any success.
 const ROUTER_FLOOR_MILLI_RETRIES: u64 = 10 * MILLI_RETRIES_PER_RETRY;
-/// Time in which the floor of a bucket fills up again.
+/// Time in which an empty budget refills to its floor.
 const FLOOR_REFILL_TIME: Duration = Duration::from_secs(20);
 /// Longest backoff.
 const MAX_BACKOFF: Duration = Duration::from_secs(1);
-/// Most doublings of the backoff.
+/// Maximum number of doublings of the backoff.
 const MAX_DOUBLINGS: u32 = 16;
 
-/// Why an attempt is to be repeated.
+/// Failure after which an attempt may be retried.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum RetryReason {
     /// No connection could be opened.
     ConnectFailed,
-    /// The endpoint refused before it started.
+    /// The endpoint refused the request before starting it.
     NotStarted,
     /// The endpoint answered with a server error.
     ServerError,
     /// The connection was lost.
     ConnectionLost,
-    /// The answer went silent.
+    /// No more data of the answer arrived.
     StreamSilent,
     /// The answer belonged to another attempt.
     AnswerCrossed,
@@ -87,14 +88,14 @@
     }
 }
 
-/// A failed attempt whose request may be tried again.
+/// A failed attempt whose request may be retried.
 #[derive(Debug, Clone, Copy)]
 pub struct FailedAttempt<'a> {
     /// The client account.
     pub account: &'a AccountId,
-    /// What went wrong.
+    /// Kind of the failure.
     pub reason: RetryReason,
-    /// Attempts made so far, the failed one included.
+    /// Number of attempts made so far, including the failed one.
     pub attempts: u32,
     /// Whether the request may run more than once.
     pub repeatable: bool,
@@ -102,24 +103,24 @@
     pub deadline: Duration,
 }
 
-/// Whether a further attempt is made.
+/// Decision on a further attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetryDecision {
-    /// Try again after a pause.
+    /// Retry after a delay.
     Retry {
-        /// The pause.
+        /// Delay before the retry.
         backoff: Duration,
     },
     /// Give up.
     Denied(RetryDenial),
 }
 
-/// Why no further attempt is made.
+/// Reason for which no further attempt is made.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum RetryDenial {
-    /// The request may have run and may not be repeated.
+    /// The request may have run and is not repeatable.
     NotRepeatable,
-    /// The request had all its attempts.
+    /// The request used all its attempts.
     AttemptsUsed,
     /// The deadline would pass during the backoff.
     DeadlineNear,
@@ -148,7 +149,7 @@
     }
 }
 
-/// Budget filled by successes, with a floor that refills by time.
+/// Budget that successes fill, with a floor to which it refills over time.
 #[derive(Debug)]
 struct Bucket {
     milli_retries: u64,
@@ -228,7 +229,7 @@
 }
 
 impl RetryBudgets {
-    /// Creates the budgets; `seed` feeds the jitter.
+    /// Creates the budgets; `seed` seeds the jitter.
     pub fn new(settings: RetrySettings, seed: u64) -> Self {
         Self {
             settings,
@@ -239,12 +240,12 @@
         }
     }
 
-    /// Adopts changed settings; what was saved up stays.
+    /// Applies changed settings; the budgets keep their contents.
     pub fn configure(&mut self, settings: RetrySettings) {
         self.settings = settings;
     }
 
-    /// Counts a whole answer given to `account`, which pays for later retries.
+    /// Records a whole answer given to `account`, which adds to its retry budget.
     ///
     /// ```
     /// use std::time::Duration;
@@ -262,7 +263,7 @@
         bucket.deposit(amount);
     }
 
-    /// Decides whether a failed attempt is repeated; a granted retry is paid for at once.
+    /// Decides whether a failed attempt is retried; a retry is withdrawn from the budgets at once.
     ///
     /// Each decision is counted, see [`counts`](Self::counts).
     ///
@@ -298,7 +299,7 @@
         decision
     }
 
-    /// Returns how often each reason was decided in which way; no denial means a retry.
+    /// Returns the number of decisions by reason and by denial; no denial means a retry.
     ///
     /// ```
     /// use sedgeridge_coordination::retry_budget::RetryBudgets;
@@ -332,7 +333,7 @@
         Ok(backoff)
     }
 
-    /// Drops the budgets of accounts that no longer exist.
+    /// Removes the budgets of accounts that no longer exist.
     ///
     /// ```
     /// use sedgeridge_coordination::retry_budget::RetryBudgets;
@@ -345,8 +346,9 @@
         self.accounts.retain(|account, _| exists(account));
     }
 
-    // A full-jitter backoff would let a retry go out at once, into the restart it should wait for;
-    // half of the time is fixed and half is random, which still parts callers that failed together.
+    // Half of the backoff is fixed and half is random. With full jitter a retry could be sent at once,
+    // into the restart that it should wait for; the random half still spreads callers that failed
+    // together.
     fn backoff(&mut self, attempts: u32) -> Duration {
         let doublings = attempts.saturating_sub(1).min(MAX_DOUBLINGS);
         let full = Duration::from_millis(self.settings.base_backoff_ms)
--- a/crates/coordination/src/run_times.rs
+++ b/crates/coordination/src/run_times.rs
@@ -1,16 +1,17 @@
-//! How long the requests of each client account run, to size the bundles that one grant covers.
+//! Mean run time of the requests of each client account, which gives the size of the bundles of
+//! requests that one grant covers.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use sedgeridge_state::ids::AccountId;
 
-/// Weight of the past against the newest run, as a divisor.
+/// Divisor that gives the weight of the newest run.
 const LEARNING_DIVISOR: u32 = 8;
-/// Most requests that one grant covers.
+/// Maximum number of requests that one grant covers.
 const MAX_BUNDLE_REQUESTS: u32 = 32;
 
-/// Mean run time of each account's requests in one pool.
+/// Mean run time of the requests of each account in one pool.
 ///
 /// ```
 /// use std::time::Duration;
@@ -30,14 +31,14 @@
 }
 
 impl RunTimes {
-    /// Learns from a request that ran to its end.
+    /// Adds the run time of a request that ran to its end.
     pub fn learn(&mut self, account: &AccountId, run: Duration) {
         let mean = self.means.entry(account.clone()).or_insert(run);
         *mean = (*mean * (LEARNING_DIVISOR - 1) + run) / LEARNING_DIVISOR;
     }
 
-    /// Returns a time in which hardly a request of the account runs: half of the mean; zero while
-    /// nothing is known.
+    /// Returns a run time that few requests of the account stay below: half of the mean, or zero
+    /// while none is known.
     ///
     /// ```
     /// use std::time::Duration;
@@ -53,8 +54,8 @@
             .map_or(Duration::ZERO, |mean| *mean / 2)
     }
 
-    /// Returns how many requests of an account run within `span`, one after the other; one while
-    /// nothing is known.
+    /// Returns how many requests of an account run within `span`, one after another; one while no run
+    /// time is known.
     pub fn bundle_size(&self, account: &AccountId, span: Duration) -> u32 {
         let Some(mean) = self.means.get(account) else {
             return 1;
--- a/crates/coordination/tests/docs_pages.rs
+++ b/crates/coordination/tests/docs_pages.rs
@@ -1,13 +1,13 @@
-//! The pages name what exists: tests, files and notes.
+//! Checks that the tests, files and notes that the pages refer to exist.
 
 use std::fs;
 use std::path::Path;
 use std::path::PathBuf;
 
 const ROOT: &str = "../..";
-const TEST_NAME_MARK: &str = "::";
+const TEST_NAME_SEPARATOR: &str = "::";
 
-/// A test is renamed or taken out, and the page of proofs goes on calling its line shown.
+/// Guards against a test that is renamed or removed while the page of proofs still refers to it.
 #[test]
 fn every_test_named_as_a_proof_exists() {
     let page = read(&root().join("docs/PROOFS.md"));
@@ -28,7 +28,7 @@
     }
 }
 
-/// A newcomer looks for a decision in the index, does not find it and decides again.
+/// Guards against a design note that is missing from the index, so that readers don't find it.
 #[test]
 fn every_design_note_is_in_the_index() {
     let notes = root().join("docs/design");
@@ -40,9 +40,9 @@
     }
 }
 
-/// A link that leads nowhere ends the search of whoever follows it during an incident.
+/// Guards against dead links, which stop an operator who follows them during an incident.
 #[test]
-fn every_link_between_pages_leads_somewhere() {
+fn every_link_between_pages_has_a_target() {
     let mut pages = files(&root().join("docs"), "md");
     pages.push(root().join("README.md"));
     pages.push(root().join("config/README.md"));
@@ -76,19 +76,19 @@
     found
 }
 
-/// Returns the texts between backticks.
+/// Returns the texts in backticks.
 fn quoted(page: &str) -> impl Iterator<Item = &str> {
     page.lines()
         .flat_map(|line| line.split('`').skip(1).step_by(2))
 }
 
-/// Returns the name in `file.rs::name` and `::name`; paths of types have another file before them.
+/// Returns the test name in `file.rs::name` and `::name`; other paths with `::` are paths of types.
 fn test_name(quote: &str) -> Option<&str> {
-    let (file, name) = quote.split_once(TEST_NAME_MARK)?;
+    let (file, name) = quote.split_once(TEST_NAME_SEPARATOR)?;
     (file.is_empty() || file.ends_with(".rs")).then_some(name)
 }
 
-/// Returns the targets of links to other files, without the part of the page.
+/// Returns the targets of links to other files, without the fragment after `#`.
 fn links(page: &str) -> impl Iterator<Item = &str> {
     let targets = page.split("](").skip(1);
     let targets = targets.filter_map(|rest| rest.split(')').next());
--- a/crates/coordination/tests/docs_refusals.rs
+++ b/crates/coordination/tests/docs_refusals.rs
@@ -1,4 +1,4 @@
-//! The operators' table of refusals says what the code does.
+//! Checks that the table of refusals for operators agrees with the code.
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -7,39 +7,38 @@
 use sedgeridge_coordination::refusal::RefusalReason;
 
 const PAGE: &str = "../../docs/OPERATIONS.md";
-const MARK: &str = "<!-- refusals:";
-/// Lines between the mark and the first row: the mark itself, the header and its rule.
+const TABLE_MARKER: &str = "<!-- refusals:";
+/// Lines before the first row: the marker, the table header and its separator.
 const HEADING_LINES: usize = 3;
-/// Cells that are facts; the two after them are advice in words.
-const FACT_CELLS: usize = 4;
+/// Number of cells that are checked against the code; the two after them are advice.
+const CHECKED_CELLS: usize = 4;
 const CELLS: usize = 6;
 
-/// An operator looks a reason up and finds an outcome that the fleet does not give: told "not-run"
-/// for "unknown", the caller's owner has a deposit charged a second time.
+/// Guards against a page with another outcome than the code: if it says "not-run" in place of
+/// "unknown", the owner of the caller sends a request again and charges a deposit twice.
 #[test]
-fn the_page_tells_every_reason_as_the_code_does() {
+fn the_page_describes_every_reason_as_the_code_does() {
     let rows = rows_of_page();
-    let told: Vec<&[String]> = rows.iter().map(|row| &row[..FACT_CELLS]).collect();
-    let expected: Vec<[String; FACT_CELLS]> = RefusalReason::ALL.map(facts).into();
+    let documented: Vec<&[String]> = rows.iter().map(|row| &row[..CHECKED_CELLS]).collect();
+    let expected: Vec<[String; CHECKED_CELLS]> = RefusalReason::ALL.map(expected_cells).into();
     assert_eq!(
-        told, expected,
+        documented, expected,
         "left: docs/OPERATIONS.md, right: RefusalReason::ALL"
     );
 }
 
-/// The advice is what operators come for; a row without it, or with the words of another row
-/// copied for both readers, is no help.
+/// Guards against a row without advice, or with the same advice for the caller and the operator.
 #[test]
 fn every_reason_has_advice_for_caller_and_operator() {
     for row in rows_of_page() {
         assert_eq!(row.len(), CELLS, "{row:?}");
-        let advice: BTreeSet<&str> = row[FACT_CELLS..].iter().map(String::as_str).collect();
+        let advice: BTreeSet<&str> = row[CHECKED_CELLS..].iter().map(String::as_str).collect();
         assert!(!advice.contains(""), "{row:?}");
-        assert_eq!(advice.len(), CELLS - FACT_CELLS, "{row:?}");
+        assert_eq!(advice.len(), CELLS - CHECKED_CELLS, "{row:?}");
     }
 }
 
-fn facts(reason: RefusalReason) -> [String; FACT_CELLS] {
+fn expected_cells(reason: RefusalReason) -> [String; CHECKED_CELLS] {
     let retry_after = match reason.offers_retry_after() {
         true => "yes",
         false => "no",
@@ -55,7 +54,9 @@
 fn rows_of_page() -> Vec<Vec<String>> {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join(PAGE);
     let page = fs::read_to_string(path).expect("the page is part of the repository");
-    let table = page.lines().skip_while(|line| !line.starts_with(MARK));
+    let table = page
+        .lines()
+        .skip_while(|line| !line.starts_with(TABLE_MARKER));
     let rows = table.skip(HEADING_LINES);
     rows.take_while(|line| line.starts_with('|'))
         .map(cells)
--- a/crates/coordination/tests/entry_pool_and_home.rs
+++ b/crates/coordination/tests/entry_pool_and_home.rs
@@ -1,4 +1,4 @@
-//! An entry router's view of a pool and the pool's home, together.
+//! Exchange of reports and grants between an entry router and the home of a pool.
 
 use std::time::Duration;
 
@@ -56,7 +56,7 @@
     home
 }
 
-const FACTS: LaneHead = LaneHead {
+const LANE_HEAD: LaneHead = LaneHead {
     cost_tokens: 100,
     prefix: None,
 };
@@ -69,10 +69,10 @@
     entry.enqueue(lane, key, false);
 }
 
-/// Brings a report to the home and returns the grants that it gives.
+/// Passes the next report to the home and returns the grants that the home sends.
 fn exchange(entry: &mut EntryPool, home: &mut PoolHome) -> Vec<Grant> {
     let mut actions = Vec::new();
-    if let Some((_, report)) = entry.report(&member("entry"), Urgency::Lazy, |_| Some(FACTS)) {
+    if let Some((_, report)) = entry.report(&member("entry"), Urgency::Lazy, |_| Some(LANE_HEAD)) {
         home.handle(Duration::ZERO, HomeEvent::Report(report), &mut actions);
     }
     let grants = actions.into_iter().filter_map(|action| match action {
@@ -82,11 +82,11 @@
     grants.collect()
 }
 
-// Callers at one router wait for good though slots are idle. The router suspected the home, turned
-// to another and came back, while the home never knew. If the router began its sequence of reports
-// again, the home would drop them as repeated.
+// The router suspected the home, reported to another one and came back, without the home knowing. If
+// the router restarted its report sequence, the home would drop the reports as repeated, and the
+// callers of the router would wait forever while slots are idle.
 #[test]
-fn a_home_that_was_suspected_takes_the_reports_that_follow() {
+fn a_home_that_was_suspected_accepts_the_reports_that_follow() {
     let mut home = home();
     let mut entry = EntryPool::new(PoolId::from("desk"), Duration::ZERO);
     entry.set_home(Some(member("home")));
@@ -101,11 +101,11 @@
     assert!(home.counters().rejections.is_empty());
 }
 
-// A slot idles for half a minute while callers wait. The first grant of a new home was lost with a
-// connection that was not up yet, and the second one, which arrived, acknowledged both. The entry
-// router must report in full after the first grant that it sees.
+// The first grant of a new home was lost as the connection was not open yet. The second one arrived
+// and acknowledged both, so a slot idled for half a minute while callers waited. The entry router
+// must send a full report after the first grant that it receives.
 #[test]
-fn a_first_grant_that_was_lost_gives_its_slot_back() {
+fn the_slot_of_a_lost_first_grant_is_freed() {
     let mut home = home();
     let mut entry = EntryPool::new(PoolId::from("desk"), Duration::ZERO);
     entry.set_home(Some(member("home")));
@@ -119,11 +119,11 @@
     assert_eq!(exchange(&mut entry, &mut home).len(), 1);
 }
 
-// Callers wait at half load although slots are free. Grants of short requests were told as ended
-// only with the next lazy report, so their slots seemed occupied most of the time. The end of a
-// short grant must be told at once; that of a long one may wait when nobody misses the slot.
+// The ends of short grants were reported only with the next lazy report, so their slots seemed
+// occupied most of the time and callers waited at half load. The end of a short grant must be
+// reported at once; that of a long one may wait when no request waits for the slot.
 #[test]
-fn the_end_of_a_short_grant_is_told_at_once() {
+fn the_end_of_a_short_grant_is_reported_at_once() {
     let mut home = home();
     let mut entry = EntryPool::new(PoolId::from("desk"), Duration::ZERO);
     entry.set_home(Some(member("home")));
--- a/crates/coordination/tests/limits.rs
+++ b/crates/coordination/tests/limits.rs
@@ -1,4 +1,5 @@
-//! Admission and ceilings: who waits, who is refused at once, and when refused callers come back.
+//! Admission and account limits: which requests wait, which are refused at once, and when refused
+//! callers return.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -20,7 +21,7 @@
 use sedgeridge_state::settings::millis;
 use yare::parameterized;
 
-const FAR: Duration = Duration::from_secs(1 << 30);
+const DISTANT_DEADLINE: Duration = Duration::from_secs(1 << 30);
 
 fn account_settings(max_in_progress: u32, max_requests_per_s: u32) -> AccountSettings {
     AccountSettings {
@@ -32,7 +33,7 @@
     }
 }
 
-/// One account's queue for one pool, drained at a fixed pace by a pretend pool.
+/// Queue of one account for one pool; the test starts its requests at a fixed rate.
 struct Queue {
     admission: Admission,
     account: AccountId,
@@ -54,7 +55,7 @@
         }
     }
 
-    fn arrive(&mut self, now: Duration, patience: Duration) -> Result<(), RefusalReason> {
+    fn arrive(&mut self, now: Duration, time_left: Duration) -> Result<(), RefusalReason> {
         let waiting = u32::try_from(self.deadlines.len()).unwrap();
         let arrival = AdmissionRequest {
             account: &self.account,
@@ -63,14 +64,14 @@
             waiting_of_account: waiting,
             requests_ahead: waiting,
             backlogged_accounts: 1,
-            deadline: now + patience,
+            deadline: now + time_left,
             min_run_time: Duration::ZERO,
         };
         self.admission
             .admit(now, arrival)
             .map_err(|refusal| refusal.reason)?;
         self.admission.record_queued(now, &self.pool, &self.account);
-        self.deadlines.push_back(now + patience);
+        self.deadlines.push_back(now + time_left);
         Ok(())
     }
 
@@ -92,8 +93,8 @@
 }
 
 #[parameterized(
-    queue = { 4_096, 0, FAR, RefusalReason::QueueFull },
-    account_queue = { 300, 256, FAR, RefusalReason::AccountQueueFull },
+    queue = { 4_096, 0, DISTANT_DEADLINE, RefusalReason::QueueFull },
+    account_queue = { 300, 256, DISTANT_DEADLINE, RefusalReason::AccountQueueFull },
     deadline = { 0, 0, Duration::ZERO, RefusalReason::DeadlineUnreachable },
 )]
 fn refuses(waiting: u32, of_account: u32, deadline: Duration, reason: RefusalReason) {
@@ -114,11 +115,11 @@
     assert!(refusal.retry_after >= Some(Duration::from_secs(1)));
 }
 
-/// Ten times more requests arrive than the pool takes, each with two seconds to spare.
-/// The caller of one that can't make it is told at once and may go elsewhere. Without the estimate
-/// all would wait in a queue of 256 for 12.8 s, and nearly every request would expire there.
+/// Ten times more requests arrive than the pool can start, each with a deadline of two seconds.
+/// Those that can't meet it must be refused at once. Without the estimate all would wait in a queue
+/// of 256 for 12.8 s, and nearly every request would expire there.
 #[test]
-fn refuses_at_once_what_cannot_make_its_deadline() {
+fn refuses_at_once_requests_that_cannot_meet_their_deadline() {
     let mut queue = Queue::new();
     let mut refused = 0;
     for ms in 0..60_000_u64 {
@@ -135,7 +136,7 @@
     } = queue;
     assert!(
         in_time >= 1_190,
-        "no slot stays idle: {in_time} of 1,200 used"
+        "slots were idle: {in_time} of 1,200 used, expected at least 1,190"
     );
     assert!(
         expired <= in_time / 20,
@@ -147,39 +148,42 @@
     );
 }
 
-/// Every endpoint is down for ten minutes, then all come back.
-/// The measured gap is then longer than any deadline. A caller that asks again must still be let
-/// in, or nothing would ever start and the estimate could never recover.
+/// All endpoints are down for ten minutes, then recover. The measured gap is then longer than any
+/// deadline. A returning caller must still be admitted, as otherwise nothing would start and the
+/// estimate could never recover.
 #[test]
 fn an_outage_does_not_shut_an_account_out() {
     let mut queue = Queue::new();
-    let patience = Duration::from_secs(10);
+    let time_left = Duration::from_secs(10);
     for s in 0..20 {
-        let _ = queue.arrive(millis(s * 100), patience);
+        let _ = queue.arrive(millis(s * 100), time_left);
         queue.start_one(millis(s * 100));
     }
-    let back = Duration::from_secs(600);
+    let recovered_at = Duration::from_secs(600);
     let _ = queue.arrive(Duration::from_secs(3), Duration::from_secs(800));
     assert!(
-        queue.arrive(back, patience).is_err(),
-        "the queue stands still"
+        queue.arrive(recovered_at, time_left).is_err(),
+        "nothing starts from the queue, so a second request is refused"
     );
     let mut admitted_late = 0;
     for ms in 0..10_000 {
-        let now = back + millis(ms);
+        let now = recovered_at + millis(ms);
         if ms % 100 == 0 {
             queue.start_one(now);
         }
         if ms % 200 == 0 {
-            let admitted = queue.arrive(now, patience).is_ok();
+            let admitted = queue.arrive(now, time_left).is_ok();
             admitted_late += u32::from(admitted && ms >= 5_000);
         }
     }
-    assert_eq!(admitted_late, 25, "all of the second half are let in");
+    assert_eq!(
+        admitted_late, 25,
+        "all requests of the second half are admitted"
+    );
 }
 
-/// A thousand callers are refused in the same instant by a queue that drains ten a second.
-/// Told the same time, they would all return together and be refused again. They are spread.
+/// A thousand callers are refused at the same time by a queue that starts ten requests per second.
+/// With equal retry delays they would all return together and be refused again.
 #[test]
 fn refused_callers_do_not_return_together() {
     let mut queue = Queue::new();
@@ -217,14 +221,17 @@
                 rate.record_started(now, true);
             }
         }
-        let real_s = period_s as f64 / f64::from(burst);
+        let true_gap_s = period_s as f64 / f64::from(burst);
         let gap_s = rate.expected_gap(now).unwrap().as_secs_f64();
-        assert!((gap_s / real_s - 1.0).abs() < 0.25, "{gap_s} for {real_s}");
+        assert!(
+            (gap_s / true_gap_s - 1.0).abs() < 0.25,
+            "{gap_s} for {true_gap_s}"
+        );
     }
 }
 
 #[test]
-fn idle_time_is_no_slow_drain() {
+fn idle_time_does_not_count_as_slow_drain() {
     let mut rate = DrainRate::default();
     for s in 0..20 {
         rate.record_queued(Duration::from_secs(s));
@@ -235,7 +242,7 @@
 }
 
 #[test]
-fn a_changed_configuration_refills_no_ceiling() {
+fn a_changed_configuration_refills_no_rate_limit() {
     let account = AccountId::from("crew-07");
     let mut ceilings = AccountCeilings::default();
     let mut starts = 0;
@@ -252,7 +259,7 @@
     assert_eq!(reached.next_start_in, Some(Duration::from_secs(1)));
 }
 
-/// A fixed seed, so that every run tries the same cases.
+/// Configuration with a fixed seed, so that every run tries the same cases.
 fn fixed_cases() -> ProptestConfig {
     ProptestConfig {
         rng_seed: RngSeed::Fixed(4),
@@ -264,8 +271,8 @@
 proptest! {
     #![proptest_config(fixed_cases())]
 
-    /// Naive oracle: in any window of whole seconds, no more starts than the rate allows and one
-    /// second saved up; never more in progress than the ceiling; a told wait is long enough.
+    /// Naive oracle: in any window there are at most as many starts as the rate allows, plus those of
+    /// one second; never more requests in progress than the limit; and a returned wait is long enough.
     #[test]
     fn ceilings_hold_over_every_window(
         pauses_us in prop::collection::vec(0_u64..400_000, 1..300),
--- a/crates/coordination/tests/retry_budget.rs
+++ b/crates/coordination/tests/retry_budget.rs
@@ -1,4 +1,4 @@
-//! Retry budgets: what they grant, what they deny, and that they never multiply the load.
+//! Retry budgets: which retries they grant or deny, and that retries never multiply the load.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -20,7 +20,7 @@
 use sedgeridge_state::settings::RetrySettings;
 use yare::parameterized;
 
-const FAR: Duration = Duration::from_secs(1 << 30);
+const DISTANT_DEADLINE: Duration = Duration::from_secs(1 << 30);
 
 fn failed(account: &AccountId, reason: RetryReason) -> FailedAttempt<'_> {
     FailedAttempt {
@@ -28,27 +28,27 @@
         reason,
         attempts: 1,
         repeatable: true,
-        deadline: FAR,
+        deadline: DISTANT_DEADLINE,
     }
 }
 
-fn granted(decision: RetryDecision) -> bool {
+fn is_granted(decision: RetryDecision) -> bool {
     matches!(decision, RetryDecision::Retry { .. })
 }
 
 #[parameterized(
-    attempts_used = { 3, true, RetryReason::ServerError, FAR, RetryDenial::AttemptsUsed },
+    attempts_used = { 3, true, RetryReason::ServerError, DISTANT_DEADLINE, RetryDenial::AttemptsUsed },
     deadline = { 1, true, RetryReason::ServerError, Duration::from_millis(1), RetryDenial::DeadlineNear },
-    lost = { 1, false, RetryReason::ConnectionLost, FAR, RetryDenial::NotRepeatable },
-    silent = { 1, false, RetryReason::StreamSilent, FAR, RetryDenial::NotRepeatable },
-    server_error = { 1, false, RetryReason::ServerError, FAR, RetryDenial::NotRepeatable },
+    lost = { 1, false, RetryReason::ConnectionLost, DISTANT_DEADLINE, RetryDenial::NotRepeatable },
+    silent = { 1, false, RetryReason::StreamSilent, DISTANT_DEADLINE, RetryDenial::NotRepeatable },
+    server_error = { 1, false, RetryReason::ServerError, DISTANT_DEADLINE, RetryDenial::NotRepeatable },
 )]
 fn denies(
     attempts: u32,
     repeatable: bool,
     reason: RetryReason,
     deadline: Duration,
-    why: RetryDenial,
+    expected: RetryDenial,
 ) {
     let account = AccountId::from("crew-07");
     let mut budgets = RetryBudgets::new(RetrySettings::default(), 1);
@@ -61,7 +61,7 @@
     };
     assert_eq!(
         budgets.decide_retry(Duration::ZERO, attempt),
-        RetryDecision::Denied(why)
+        RetryDecision::Denied(expected)
     );
 }
 
@@ -73,12 +73,12 @@
         repeatable: false,
         ..failed(&account, reason)
     };
-    assert!(granted(budgets.decide_retry(Duration::ZERO, attempt)));
+    assert!(is_granted(budgets.decide_retry(Duration::ZERO, attempt)));
 }
 
-/// A pool is down for a minute and each of 1,000 requests a second fails at once.
-/// Callers see refusals. Without a budget each would be tried three times, so that the pool comes
-/// back to three times its load. The account's floor is all that may be spent.
+/// A pool is down for a minute and each of 1,000 requests per second fails at once. Without a budget
+/// each would be attempted three times, and the pool would recover to three times its load. Only the
+/// floor of the account may be spent on retries.
 #[test]
 fn outage_does_not_multiply_the_load() {
     let account = AccountId::from("crew-07");
@@ -87,14 +87,14 @@
     for ms in 0..60_000 {
         let now = Duration::from_millis(ms);
         let decision = budgets.decide_retry(now, failed(&account, RetryReason::ConnectFailed));
-        retries += u32::from(granted(decision));
+        retries += u32::from(is_granted(decision));
     }
     assert!(retries <= 2 + 6, "{retries} retries for 60,000 failures");
     assert!(retries >= 6, "the floor refills: {retries}");
 }
 
-/// One account fails all the time while another has a rare failure.
-/// The first spends its own budget only, so the second still gets its retry.
+/// All requests of one account fail while another has a rare failure. The first must spend only its
+/// own budget, so that the second still gets its retry.
 #[test]
 fn one_account_cannot_spend_the_budget_of_another() {
     let flood = AccountId::from("flood");
@@ -104,7 +104,7 @@
         budgets.decide_retry(Duration::ZERO, failed(&flood, RetryReason::ServerError));
     }
     let decision = budgets.decide_retry(Duration::ZERO, failed(&small, RetryReason::ServerError));
-    assert!(granted(decision));
+    assert!(is_granted(decision));
     let counts: Vec<_> = budgets.counts().collect();
     let denied = Some(RetryDenial::AccountBudget);
     assert_eq!(
@@ -159,7 +159,7 @@
     }
 }
 
-/// A fixed seed, so that every run tries the same cases.
+/// Configuration with a fixed seed, so that every run tries the same cases.
 fn fixed_cases() -> ProptestConfig {
     ProptestConfig {
         rng_seed: RngSeed::Fixed(4),
@@ -171,8 +171,8 @@
 proptest! {
     #![proptest_config(fixed_cases())]
 
-    /// Naive oracle: over any history, retries are at most the two floors with what time put back,
-    /// and the set share of the successes.
+    /// Naive oracle: over any history, the retries of an account are at most its floor with the refill
+    /// by time, plus the configured share of its successes.
     #[test]
     fn retries_stay_within_share_of_successes(
         steps in prop::collection::vec((any::<bool>(), 0_u64..50, 0_u8..3), 1..400),
@@ -191,7 +191,7 @@
             if success {
                 budgets.on_success(now, account);
                 successes[index] += 1;
-            } else if granted(budgets.decide_retry(now, failed(account, RetryReason::ServerError))) {
+            } else if is_granted(budgets.decide_retry(now, failed(account, RetryReason::ServerError))) {
                 retries[index] += 1;
             }
             let floor_milli = 2_000 + now.as_millis() as u64 / 10 + 1;
--- a/crates/coordination/tests/support/mod.rs
+++ b/crates/coordination/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A home and well-behaved entry routers around it.
+//! Test harness: the home of a pool, and entry routers that follow the protocol.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -89,7 +89,7 @@
     served_tokens: BTreeMap<AccountId, u64>,
 }
 
-/// One request that ran.
+/// A request that ran.
 #[derive(Debug)]
 pub struct Run {
     pub router: usize,
@@ -106,7 +106,7 @@
 }
 
 impl Fleet {
-    /// A home that has full, empty reports from all routers.
+    /// Creates a home that has received a full, empty report from each router.
     pub fn new(routers: usize, endpoints: &[(&str, u32)], accounts: &[(&str, u32)]) -> Self {
         Self::with_settings(routers, endpoints, accounts, FairSettings::default())
     }
@@ -125,7 +125,7 @@
         fleet
     }
 
-    /// A home that has no reports yet.
+    /// Creates a home that has received no reports.
     pub fn gathering(routers: usize, endpoints: &[(&str, u32)], accounts: &[(&str, u32)]) -> Self {
         Self::started(routers, endpoints, accounts, FairSettings::default())
     }
@@ -214,7 +214,7 @@
         grants.map(|(_, grant)| grant.endpoint.clone()).collect()
     }
 
-    /// All routers bind the grants they got, without ending any.
+    /// Uses the received grants at all routers, without ending any.
     pub fn acknowledge_all(&mut self) {
         for (to, grant) in self.grants.clone() {
             let router = self.router_of(&to);
@@ -229,7 +229,7 @@
         runs.into_iter().map(|run| run.account).collect()
     }
 
-    /// Takes grants in turn; each request ends, at a cost, before the next grant is taken.
+    /// Uses grants in order; each request ends, with the given cost, before the next grant is used.
     pub fn run(&mut self, runs: usize, cost_tokens: u64) -> Vec<Run> {
         (0..runs).map(|_| self.run_next(cost_tokens)).collect()
     }
