--- a/crates/coordination/tests/entry_pool_and_home.rs
+++ b/crates/coordination/tests/entry_pool_and_home.rs
@@ -86,7 +86,7 @@
 // the router restarted its report sequence, the home would drop the reports as repeated, and the
 // callers of the router would wait forever while slots are idle.
 #[test]
-fn a_home_that_was_suspected_accepts_the_reports_that_follow() {
+fn a_home_that_was_suspected_takes_the_reports_that_follow() {
     let mut home = home();
     let mut entry = EntryPool::new(PoolId::from("desk"), Duration::ZERO);
     entry.set_home(Some(member("home")));
--- a/crates/coordination/tests/limits.rs
+++ b/crates/coordination/tests/limits.rs
@@ -119,7 +119,7 @@
 /// Those that can't meet it must be refused at once. Without the estimate all would wait in a queue
 /// of 256 for 12.8 s, and nearly every request would expire there.
 #[test]
-fn refuses_at_once_requests_that_cannot_meet_their_deadline() {
+fn refuses_at_once_what_cannot_make_its_deadline() {
     let mut queue = Queue::new();
     let mut refused = 0;
     for ms in 0..60_000_u64 {
