--- a/crates/coordination/src/entry_pool.rs
+++ b/crates/coordination/src/entry_pool.rs
@@ -194,10 +194,10 @@
     pub(crate) fn account_views(&self) -> Vec<AccountView> {
         let mut views = BTreeMap::new();
         for lane in self.queue.lanes() {
-            self.view_mut(&mut views, &lane.account).waiting += self.queue.lane_len(lane);
+            self.view_mut(&mut views, &lane.account).waiting_requests += self.queue.lane_len(lane);
         }
         for holding in self.held_grants.holdings() {
-            self.view_mut(&mut views, &holding.account).running += 1;
+            self.view_mut(&mut views, &holding.account).running_requests += 1;
         }
         for (account, served_tokens) in &self.served_tokens {
             self.view_mut(&mut views, account).served_tokens = *served_tokens;
@@ -213,8 +213,8 @@
         views.entry(account.clone()).or_insert_with(|| AccountView {
             account: account.clone(),
             pool: self.id.clone(),
-            waiting: 0,
-            running: 0,
+            waiting_requests: 0,
+            running_requests: 0,
             served_tokens: 0,
         })
     }
--- a/crates/coordination/src/orders/view.rs
+++ b/crates/coordination/src/orders/view.rs
@@ -1,4 +1,4 @@
-//! What others may know of the orders under way.
+//! Read access to the orders in progress.
 
 use std::collections::BTreeSet;
 
@@ -8,59 +8,59 @@
 use crate::orders::Orders;
 use crate::orders::job::Stage;
 
-/// An order under way.
+/// An order in progress.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct OpenOrder<'a> {
     /// The order.
     pub record: &'a OrderRecord,
-    /// What it waits for.
+    /// Name of the step that it is in.
     pub stage: &'static str,
 }
 
 impl Orders {
-    /// Lists the orders under way, by endpoint.
+    /// Lists the orders in progress, by endpoint.
     ///
     /// ```
     /// use sedgeridge_coordination::order_events::OrderSettings;
     /// use sedgeridge_coordination::orders::Orders;
     ///
-    /// assert_eq!(Orders::new(OrderSettings::default()).open().count(), 0);
+    /// assert_eq!(Orders::new(OrderSettings::default()).open_orders().count(), 0);
     /// ```
-    pub fn open(&self) -> impl Iterator<Item = OpenOrder<'_>> {
+    pub fn open_orders(&self) -> impl Iterator<Item = OpenOrder<'_>> {
         self.jobs.values().map(|job| OpenOrder {
             record: &job.record,
             stage: job.stage.label(),
         })
     }
 
-    /// Lists the endpoints that get no new work for the sake of an order.
+    /// Lists the endpoints that are drained for an order.
     ///
     /// ```
     /// use sedgeridge_coordination::order_events::OrderSettings;
     /// use sedgeridge_coordination::orders::Orders;
     ///
-    /// assert!(Orders::new(OrderSettings::default()).drained().is_empty());
+    /// assert!(Orders::new(OrderSettings::default()).drained_endpoints().is_empty());
     /// ```
-    pub fn drained(&self) -> &BTreeSet<EndpointId> {
+    pub fn drained_endpoints(&self) -> &BTreeSet<EndpointId> {
         self.pools.drained()
     }
 
-    /// Lists the endpoints whose load reports are needed: those of the pools that an order under
-    /// way takes an endpoint from. Reading all 2,200 of a large fleet would cost more than the
+    /// Lists the endpoints whose load reports are needed: those of each pool from which an order in
+    /// progress takes an endpoint. Reading all 2,200 of a large fleet would cost more than the
     /// orders.
     ///
     /// ```
     /// use sedgeridge_coordination::order_events::OrderSettings;
     /// use sedgeridge_coordination::orders::Orders;
     ///
-    /// assert!(Orders::new(OrderSettings::default()).followed().is_empty());
+    /// assert!(Orders::new(OrderSettings::default()).watched_endpoints().is_empty());
     /// ```
-    pub fn followed(&self) -> BTreeSet<EndpointId> {
-        let interrupting = self
+    pub fn watched_endpoints(&self) -> BTreeSet<EndpointId> {
+        let draining_jobs = self
             .jobs
             .iter()
             .filter(|(_, j)| j.record.order.requires_idle_engine());
-        interrupting
+        draining_jobs
             .flat_map(|(endpoint, _)| self.pools.pool_of(endpoint))
             .cloned()
             .collect()
--- a/crates/transport/src/config_reads.rs
+++ b/crates/transport/src/config_reads.rs
@@ -11,7 +11,7 @@
 use sedgeridge_coordination::config_events::ConfigItem;
 use sedgeridge_coordination::config_events::Generation;
 use sedgeridge_coordination::node_config::ConfigRead;
-use sedgeridge_coordination::store_call::ABSENT;
+use sedgeridge_coordination::store_call::ABSENT_VERSION;
 use sedgeridge_coordination::store_call::CallId;
 use sedgeridge_coordination::store_call::StoreAction;
 use sedgeridge_coordination::store_call::StoreCheck;
@@ -80,16 +80,16 @@
 fn run(client: &TableClient, read: &ConfigRead) -> ConfigEvent<ConfigContent> {
     match read {
         ConfigRead::Head { call, is_exact } => match read_head(client, *call, *is_exact) {
-            Some(generation) => ConfigEvent::Head {
+            Some(generation) => ConfigEvent::HeadRead {
                 call: *call,
                 generation,
             },
-            None => ConfigEvent::Failed { call: *call },
+            None => ConfigEvent::CallFailed { call: *call },
         },
         ConfigRead::Changes { call, after, up_to } => {
             match read_changes(client, *call, *after, *up_to) {
                 Some(items) => ConfigEvent::Fetched { call: *call, items },
-                None => ConfigEvent::Failed { call: *call },
+                None => ConfigEvent::CallFailed { call: *call },
             }
         }
     }
@@ -106,7 +106,7 @@
             call,
             checks: vec![StoreCheck {
                 key,
-                version: ABSENT,
+                version: ABSENT_VERSION,
             }],
             writes: Vec::new(),
         }
