--- a/crates/coordination/examples/embed.rs
+++ b/crates/coordination/examples/embed.rs
@@ -1,8 +1,9 @@
-//! Embeds the decision logic of one router: the inputs are events and the time, the outputs actions.
+//! Embeds the decision logic of one router: the inputs are events and the time, the outputs
+//! actions.
 //!
 //! A real program owns sockets, threads and the clock. This example has none: time is a number, and
-//! the only endpoint answers at once. Two client accounts each send two requests to an endpoint with
-//! one slot; the slot goes to the account that received the least service.
+//! the only endpoint answers at once. Two client accounts each send two requests to an endpoint
+//! with one slot; the slot goes to the account that received the least service.
 //!
 //! ```text
 //! cargo run -p sedgeridge-coordination --example embed
@@ -70,7 +71,7 @@
         incarnation: Incarnation(1),
     };
     let mut node = Node::new(member, settings, SEED);
-    let mut callers = BTreeMap::new();
+    let mut account_by_request = BTreeMap::new();
     let mut events = Vec::new();
     for (key, account) in [
         (1, "crew-07"),
@@ -78,7 +79,7 @@
         (3, "crew-08"),
         (4, "crew-08"),
     ] {
-        callers.insert(RequestKey(key), account);
+        account_by_request.insert(RequestKey(key), account);
         events.push(NodeEvent::RequestArrived {
             arrival: arrival(key, account),
             claim: None,
@@ -97,9 +98,9 @@
             if let NodeAction::StartAttempt(start) = action {
                 println!(
                     "{now:?}: {} runs on {}",
-                    callers[&start.key], start.endpoint
+                    account_by_request[&start.key], start.endpoint
                 );
-                answered.push(callers[&start.key]);
+                answered.push(account_by_request[&start.key]);
                 events.push(NodeEvent::AttemptEnded {
                     key: start.key,
                     attempt: start.attempt,
@@ -111,11 +112,15 @@
                 });
             }
         }
-        if answered.len() == callers.len() && events.is_empty() {
+        if answered.len() == account_by_request.len() && events.is_empty() {
             break;
         }
     }
-    assert_eq!(answered.len(), callers.len(), "every request has run");
+    assert_eq!(
+        answered.len(),
+        account_by_request.len(),
+        "every request has run"
+    );
     assert_ne!(answered[0], answered[1], "the accounts take turns");
 }
 
--- a/crates/coordination/src/account_ceilings.rs
+++ b/crates/coordination/src/account_ceilings.rs
@@ -49,8 +49,11 @@
         let elapsed_us = now.saturating_sub(self.refilled_at).as_micros();
         let earned = elapsed_us * u128::from(self.max_requests_per_s);
         let earned = u64::try_from(earned).unwrap_or(u64::MAX);
-        let full = burst_micro_starts(self.max_requests_per_s);
-        self.micro_starts = self.micro_starts.saturating_add(earned).min(full);
+        let max_micro_starts = burst_micro_starts(self.max_requests_per_s);
+        self.micro_starts = self
+            .micro_starts
+            .saturating_add(earned)
+            .min(max_micro_starts);
         self.refilled_at = self.refilled_at.max(now);
     }
 
@@ -68,8 +71,8 @@
         if self.micro_starts >= MICRO_STARTS_PER_START {
             return Ok(());
         }
-        let missing = MICRO_STARTS_PER_START - self.micro_starts;
-        let wait_us = missing.div_ceil(u64::from(self.max_requests_per_s));
+        let missing_micro_starts = MICRO_STARTS_PER_START - self.micro_starts;
+        let wait_us = missing_micro_starts.div_ceil(u64::from(self.max_requests_per_s));
         Err(CeilingReached {
             reason: RefusalReason::RateLimited,
             next_start_in: Some(Duration::from_micros(wait_us)),
--- a/crates/coordination/src/account_table.rs
+++ b/crates/coordination/src/account_table.rs
@@ -125,8 +125,8 @@
 
     /// Starts the counters of a router run; service that it reports from before moves no tag.
     ///
-    /// A run that returns after a partition was served by another home meanwhile. Charging an hour of
-    /// that service at once would starve its accounts until all others caught up.
+    /// A run that returns after a partition was served by another home meanwhile. Charging an hour
+    /// of that service at once would starve its accounts until all others caught up.
     pub(crate) fn admit_run(&mut self, router: usize, totals: impl Iterator<Item = (usize, u64)>) {
         self.ledger.admit(router, totals);
     }
@@ -168,24 +168,24 @@
 
     /// Updates the positions of `changed` accounts in the order.
     ///
-    /// The tags of newly backlogged accounts are raised to the minimum of those that were backlogged
-    /// before, so that idle time gives no credit. All accounts of one event start from the same
-    /// minimum; if they were added one by one, the tag of the first would raise that of the second. A
-    /// tag above the minimum stays, so an account whose requests arrive one by one is charged only for
-    /// these.
+    /// The tags of newly backlogged accounts are raised to the minimum of those that were
+    /// backlogged before, so that idle time gives no credit. All accounts of one event start from
+    /// the same minimum; if they were added one by one, the tag of the first would raise that of
+    /// the second. A tag above the minimum stays, so an account whose requests arrive one by one is
+    /// charged only for these.
     pub(crate) fn refresh(&mut self, changed: &[usize], is_backlogged: impl Fn(usize) -> bool) {
         self.order.note_minimum();
-        let mut joined = Vec::new();
+        let mut newly_backlogged = Vec::new();
         for &index in changed {
             let backlogged = is_backlogged(index);
             if backlogged && self.accounts[index].listed_tag.is_none() {
-                joined.push(index);
+                newly_backlogged.push(index);
                 continue;
             }
             self.set_listed_tag(index, backlogged.then(|| self.tag(index)));
         }
         let floor = self.order.floor();
-        for index in joined {
+        for index in newly_backlogged {
             let tag = self.tag(index);
             if tag < floor {
                 self.rebase(index, floor);
--- a/crates/coordination/src/attempt_results.rs
+++ b/crates/coordination/src/attempt_results.rs
@@ -16,8 +16,8 @@
     pub answered: u32,
     /// Mean time until their first byte.
     pub first_byte_ms: u32,
-    /// Longest time since one of their attempts started. An answer to an attempt that started before
-    /// an ejection says nothing about the health of the endpoint after it.
+    /// Longest time since one of their attempts started. An answer to an attempt that started
+    /// before an ejection says nothing about the health of the endpoint after it.
     pub started_ago_ms: u32,
     /// Failures, each with the time since its attempt started.
     pub failures: Vec<ReportedFailure>,
@@ -45,7 +45,7 @@
 struct EndpointTally {
     answered: u32,
     first_byte_sum: Duration,
-    started_ago: Duration,
+    max_started_ago: Duration,
     failures: Vec<ReportedFailure>,
 }
 
@@ -59,7 +59,7 @@
         let tally = self.endpoints.entry(endpoint.clone()).or_default();
         tally.answered += 1;
         tally.first_byte_sum += first_byte;
-        tally.started_ago = tally.started_ago.max(started_ago);
+        tally.max_started_ago = tally.max_started_ago.max(started_ago);
     }
 
     pub(crate) fn record_failure(
@@ -95,7 +95,7 @@
                 endpoint,
                 answered: tally.answered,
                 first_byte_ms: millis_u32(first_byte),
-                started_ago_ms: millis_u32(tally.started_ago),
+                started_ago_ms: millis_u32(tally.max_started_ago),
                 failures: tally.failures,
             }
         });
--- a/crates/coordination/src/backoff.rs
+++ b/crates/coordination/src/backoff.rs
@@ -33,8 +33,8 @@
         }
     }
 
-    /// Returns the delay before the retry after this many failures: between half and all of the base,
-    /// doubled for each failure after the first.
+    /// Returns the delay before the retry after this many failures: between half and all of the
+    /// base, doubled for each failure after the first.
     ///
     /// ```
     /// use std::time::Duration;
--- a/crates/coordination/src/entry.rs
+++ b/crates/coordination/src/entry.rs
@@ -51,12 +51,12 @@
     requests: RequestTable,
     pools: BTreeMap<PoolId, EntryPool>,
     admission: Admission,
-    ceilings: AccountCeilings,
+    account_ceilings: AccountCeilings,
     retry_budgets: RetryBudgets,
     quarantine: Quarantine,
-    estimates: CostEstimates,
-    waiting: u32,
-    stopping: bool,
+    cost_estimates: CostEstimates,
+    waiting_requests: u32,
+    is_stopping: bool,
     last_cleanup_at: Duration,
 }
 
@@ -70,12 +70,12 @@
             requests: RequestTable::default(),
             pools: BTreeMap::new(),
             admission: Admission::new(settings.front.clone(), seed),
-            ceilings: AccountCeilings::default(),
+            account_ceilings: AccountCeilings::default(),
             retry_budgets: RetryBudgets::new(settings.retry.clone(), seed.wrapping_add(1)),
             quarantine: Quarantine::new(settings.health.clone()),
-            estimates: CostEstimates::default(),
-            waiting: 0,
-            stopping: false,
+            cost_estimates: CostEstimates::default(),
+            waiting_requests: 0,
+            is_stopping: false,
             last_cleanup_at: Duration::ZERO,
         };
         entry.configure(Duration::ZERO, settings);
@@ -90,7 +90,7 @@
             pool.set_grant_span(self.grant_span);
         }
         self.admission.configure(settings.front.clone());
-        self.ceilings.configure(now, &settings.accounts);
+        self.account_ceilings.configure(now, &settings.accounts);
         self.retry_budgets.configure(settings.retry.clone());
         let known: BTreeSet<&AccountId> = settings.accounts.iter().map(|a| &a.id).collect();
         self.retry_budgets.retain_accounts(|id| known.contains(id));
@@ -159,20 +159,20 @@
         actions: &mut Vec<EntryAction>,
     ) {
         let requests = &self.requests;
-        let estimates = &self.estimates;
+        let estimates = &self.cost_estimates;
         for pool in self.pools.values_mut() {
             let urgency = pool.urgency();
             if !pool.home().is_some_and(|home| wanted(home, urgency)) {
                 continue;
             }
-            let head = |key: RequestKey| {
+            let lane_head = |key: RequestKey| {
                 let arrival = &requests.get(key)?.arrival;
                 Some(LaneHead {
                     cost_tokens: estimates.estimate(&arrival.account, arrival.hint_tokens),
                     prefix: arrival.prefix,
                 })
             };
-            if let Some((to, report)) = pool.report(&self.member, min_urgency, head) {
+            if let Some((to, report)) = pool.report(&self.member, min_urgency, lane_head) {
                 actions.push(EntryAction::Report { to, report });
             }
         }
@@ -201,7 +201,7 @@
 
     /// Returns the number of queued requests.
     pub fn waiting(&self) -> u32 {
-        self.waiting
+        self.waiting_requests
     }
 
     /// Returns the number of running requests.
@@ -226,7 +226,7 @@
             actions.push(give_up(key, refusal, Outcome::NotRun));
             return;
         }
-        self.ceilings.record_start(now, &arrival.account);
+        self.account_ceilings.record_start(now, &arrival.account);
         self.requests.insert(Request::new(arrival));
         self.enqueue(now, key, false);
     }
@@ -235,7 +235,7 @@
         let refuse = |admission: &mut Admission, reason, earliest| {
             Err(admission.refuse(now, reason, &arrival.pool, &arrival.account, earliest))
         };
-        if self.stopping {
+        if self.is_stopping {
             let reason = RefusalReason::Draining;
             return refuse(&mut self.admission, reason, Duration::ZERO);
         }
@@ -243,7 +243,10 @@
             return refuse(&mut self.admission, RefusalReason::Quarantined, left);
         }
         let in_progress = self.requests.in_progress_of_account(&arrival.account);
-        if let Err(reached) = self.ceilings.check(now, &arrival.account, in_progress) {
+        if let Err(reached) = self
+            .account_ceilings
+            .check(now, &arrival.account, in_progress)
+        {
             let earliest = reached.next_start_in.unwrap_or_default();
             return refuse(&mut self.admission, reached.reason, earliest);
         }
@@ -257,7 +260,7 @@
             limits::AdmissionRequest {
                 account: &arrival.account,
                 pool: &arrival.pool,
-                waiting: self.waiting,
+                waiting: self.waiting_requests,
                 waiting_of_account,
                 requests_ahead,
                 backlogged_accounts,
@@ -280,7 +283,7 @@
         let lane = request.lane();
         let pool = request.arrival.pool.clone();
         self.admission.record_queued(now, &pool, &lane.account);
-        self.waiting += 1;
+        self.waiting_requests += 1;
         self.pool(&pool).enqueue(lane, key, at_front);
     }
 
@@ -299,7 +302,7 @@
         if request.state == RequestState::Queued {
             let lane = request.lane();
             if self.pool(&request.arrival.pool).remove_waiting(&lane, key) {
-                self.waiting -= 1;
+                self.waiting_requests -= 1;
                 self.record_left_queue(now, &request.arrival.pool, &lane.account);
             }
         }
@@ -350,7 +353,7 @@
     }
 
     fn stop(&mut self, now: Duration, actions: &mut Vec<EntryAction>) {
-        self.stopping = true;
+        self.is_stopping = true;
         // The caller of a request that was attempted may already have part of the answer, so the
         // request still gets its next attempt.
         for key in self.requests.never_attempted() {
--- a/crates/coordination/src/entry/attempts.rs
+++ b/crates/coordination/src/entry/attempts.rs
@@ -68,7 +68,7 @@
         key: RequestKey,
         actions: &mut Vec<EntryAction>,
     ) -> bool {
-        self.waiting -= 1;
+        self.waiting_requests -= 1;
         let Some(request) = self.requests.get(key) else {
             return false;
         };
@@ -122,7 +122,7 @@
     fn estimate_cost(&self, key: RequestKey) -> u64 {
         self.requests.get(key).map_or(1, |request| {
             let arrival = &request.arrival;
-            self.estimates
+            self.cost_estimates
                 .estimate(&arrival.account, arrival.hint_tokens)
         })
     }
@@ -188,7 +188,7 @@
         let endpoint = self.settle(now, &ended, &arrival, end, actions);
         match end {
             AttemptEnd::Finished { .. } => {
-                self.estimates
+                self.cost_estimates
                     .learn(&arrival.account, arrival.hint_tokens, charge_of(end));
                 self.retry_budgets.on_success(now, &arrival.account);
                 self.quarantine.finished(now, arrival.fingerprint);
--- a/crates/coordination/src/entry_pool/grants.rs
+++ b/crates/coordination/src/entry_pool/grants.rs
@@ -45,8 +45,8 @@
     /// Returns the grants between the last one received and this one.
     ///
     /// `grants_received` acknowledges all grants up to it. A grant lost on a broken connection would
-    /// be acknowledged with them and occupy its slot until the home compares the lists of grants. The
-    /// first grant of a home does not show whether earlier ones were lost, as homes start their
+    /// be acknowledged with them and occupy its slot until the home compares the lists of grants.
+    /// The first grant of a home does not show whether earlier ones were lost, as homes start their
     /// sequences at any number, so a full report is sent then.
     pub(super) fn return_missing(&mut self, grant: &Grant) {
         if self.grants_received == 0 {
@@ -64,8 +64,8 @@
         }));
     }
 
-    /// Takes the next request that a grant can serve: of the class of the grant, or else of the other
-    /// class of the account, so that no slot idles while the account waits.
+    /// Takes the next request that a grant can serve: of the class of the grant, or else of the
+    /// other class of the account, so that no slot idles while the account waits.
     pub fn pop_for_grant(&mut self, grant: &Grant) -> Option<RequestKey> {
         let others = CLASSES_BY_PRIORITY
             .into_iter()
@@ -160,7 +160,7 @@
         charged_tokens: u64,
     ) -> Option<EndpointId> {
         *self.served_tokens.entry(account.clone()).or_default() += charged_tokens;
-        self.changed_served.insert(account.clone());
+        self.changed_served_accounts.insert(account.clone());
         let holding = &mut self.held_grants.get_mut(grant)?.holding;
         holding.estimate_tokens = holding.estimate_tokens.saturating_sub(charged_tokens);
         let endpoint = holding.endpoint.clone();
--- a/crates/coordination/src/entry_pool/reports.rs
+++ b/crates/coordination/src/entry_pool/reports.rs
@@ -24,20 +24,20 @@
         }
         let lazy = !self.changed_lanes.is_empty()
             || !self.ended_grants.is_empty()
-            || !self.changed_served.is_empty()
+            || !self.changed_served_accounts.is_empty()
             || self.held_grants.has_changes()
             || !self.attempt_results.is_empty()
             || self.acknowledgement_due;
         if lazy { Urgency::Lazy } else { Urgency::None }
     }
 
-    /// Returns the next report and the home that it goes to, if there are changes. `head` returns cost
-    /// and prefix of a waiting request.
+    /// Returns the next report and the home that it goes to, if there are changes. `lane_head`
+    /// returns cost and prefix of a waiting request.
     pub fn report(
         &mut self,
         from: &Member,
         min_urgency: Urgency,
-        head: impl Fn(RequestKey) -> Option<LaneHead>,
+        lane_head: impl Fn(RequestKey) -> Option<LaneHead>,
     ) -> Option<(Member, EntryReport)> {
         if self.urgency() == Urgency::None {
             return None;
@@ -51,12 +51,15 @@
             self.mark_all_changed();
         }
         let lanes = std::mem::take(&mut self.changed_lanes);
-        let demand: Vec<Demand> = lanes.iter().map(|lane| self.demand(lane, &head)).collect();
+        let demand: Vec<Demand> = lanes
+            .iter()
+            .map(|lane| self.demand(lane, &lane_head))
+            .collect();
         let demand = demand.into_iter().zip(&lanes);
         let demand =
             demand.filter_map(|(demand, lane)| self.record_reported_lane(demand, lane, full));
         let demand = demand.collect();
-        let served = std::mem::take(&mut self.changed_served);
+        let served = std::mem::take(&mut self.changed_served_accounts);
         let report = EntryReport {
             from: from.clone(),
             pool: self.id.clone(),
@@ -78,8 +81,8 @@
         Some((home, report))
     }
 
-    /// Takes the results of attempts if they are due: whole answers can wait for the next lazy report,
-    /// failures cannot.
+    /// Takes the results of attempts if they are due: whole answers can wait for the next lazy
+    /// report, failures cannot.
     pub(super) fn take_due_results(&mut self, min_urgency: Urgency) -> Vec<EndpointResult> {
         if min_urgency == Urgency::Lazy || self.attempt_results.has_failures() {
             self.attempt_results.take()
@@ -92,7 +95,7 @@
         self.reported_lanes.clear();
         self.changed_lanes.extend(self.queue.lanes().cloned());
         self.held_grants.mark_all_changed();
-        self.changed_served
+        self.changed_served_accounts
             .extend(self.served_tokens.keys().cloned());
     }
 
@@ -137,18 +140,18 @@
     pub(super) fn demand(
         &self,
         lane: &Lane,
-        head: &impl Fn(RequestKey) -> Option<LaneHead>,
+        lane_head: &impl Fn(RequestKey) -> Option<LaneHead>,
     ) -> Demand {
         let waiting = self.queue.lane_len(lane);
         let requests = self.run_times.bundle_size(&lane.account, self.grant_span);
-        let facts = self.queue.head(lane).and_then(head);
-        let cost_tokens = facts.map_or(0, |facts| facts.cost_tokens);
+        let lane_head = self.queue.head(lane).and_then(lane_head);
+        let cost_tokens = lane_head.map_or(0, |lane_head| lane_head.cost_tokens);
         Demand {
             account: lane.account.clone(),
             class: lane.class,
             waiting: waiting.div_ceil(requests),
             head_cost_tokens: cost_tokens * u64::from(requests.min(waiting)),
-            head_prefix: facts.and_then(|facts| facts.prefix),
+            head_prefix: lane_head.and_then(|lane_head| lane_head.prefix),
         }
     }
 }
--- a/crates/coordination/src/entry_record.rs
+++ b/crates/coordination/src/entry_record.rs
@@ -40,7 +40,8 @@
     pub(crate) last_full_at: Duration,
     /// Time of the request for a full report that has not arrived yet.
     pub(crate) full_report_requested_at: Option<Duration>,
-    /// Whether its reports named accounts or endpoints that the configuration here does not contain.
+    /// Whether its reports named accounts or endpoints that the configuration here does not
+    /// contain.
     pub(crate) has_unknown_names: bool,
     pub(crate) grants_received: u64,
     pub(crate) last_grant_sequence: u64,
--- a/crates/coordination/src/entry_table.rs
+++ b/crates/coordination/src/entry_table.rs
@@ -30,7 +30,7 @@
 pub(crate) struct EntryTable {
     records: Vec<Option<EntryRecord>>,
     by_host: NameIndex<HostId>,
-    vacant: Vec<usize>,
+    free_indices: Vec<usize>,
 }
 
 impl EntryTable {
@@ -62,7 +62,7 @@
 
     pub(crate) fn add(&mut self, member: &Member, site: Option<usize>) -> usize {
         let record = EntryRecord::new(member.clone(), site);
-        let router = self.vacant.pop().unwrap_or_else(|| {
+        let router = self.free_indices.pop().unwrap_or_else(|| {
             self.records.push(None);
             self.records.len() - 1
         });
@@ -74,7 +74,7 @@
     pub(crate) fn remove(&mut self, router: usize) {
         if let Some(record) = self.records[router].take() {
             self.by_host.remove(&record.member.host);
-            self.vacant.push(router);
+            self.free_indices.push(router);
         }
     }
 
@@ -90,11 +90,11 @@
             return Err(rejection(RejectionReason::NotAMember, !report.full));
         };
         let record = self.record(router);
-        let known = record.member.incarnation;
-        if report.from.incarnation < known {
+        let known_incarnation = record.member.incarnation;
+        if report.from.incarnation < known_incarnation {
             return Err(rejection(RejectionReason::OlderIncarnation, false));
         }
-        if report.from.incarnation > known {
+        if report.from.incarnation > known_incarnation {
             return match report.full {
                 true => Ok(ReportAdmission::Restarted(router)),
                 false => Err(rejection(RejectionReason::UnknownRun, true)),
--- a/crates/coordination/src/grant_slots.rs
+++ b/crates/coordination/src/grant_slots.rs
@@ -19,10 +19,11 @@
     /// Starts granting once the slots in use are known.
     ///
     /// If a new home granted at once, it would grant slots that still run requests granted by the
-    /// previous home, and endpoints would get up to twice their load after each change of home. Every
-    /// live member lists its grants in use in its full report, so once all reports have arrived, all
-    /// slots in use are known. The home waits for silent members for the gather timeout at most; the
-    /// slots that they use may then be granted twice until their reports arrive.
+    /// previous home, and endpoints would get up to twice their load after each change of home.
+    /// Every live member lists its grants in use in its full report, so once all reports have
+    /// arrived, all slots in use are known. The home waits for silent members for the gather
+    /// timeout at most; the slots that they use may then be granted twice until their reports
+    /// arrive.
     pub(crate) fn finish_gathering(&mut self, now: Duration) {
         if self.granting || !self.configured {
             return;
@@ -103,7 +104,8 @@
     /// Frees the slots of grants that were not acknowledged in time.
     ///
     /// Otherwise a lost grant would keep its slot idle forever while work waits. The router gets no
-    /// further grant until it reports, as each grant to an unreachable router would idle a slot again.
+    /// further grant until it reports, as each grant to an unreachable router would idle a slot
+    /// again.
     pub(crate) fn expire_grants(&mut self, now: Duration, actions: &mut Vec<HomeAction>) {
         while self.expiries.front().is_some_and(|first| first.at <= now) {
             let Some(Expiry {
--- a/crates/coordination/src/held_grants.rs
+++ b/crates/coordination/src/held_grants.rs
@@ -24,7 +24,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct HeldGrants {
     grants: BTreeMap<GrantId, HeldGrant>,
-    changed: BTreeSet<GrantId>,
+    changed_grants: BTreeSet<GrantId>,
 }
 
 impl HeldGrants {
@@ -41,7 +41,7 @@
     }
 
     pub(crate) fn remove(&mut self, id: &GrantId) -> Option<HeldGrant> {
-        self.changed.remove(id);
+        self.changed_grants.remove(id);
         self.grants.remove(id)
     }
 
@@ -59,19 +59,19 @@
 
     /// Marks a grant whose estimate at the home is outdated.
     pub(crate) fn mark_changed(&mut self, id: &GrantId) {
-        self.changed.insert(id.clone());
+        self.changed_grants.insert(id.clone());
     }
 
     pub(crate) fn mark_all_changed(&mut self) {
-        self.changed.extend(self.grants.keys().cloned());
+        self.changed_grants.extend(self.grants.keys().cloned());
     }
 
     pub(crate) fn has_changes(&self) -> bool {
-        !self.changed.is_empty()
+        !self.changed_grants.is_empty()
     }
 
     pub(crate) fn take_changes(&mut self) -> Vec<Holding> {
-        let changed = std::mem::take(&mut self.changed);
+        let changed = std::mem::take(&mut self.changed_grants);
         let held = changed.iter().filter_map(|id| self.grants.get(id));
         held.map(|held| held.holding.clone()).collect()
     }
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -14,7 +14,7 @@
 //! | queue order and slot grants of a pool | [`pool_home`], [`pool_messages`], [`fair_order`], [`service_ledger`], [`rendezvous`], [`report_schedule`] |
 //! | health of a pool's endpoints | [`endpoint_health`], [`breaker`], [`slot_budget`], [`attempt_results`] |
 //! | members of the fleet | [`membership`] |
-//! | state in the table service | [`claims`], [`claim_sweep`], [`lease`], [`orders`], [`config_adoption`], [`store_call`] |
+//! | persistent state | [`claims`], [`claim_sweep`], [`lease`], [`orders`], [`config_adoption`], [`store_call`] |
 
 pub mod account_ceilings;
 pub mod attempt_results;
--- a/crates/coordination/src/limits.rs
+++ b/crates/coordination/src/limits.rs
@@ -1,7 +1,7 @@
 //! Admission control: whether a request joins the queue of its router, or is refused at once.
 //!
-//! The owner of the queue counts its requests and passes the counts with each call, so that a missed
-//! event can't leave a wrong count that refuses callers forever.
+//! The owner of the queue counts its requests and passes the counts with each call, so that a
+//! missed event can't leave a wrong count that refuses callers forever.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -259,8 +259,9 @@
             return Some(RefusalReason::AccountQueueFull);
         }
         // After an outage the measured gap is longer than any deadline. If the only request of an
-        // account were refused for that, nothing would start, the gap would never be measured again,
-        // and the account would be refused forever. So the first request in line is always admitted.
+        // account were refused for that, nothing would start, the gap would never be measured
+        // again, and the account would be refused forever. So the first request in line is always
+        // admitted.
         if arrival.requests_ahead == 0 {
             return None;
         }
@@ -276,11 +277,11 @@
         arrival: AdmissionRequest<'_>,
     ) -> Option<Duration> {
         let key = (arrival.pool.clone(), arrival.account.clone());
-        let own = self
+        let measured_gap = self
             .accounts
             .get(&key)
             .and_then(|q| q.rate.expected_gap(now));
-        own.or_else(|| {
+        measured_gap.or_else(|| {
             let pool_gap = self.pools.get(arrival.pool)?.rate.expected_gap(now)?;
             Some(pool_gap.saturating_mul(arrival.backlogged_accounts.max(1)))
         })
@@ -302,10 +303,10 @@
             _ => return self.add_jitter(earliest),
         };
         let gap = queue.rate.expected_gap(now).unwrap_or_default();
-        let first = now + earliest.max(MIN_RETRY_AFTER).min(MAX_RETRY_AFTER);
-        let last = now + MAX_RETRY_AFTER;
-        let return_at = queue.next_return_at.max(first).min(last);
-        queue.next_return_at = (return_at + gap.min(MAX_RETRY_AFTER)).min(last);
+        let earliest_at = now + earliest.max(MIN_RETRY_AFTER).min(MAX_RETRY_AFTER);
+        let latest_at = now + MAX_RETRY_AFTER;
+        let return_at = queue.next_return_at.max(earliest_at).min(latest_at);
+        queue.next_return_at = (return_at + gap.min(MAX_RETRY_AFTER)).min(latest_at);
         self.add_jitter(return_at - now)
     }
 
--- a/crates/coordination/src/rendezvous.rs
+++ b/crates/coordination/src/rendezvous.rs
@@ -33,9 +33,9 @@
 
 fn score(pool: &PoolId, member: &Member) -> u64 {
     let hash = stable_hash(FNV_OFFSET, pool.as_str().as_bytes());
-    // FNV alone gives names that differ only in their last byte similar high bits, so one host would
-    // get most pools; therefore the result is mixed. The separator distinguishes ("ab", "c") from
-    // ("a", "bc").
+    // FNV alone gives names that differ only in their last byte similar high bits, so one host
+    // would get most pools; therefore the result is mixed. The separator distinguishes ("ab", "c")
+    // from ("a", "bc").
     let hash = stable_hash(hash, &[0]);
     mix(stable_hash(hash, member.host.as_str().as_bytes()))
 }
--- a/crates/coordination/src/retry_budget.rs
+++ b/crates/coordination/src/retry_budget.rs
@@ -223,8 +223,8 @@
 pub struct RetryBudgets {
     settings: RetrySettings,
     random: SeededRandom,
-    router: Option<Bucket>,
-    accounts: BTreeMap<AccountId, Bucket>,
+    router_bucket: Option<Bucket>,
+    account_buckets: BTreeMap<AccountId, Bucket>,
     counts: BTreeMap<(RetryReason, Option<RetryDenial>), u64>,
 }
 
@@ -234,8 +234,8 @@
         Self {
             settings,
             random: SeededRandom::new(seed),
-            router: None,
-            accounts: BTreeMap::new(),
+            router_bucket: None,
+            account_buckets: BTreeMap::new(),
             counts: BTreeMap::new(),
         }
     }
@@ -258,9 +258,9 @@
     /// ```
     pub fn on_success(&mut self, now: Duration, account: &AccountId) {
         let amount = u64::from(self.settings.budget_percent) * MILLI_RETRIES_PER_RETRY / 100;
-        let (router, bucket) = self.buckets(now, account);
-        router.deposit(amount);
-        bucket.deposit(amount);
+        let (router_bucket, account_bucket) = self.buckets(now, account);
+        router_bucket.deposit(amount);
+        account_bucket.deposit(amount);
     }
 
     /// Decides whether a failed attempt is retried; a retry is withdrawn from the budgets at once.
@@ -343,12 +343,12 @@
     /// budgets.retain_accounts(|account| account.as_str() != "closed");
     /// ```
     pub fn retain_accounts(&mut self, exists: impl Fn(&AccountId) -> bool) {
-        self.accounts.retain(|account, _| exists(account));
+        self.account_buckets.retain(|account, _| exists(account));
     }
 
-    // Half of the backoff is fixed and half is random. With full jitter a retry could be sent at once,
-    // into the restart that it should wait for; the random half still spreads callers that failed
-    // together.
+    // Half of the backoff is fixed and half is random. With full jitter a retry could be sent at
+    // once, into the restart that it should wait for; the random half still spreads callers that
+    // failed together.
     fn backoff(&mut self, attempts: u32) -> Duration {
         let doublings = attempts.saturating_sub(1).min(MAX_DOUBLINGS);
         let full = Duration::from_millis(self.settings.base_backoff_ms)
@@ -359,27 +359,30 @@
     }
 
     fn withdraw(&mut self, now: Duration, account: &AccountId) -> Result<(), RetryDenial> {
-        let (router, bucket) = self.buckets(now, account);
-        if !bucket.affords_one() {
+        let (router_bucket, account_bucket) = self.buckets(now, account);
+        if !account_bucket.affords_one() {
             return Err(RetryDenial::AccountBudget);
         }
-        if !router.affords_one() {
+        if !router_bucket.affords_one() {
             return Err(RetryDenial::RouterBudget);
         }
-        bucket.withdraw_one();
-        router.withdraw_one();
+        account_bucket.withdraw_one();
+        router_bucket.withdraw_one();
         Ok(())
     }
 
     fn buckets(&mut self, now: Duration, account: &AccountId) -> (&mut Bucket, &mut Bucket) {
-        let router = self.router.get_or_insert_with(|| {
+        let router_bucket = self.router_bucket.get_or_insert_with(|| {
             Bucket::new(now, ROUTER_FLOOR_MILLI_RETRIES, ROUTER_CAP_MILLI_RETRIES)
         });
-        let bucket = self.accounts.entry(account.clone()).or_insert_with(|| {
-            Bucket::new(now, ACCOUNT_FLOOR_MILLI_RETRIES, ACCOUNT_CAP_MILLI_RETRIES)
-        });
-        router.refill(now);
-        bucket.refill(now);
-        (router, bucket)
+        let account_bucket = self
+            .account_buckets
+            .entry(account.clone())
+            .or_insert_with(|| {
+                Bucket::new(now, ACCOUNT_FLOOR_MILLI_RETRIES, ACCOUNT_CAP_MILLI_RETRIES)
+            });
+        router_bucket.refill(now);
+        account_bucket.refill(now);
+        (router_bucket, account_bucket)
     }
 }
--- a/crates/coordination/src/run_times.rs
+++ b/crates/coordination/src/run_times.rs
@@ -54,8 +54,8 @@
             .map_or(Duration::ZERO, |mean| *mean / 2)
     }
 
-    /// Returns how many requests of an account run within `span`, one after another; one while no run
-    /// time is known.
+    /// Returns how many requests of an account run within `span`, one after another; one while no
+    /// run time is known.
     pub fn bundle_size(&self, account: &AccountId, span: Duration) -> u32 {
         let Some(mean) = self.means.get(account) else {
             return 1;
--- a/crates/coordination/tests/entry_pool_and_home.rs
+++ b/crates/coordination/tests/entry_pool_and_home.rs
@@ -82,8 +82,8 @@
     grants.collect()
 }
 
-// The router suspected the home, reported to another one and came back, without the home knowing. If
-// the router restarted its report sequence, the home would drop the reports as repeated, and the
+// The router suspected the home, reported to another one and came back, without the home knowing.
+// If the router restarted its report sequence, the home would drop the reports as repeated, and the
 // callers of the router would wait forever while slots are idle.
 #[test]
 fn a_home_that_was_suspected_takes_the_reports_that_follow() {
--- a/crates/coordination/tests/limits.rs
+++ b/crates/coordination/tests/limits.rs
@@ -33,8 +33,8 @@
     }
 }
 
-/// Queue of one account for one pool; the test starts its requests at a fixed rate.
-struct Queue {
+/// Simulated queue of one account for one pool; the test starts its requests at a fixed rate.
+struct SimulatedQueue {
     admission: Admission,
     account: AccountId,
     pool: PoolId,
@@ -43,7 +43,7 @@
     in_time: u32,
 }
 
-impl Queue {
+impl SimulatedQueue {
     fn new() -> Self {
         Self {
             admission: Admission::new(FrontSettings::default(), 3),
@@ -120,7 +120,7 @@
 /// of 256 for 12.8 s, and nearly every request would expire there.
 #[test]
 fn refuses_at_once_what_cannot_make_its_deadline() {
-    let mut queue = Queue::new();
+    let mut queue = SimulatedQueue::new();
     let mut refused = 0;
     for ms in 0..60_000_u64 {
         let now = millis(ms);
@@ -131,7 +131,7 @@
             queue.start_one(now);
         }
     }
-    let Queue {
+    let SimulatedQueue {
         expired, in_time, ..
     } = queue;
     assert!(
@@ -153,7 +153,7 @@
 /// estimate could never recover.
 #[test]
 fn an_outage_does_not_shut_an_account_out() {
-    let mut queue = Queue::new();
+    let mut queue = SimulatedQueue::new();
     let time_left = Duration::from_secs(10);
     for s in 0..20 {
         let _ = queue.arrive(millis(s * 100), time_left);
@@ -186,7 +186,7 @@
 /// With equal retry delays they would all return together and be refused again.
 #[test]
 fn refused_callers_do_not_return_together() {
-    let mut queue = Queue::new();
+    let mut queue = SimulatedQueue::new();
     for ms in (0..20_000).step_by(50) {
         let _ = queue.arrive(millis(ms), Duration::from_secs(600));
         if ms % 100 == 0 {
@@ -205,8 +205,11 @@
         assert!(after >= Duration::from_secs(1) && after <= Duration::from_secs(90));
         returns_in_second[after.as_secs() as usize] += 1;
     }
-    let most = returns_in_second.iter().max().unwrap();
-    assert!(*most <= 40, "{most} of 1,000 return in the same second");
+    let max_returns = returns_in_second.iter().max().unwrap();
+    assert!(
+        *max_returns <= 40,
+        "{max_returns} of 1,000 return in the same second"
+    );
 }
 
 #[test]
@@ -271,8 +274,9 @@
 proptest! {
     #![proptest_config(fixed_cases())]
 
-    /// Naive oracle: in any window there are at most as many starts as the rate allows, plus those of
-    /// one second; never more requests in progress than the limit; and a returned wait is long enough.
+    /// Naive oracle: in any window there are at most as many starts as the rate allows, plus those
+    /// of one second; never more requests in progress than the limit; and a returned wait is long
+    /// enough.
     #[test]
     fn ceilings_hold_over_every_window(
         pauses_us in prop::collection::vec(0_u64..400_000, 1..300),
--- a/crates/coordination/tests/retry_budget.rs
+++ b/crates/coordination/tests/retry_budget.rs
@@ -76,9 +76,9 @@
     assert!(is_granted(budgets.decide_retry(Duration::ZERO, attempt)));
 }
 
-/// A pool is down for a minute and each of 1,000 requests per second fails at once. Without a budget
-/// each would be attempted three times, and the pool would recover to three times its load. Only the
-/// floor of the account may be spent on retries.
+/// A pool is down for a minute and each of 1,000 requests per second fails at once. Without a
+/// budget each would be attempted three times, and the pool would recover to three times its load.
+/// Only the floor of the account may be spent on retries.
 #[test]
 fn outage_does_not_multiply_the_load() {
     let account = AccountId::from("crew-07");
@@ -171,8 +171,8 @@
 proptest! {
     #![proptest_config(fixed_cases())]
 
-    /// Naive oracle: over any history, the retries of an account are at most its floor with the refill
-    /// by time, plus the configured share of its successes.
+    /// Naive oracle: over any history, the retries of an account are at most its floor with the
+    /// refill by time, plus the configured share of its successes.
     #[test]
     fn retries_stay_within_share_of_successes(
         steps in prop::collection::vec((any::<bool>(), 0_u64..50, 0_u8..3), 1..400),
--- a/crates/coordination/tests/support/mod.rs
+++ b/crates/coordination/tests/support/mod.rs
@@ -260,7 +260,10 @@
         let router = &mut self.routers[router];
         router.grants_received = grant.id.sequence;
         let key = (grant.account.clone(), grant.class);
-        *router.waiting.get_mut(&key).expect("granted work waits") -= 1;
+        *router
+            .waiting
+            .get_mut(&key)
+            .expect("a grant is sent only for waiting requests") -= 1;
     }
 
     fn next_report(&mut self, router: usize) -> EntryReport {
