--- a/crates/coordination/src/entry_pool/grants.rs
+++ b/crates/coordination/src/entry_pool/grants.rs
@@ -44,10 +44,10 @@
 
     /// Returns the grants between the last one received and this one.
     ///
-    /// `grants_received` acknowledges all grants up to it. A grant lost on a broken connection would
-    /// be acknowledged with them and occupy its slot until the home compares the lists of grants.
-    /// The first grant of a home does not show whether earlier ones were lost, as homes start their
-    /// sequences at any number, so a full report is sent then.
+    /// `grants_received` acknowledges all grants up to it. A grant lost on a broken connection
+    /// would be acknowledged with them and occupy its slot until the home compares the lists of
+    /// grants. The first grant of a home does not show whether earlier ones were lost, as homes
+    /// start their sequences at any number, so a full report is sent then.
     pub(super) fn return_missing(&mut self, grant: &Grant) {
         if self.grants_received == 0 {
             self.full_report_requested = true;
--- a/crates/coordination/tests/limits.rs
+++ b/crates/coordination/tests/limits.rs
@@ -21,7 +21,7 @@
 use sedgeridge_state::settings::millis;
 use yare::parameterized;
 
-const DISTANT_DEADLINE: Duration = Duration::from_secs(1 << 30);
+const LATE_DEADLINE: Duration = Duration::from_secs(1 << 30);
 
 fn account_settings(max_in_progress: u32, max_requests_per_s: u32) -> AccountSettings {
     AccountSettings {
@@ -93,8 +93,8 @@
 }
 
 #[parameterized(
-    queue = { 4_096, 0, DISTANT_DEADLINE, RefusalReason::QueueFull },
-    account_queue = { 300, 256, DISTANT_DEADLINE, RefusalReason::AccountQueueFull },
+    queue = { 4_096, 0, LATE_DEADLINE, RefusalReason::QueueFull },
+    account_queue = { 300, 256, LATE_DEADLINE, RefusalReason::AccountQueueFull },
     deadline = { 0, 0, Duration::ZERO, RefusalReason::DeadlineUnreachable },
 )]
 fn refuses(waiting: u32, of_account: u32, deadline: Duration, reason: RefusalReason) {
--- a/crates/coordination/tests/retry_budget.rs
+++ b/crates/coordination/tests/retry_budget.rs
@@ -20,7 +20,7 @@
 use sedgeridge_state::settings::RetrySettings;
 use yare::parameterized;
 
-const DISTANT_DEADLINE: Duration = Duration::from_secs(1 << 30);
+const LATE_DEADLINE: Duration = Duration::from_secs(1 << 30);
 
 fn failed(account: &AccountId, reason: RetryReason) -> FailedAttempt<'_> {
     FailedAttempt {
@@ -28,7 +28,7 @@
         reason,
         attempts: 1,
         repeatable: true,
-        deadline: DISTANT_DEADLINE,
+        deadline: LATE_DEADLINE,
     }
 }
 
@@ -37,11 +37,11 @@
 }
 
 #[parameterized(
-    attempts_used = { 3, true, RetryReason::ServerError, DISTANT_DEADLINE, RetryDenial::AttemptsUsed },
+    attempts_used = { 3, true, RetryReason::ServerError, LATE_DEADLINE, RetryDenial::AttemptsUsed },
     deadline = { 1, true, RetryReason::ServerError, Duration::from_millis(1), RetryDenial::DeadlineNear },
-    lost = { 1, false, RetryReason::ConnectionLost, DISTANT_DEADLINE, RetryDenial::NotRepeatable },
-    silent = { 1, false, RetryReason::StreamSilent, DISTANT_DEADLINE, RetryDenial::NotRepeatable },
-    server_error = { 1, false, RetryReason::ServerError, DISTANT_DEADLINE, RetryDenial::NotRepeatable },
+    lost = { 1, false, RetryReason::ConnectionLost, LATE_DEADLINE, RetryDenial::NotRepeatable },
+    silent = { 1, false, RetryReason::StreamSilent, LATE_DEADLINE, RetryDenial::NotRepeatable },
+    server_error = { 1, false, RetryReason::ServerError, LATE_DEADLINE, RetryDenial::NotRepeatable },
 )]
 fn denies(
     attempts: u32,
