--- a/crates/coordination/tests/common/config_fleet.rs
+++ b/crates/coordination/tests/common/config_fleet.rs
@@ -18,7 +18,7 @@
 use sedgeridge_state::ids::Incarnation;
 use sedgeridge_state::ids::Member;
 
-use super::store::Fate;
+use super::store::CallOutcome;
 
 /// Number of generations from one stored snapshot to the next.
 const SNAPSHOT_INTERVAL: usize = 4;
@@ -151,16 +151,16 @@
     }
 
     /// Carries out the oldest call of a router.
-    pub fn deliver(&mut self, index: usize, fate: Fate) {
+    pub fn deliver(&mut self, index: usize, outcome: CallOutcome) {
         let Some(call) = self.routers[index].calls.pop_front() else {
             return;
         };
-        let lag = match fate {
-            Fate::Stale(lag_generations) => lag_generations,
+        let lag = match outcome {
+            CallOutcome::Stale(lag_generations) => lag_generations,
             _ => 0,
         };
-        let is_refused = fate == Fate::Refused;
-        let is_silent = fate == Fate::CallLost;
+        let is_refused = outcome == CallOutcome::Refused;
+        let is_silent = outcome == CallOutcome::CallLost;
         match call {
             _ if is_silent => {}
             ConfigAction::ReadHead { call, .. } if is_refused => {
@@ -185,7 +185,7 @@
                     .saturating_sub(lag)
                     .min(up_to.0 as usize);
                 let mut items = self.stored_items(after, newest);
-                if fate == Fate::AnswerLost && items.len() > 1 {
+                if outcome == CallOutcome::AnswerLost && items.len() > 1 {
                     items.remove(items.len() / 2);
                 }
                 items.reverse();
@@ -296,7 +296,7 @@
             self.advance(100);
             for index in 0..self.routers.len() {
                 while !self.routers[index].calls.is_empty() {
-                    self.deliver(index, Fate::Answered);
+                    self.deliver(index, CallOutcome::Answered);
                 }
             }
         }
--- a/crates/coordination/tests/coordinator_fuzz.rs
+++ b/crates/coordination/tests/coordinator_fuzz.rs
@@ -1,16 +1,18 @@
-//! Three coordinators order four engines, two of which ignore fencing numbers. Any process may be
-//! paused, stopped or killed at any step, calls and answers are lost or late, and operators go on ordering.
+//! Three coordinators give orders to four engines, two of which ignore fencing numbers. Any process
+//! may be paused, stopped or killed at any step, calls and answers are lost or delayed, and
+//! operators continue to write orders.
 //!
-//! Against the oracle that each engine ends as its newest order says; and in between no order is
-//! sent after a lapse, after a later holder's, or before the weight store's turn.
+//! The test checks that each engine ends in the state of its newest order. Throughout, no order may
+//! be sent after its time limit, after a later holder's order, or before the weight store's rate
+//! limit allows it.
 
 mod common;
 
-use common::coordinator_fleet::CALM;
 use common::coordinator_fleet::CoordinatorFleet;
 use common::coordinator_fleet::ENGINES;
 use common::coordinator_fleet::Network;
-use common::store::Fate;
+use common::coordinator_fleet::WORKING_NETWORK;
+use common::store::CallOutcome;
 use proptest::prelude::*;
 use proptest::test_runner::Config;
 use proptest::test_runner::RngSeed;
@@ -25,8 +27,8 @@
 #[derive(Debug, Clone)]
 enum Step {
     Advance { by_ms: u64 },
-    Deliver { host: usize, fate: Fate },
-    RunLate,
+    Deliver { host: usize, outcome: CallOutcome },
+    RunDelayedWrite,
     Pause { host: usize },
     Resume { host: usize },
     Restart { host: usize },
@@ -37,16 +39,16 @@
 }
 
 #[derive(Debug, Clone)]
-struct Oracle;
+struct NoReferenceModel;
 
-fn fate() -> impl Strategy<Value = Fate> {
+fn outcome() -> impl Strategy<Value = CallOutcome> {
     prop_oneof![
-        6 => Just(Fate::Answered),
-        2 => Just(Fate::AnswerLost),
-        1 => Just(Fate::CallLost),
-        1 => Just(Fate::RunsLate),
-        1 => Just(Fate::Refused),
-        1 => (1..4_usize).prop_map(Fate::Stale),
+        6 => Just(CallOutcome::Answered),
+        2 => Just(CallOutcome::AnswerLost),
+        1 => Just(CallOutcome::CallLost),
+        1 => Just(CallOutcome::Delayed),
+        1 => Just(CallOutcome::Refused),
+        1 => (1..4_usize).prop_map(CallOutcome::Stale),
     ]
 }
 
@@ -64,14 +66,14 @@
         1 => (0..40_000_u64).prop_map(Some),
     ];
     let network = (0..4_900_u64, answer_ms, prop::bool::weighted(0.8));
-    network.prop_map(|(order_ms, answer_ms, is_reached)| Network {
+    network.prop_map(|(order_ms, answer_ms, is_reachable)| Network {
         order_ms,
         answer_ms,
-        is_reached,
+        is_reachable,
     })
 }
 
-impl ReferenceStateMachine for Oracle {
+impl ReferenceStateMachine for NoReferenceModel {
     type State = ();
     type Transition = Step;
 
@@ -84,8 +86,9 @@
         prop_oneof![
             4 => prop_oneof![Just(100_u64), Just(1_000), Just(3_000), Just(9_000), Just(12_000)]
                 .prop_map(|by_ms| Step::Advance { by_ms }),
-            8 => (host.clone(), fate()).prop_map(|(host, fate)| Step::Deliver { host, fate }),
-            1 => Just(Step::RunLate),
+            8 => (host.clone(), outcome())
+                .prop_map(|(host, outcome)| Step::Deliver { host, outcome }),
+            1 => Just(Step::RunDelayedWrite),
             1 => host.clone().prop_map(|host| Step::Pause { host }),
             2 => host.clone().prop_map(|host| Step::Resume { host }),
             2 => host.clone().prop_map(|host| Step::Restart { host }),
@@ -102,11 +105,11 @@
     fn apply((): (), _: &Step) {}
 }
 
-struct Fleet;
+struct FleetTest;
 
-impl StateMachineTest for Fleet {
+impl StateMachineTest for FleetTest {
     type SystemUnderTest = CoordinatorFleet;
-    type Reference = Oracle;
+    type Reference = NoReferenceModel;
 
     fn init_test((): &()) -> CoordinatorFleet {
         CoordinatorFleet::new(HOSTS)
@@ -115,8 +118,8 @@
     fn apply(mut fleet: CoordinatorFleet, (): &(), step: Step) -> CoordinatorFleet {
         match step {
             Step::Advance { by_ms } => fleet.advance(by_ms),
-            Step::Deliver { host, fate } => fleet.deliver(host, fate),
-            Step::RunLate => fleet.store.run_late(),
+            Step::Deliver { host, outcome } => fleet.deliver(host, outcome),
+            Step::RunDelayedWrite => fleet.store.run_delayed_write(),
             Step::Pause { host } => fleet.hosts[host].paused = true,
             Step::Resume { host } => fleet.resume(host),
             Step::Restart { host } => fleet.restart(host),
@@ -128,9 +131,9 @@
         fleet
     }
 
-    // Once all works again, every order ends and is in effect.
+    // When everything works again, every order ends and is in effect.
     fn teardown(mut fleet: CoordinatorFleet, (): ()) {
-        fleet.network = CALM;
+        fleet.network = WORKING_NETWORK;
         for host in 0..HOSTS {
             fleet.restart(host);
         }
@@ -148,5 +151,5 @@
     })]
 
     #[test]
-    fn engines_end_as_their_newest_orders_say(sequential 1..80 => Fleet);
+    fn engines_end_as_their_newest_orders_say(sequential 1..80 => FleetTest);
 }
