--- a/crates/coordination/benches/endpoint_health_slope.rs
+++ b/crates/coordination/benches/endpoint_health_slope.rs
@@ -8,7 +8,7 @@
 use criterion::criterion_group;
 use criterion::criterion_main;
 use sedgeridge_coordination::endpoint_health::PoolHealth;
-use sedgeridge_coordination::slot_budget::Load;
+use sedgeridge_coordination::slot_budget::EndpointLoad;
 use sedgeridge_state::ids::EndpointId;
 use sedgeridge_state::settings::HealthSettings;
 
@@ -22,7 +22,7 @@
         let pool: Vec<_> = (0..endpoints).map(|n| (id(n), 8)).collect();
         let mut health = PoolHealth::new(HealthSettings::default());
         health.configure(&pool);
-        let load = Load {
+        let load = EndpointLoad {
             running: 0,
             waiting: 0,
             slots: 8,
@@ -35,8 +35,8 @@
             b.iter(|| {
                 now += REPORT_INTERVAL / endpoints;
                 let (id, _) = turn.next().expect("the pool is not empty");
-                health.reported(now, id, load);
-                black_box(health.changes(now))
+                health.record_report(now, id, load);
+                black_box(health.take_changes(now))
             });
         });
     }
--- a/crates/coordination/src/account_table.rs
+++ b/crates/coordination/src/account_table.rs
@@ -3,7 +3,7 @@
 use sedgeridge_state::ids::AccountId;
 
 use crate::fair_order::FairOrder;
-use crate::fair_order::Place;
+use crate::fair_order::OrderKey;
 use crate::fair_order::Tag;
 use crate::name_index::NameIndex;
 use crate::pool_home::AccountWeight;
@@ -128,11 +128,11 @@
     /// A run that comes back after a partition was served by another home meanwhile. Charging an
     /// hour of that service at once would starve its accounts until all others had caught up.
     pub(crate) fn admit_run(&mut self, router: usize, totals: impl Iterator<Item = (usize, u64)>) {
-        self.ledger.admit(router, totals);
+        self.ledger.admit_run(router, totals);
     }
 
     pub(crate) fn close_run(&mut self, router: usize) {
-        self.ledger.close(router);
+        self.ledger.close_run(router);
     }
 
     pub(crate) fn merge_served(&mut self, router: usize, account: usize, total_tokens: u64) {
@@ -213,8 +213,8 @@
     }
 }
 
-fn place(tag: Tag, rank: u32, index: usize) -> Place {
-    Place {
+fn place(tag: Tag, rank: u32, index: usize) -> OrderKey {
+    OrderKey {
         tag,
         rank,
         account: index as u32,
--- a/crates/coordination/src/breaker.rs
+++ b/crates/coordination/src/breaker.rs
@@ -153,7 +153,7 @@
 
     /// Counts a whole answer to a request started at `started_at`; tells whether the breaker
     /// closed by it.
-    pub(crate) fn succeeded(&mut self, now: Duration, started_at: Duration) -> bool {
+    pub(crate) fn record_success(&mut self, now: Duration, started_at: Duration) -> bool {
         self.counts.count(now, false);
         self.request_failures = 0;
         self.report_failures = 0;
@@ -165,7 +165,7 @@
     }
 
     /// Counts a failure; tells whether the breaker wants to open.
-    pub(crate) fn failed(
+    pub(crate) fn record_failure(
         &mut self,
         now: Duration,
         started_at: Duration,
@@ -215,7 +215,7 @@
     ///
     /// An endpoint that was ejected because it could not be reached is tried as soon as it reports
     /// again: waiting out the ejection would leave a restarted engine idle.
-    pub(crate) fn reported(&mut self, now: Duration, figures_at: Duration) {
+    pub(crate) fn record_report(&mut self, now: Duration, figures_at: Duration) {
         self.report_failures = 0;
         let was_unreachable = self.cause.is_some_and(FailureKind::means_unreachable);
         if was_unreachable && figures_at > self.since {
--- a/crates/coordination/src/coordinator_events.rs
+++ b/crates/coordination/src/coordinator_events.rs
@@ -15,7 +15,7 @@
 use crate::order_events::EngineAnswer;
 use crate::order_events::OrderSettings;
 use crate::order_events::SendOrder;
-use crate::slot_budget::Load;
+use crate::slot_budget::EndpointLoad;
 use crate::store_call::StoreAction;
 use crate::store_call::StoreEvent;
 
@@ -90,7 +90,7 @@
         /// The endpoint.
         endpoint: EndpointId,
         /// The report.
-        load: Option<Load>,
+        load: Option<EndpointLoad>,
     },
     /// A read of the accepted configuration ended.
     ConfigRead(ConfigEvent<ConfigContent>),
--- a/crates/coordination/src/coordinator_input.rs
+++ b/crates/coordination/src/coordinator_input.rs
@@ -14,7 +14,7 @@
 use crate::order_events::OrderEndpoint;
 use crate::order_events::OrderEvent;
 use crate::order_events::PoolFloor;
-use crate::slot_budget::Load;
+use crate::slot_budget::EndpointLoad;
 
 /// One event for each part; those that an event does not concern get a tick.
 #[derive(Debug)]
@@ -82,7 +82,7 @@
     }
 }
 
-fn load_event(now: Duration, endpoint: EndpointId, load: Option<Load>) -> OrderEvent {
+fn load_event(now: Duration, endpoint: EndpointId, load: Option<EndpointLoad>) -> OrderEvent {
     match load {
         Some(load) => OrderEvent::EndpointState {
             endpoint,
--- a/crates/coordination/src/crash_watch.rs
+++ b/crates/coordination/src/crash_detector.rs
@@ -19,7 +19,7 @@
 
 /// Connections that were lost, and endpoints that were found to be down.
 #[derive(Debug, Default)]
-pub(crate) struct CrashWatch {
+pub(crate) struct CrashDetector {
     lost: BTreeMap<EndpointId, Lost>,
     down: BTreeMap<EndpointId, Duration>,
 }
@@ -39,7 +39,7 @@
     }
 }
 
-impl CrashWatch {
+impl CrashDetector {
     /// Notes a lost connection; returns the crash if the endpoint is known to be down.
     ///
     /// Losses are noticed one after another, some only after the endpoint was found to be down.
--- a/crates/coordination/src/demand_table.rs
+++ b/crates/coordination/src/demand_table.rs
@@ -86,8 +86,8 @@
     routers: Vec<RouterDemand>,
     rotations: Vec<Rotation>,
     arrivals: BTreeSet<(u64, DemandKey)>,
-    /// Keys whose cells changed since the last [`DemandTable::settle`].
-    unsettled: Vec<DemandKey>,
+    /// Keys whose cells changed since the last [`DemandTable::refresh_changed`].
+    changed_keys: Vec<DemandKey>,
 }
 
 impl DemandTable {
@@ -98,17 +98,17 @@
             routers: Vec::new(),
             rotations: Vec::new(),
             arrivals: BTreeSet::new(),
-            unsettled: Vec::new(),
+            changed_keys: Vec::new(),
         }
     }
 
     pub(crate) fn report(&mut self, key: DemandKey, report: DemandReport) {
         self.cell(key).report = report;
-        self.note_unsettled(key);
+        self.note_changed(key);
     }
 
     /// Counts a grant against the reported requests.
-    pub(crate) fn granted(&mut self, key: DemandKey) {
+    pub(crate) fn record_grant(&mut self, key: DemandKey) {
         let turn = self.take_turn();
         let cell = self.cell(key);
         cell.unacknowledged += 1;
@@ -117,10 +117,10 @@
     }
 
     /// The router has seen the grant, or never will.
-    pub(crate) fn acknowledged(&mut self, key: DemandKey) {
+    pub(crate) fn record_acknowledgement(&mut self, key: DemandKey) {
         let cell = self.cell(key);
         cell.unacknowledged = cell.unacknowledged.saturating_sub(1);
-        self.note_unsettled(key);
+        self.note_changed(key);
     }
 
     /// Withholds a router's demand, or offers it again; returns the accounts that this concerns.
@@ -130,7 +130,7 @@
         }
         self.routers[router].suspended = suspended;
         let keys = self.keys_of(router);
-        self.unsettled.extend(&keys);
+        self.changed_keys.extend(&keys);
         keys.iter().map(|key| key.account).collect()
     }
 
@@ -138,12 +138,12 @@
     ///
     /// A report acknowledges a grant and lowers the count of waiting requests by the same one;
     /// taken one after the other these would look like an arrival and a withdrawal.
-    pub(crate) fn settle(&mut self) {
-        let mut unsettled = std::mem::take(&mut self.unsettled);
-        for key in unsettled.drain(..) {
+    pub(crate) fn refresh_changed(&mut self) {
+        let mut changed_keys = std::mem::take(&mut self.changed_keys);
+        for key in changed_keys.drain(..) {
             self.refresh(key);
         }
-        self.unsettled = unsettled;
+        self.changed_keys = changed_keys;
     }
 
     /// Forgets a router and returns the accounts that waited there.
@@ -189,14 +189,14 @@
     }
 
     pub(crate) fn is_backlogged(&self, account: usize) -> bool {
-        self.next_of(account).is_some()
+        self.next_key(account).is_some()
     }
 
     /// Returns whose request of an account is next: interactive ones first, then routers in turn.
     ///
     /// A router that was granted goes to the end of the turns. Serving the longest queue first
     /// instead would let one busy router keep the account's callers at quiet routers waiting.
-    pub(crate) fn next_of(&self, account: usize) -> Option<DemandKey> {
+    pub(crate) fn next_key(&self, account: usize) -> Option<DemandKey> {
         let rotation = self.rotations.get(account)?;
         [RequestClass::Interactive, RequestClass::Deferred]
             .into_iter()
@@ -223,9 +223,9 @@
         cell.map(|cell| cell.report).unwrap_or_default()
     }
 
-    fn note_unsettled(&mut self, key: DemandKey) {
-        if self.unsettled.last() != Some(&key) {
-            self.unsettled.push(key);
+    fn note_changed(&mut self, key: DemandKey) {
+        if self.changed_keys.last() != Some(&key) {
+            self.changed_keys.push(key);
         }
     }
 
--- a/crates/coordination/src/endpoint_health.rs
+++ b/crates/coordination/src/endpoint_health.rs
@@ -16,7 +16,7 @@
 use crate::node_view::EndpointCondition;
 use crate::node_view::ReportView;
 use crate::pooled_endpoint::PooledEndpoint;
-use crate::slot_budget::Load;
+use crate::slot_budget::EndpointLoad;
 
 /// Report intervals after which a load report is stale.
 const STALE_REPORT_INTERVALS: u32 = 4;
@@ -52,7 +52,7 @@
 /// health.configure(&[(sick.clone(), 8), (sound.clone(), 8)]);
 /// for ms in 1..=3 {
 ///     let now = Duration::from_millis(ms);
-///     health.failed(now, &sick, now, FailureKind::ConnectFailed);
+///     health.record_failure(now, &sick, now, FailureKind::ConnectFailed);
 /// }
 /// let now = Duration::from_millis(4);
 /// assert_eq!(health.usable_slots(now, &sick), 0);
@@ -107,14 +107,14 @@
     }
 
     /// Notes how many requests the fleet holds on an endpoint from now on.
-    pub fn held(&mut self, now: Duration, id: &EndpointId, requests: u32) {
+    pub fn record_held(&mut self, now: Duration, id: &EndpointId, requests: u32) {
         if let Some(endpoint) = self.endpoints.get_mut(id) {
-            endpoint.budget.held(now, requests);
+            endpoint.budget.record_held(now, requests);
         }
     }
 
     /// Counts a whole answer to an attempt that began at `started_at`.
-    pub fn succeeded(
+    pub fn record_success(
         &mut self,
         now: Duration,
         id: &EndpointId,
@@ -125,8 +125,10 @@
         let Some(endpoint) = self.endpoints.get_mut(id) else {
             return;
         };
-        endpoint.budget.answered(now, first_byte, stale_after);
-        if endpoint.breaker.succeeded(now, started_at) {
+        endpoint
+            .budget
+            .record_first_byte(now, first_byte, stale_after);
+        if endpoint.breaker.record_success(now, started_at) {
             endpoint.ramp = Some(1);
         }
         endpoint.climb(now, stale_after);
@@ -134,7 +136,7 @@
     }
 
     /// Counts a failed attempt that began at `started_at`, or a load report that can't be read.
-    pub fn failed(
+    pub fn record_failure(
         &mut self,
         now: Duration,
         id: &EndpointId,
@@ -156,7 +158,7 @@
         }
         let settings = &self.settings;
         let breaker = &mut endpoint.breaker;
-        if breaker.failed(now, started_at, kind, settings, others) {
+        if breaker.record_failure(now, started_at, kind, settings, others) {
             self.eject(now, id);
             self.note_change(now, id);
         }
@@ -167,14 +169,14 @@
     /// ```
     /// use std::time::Duration;
     /// use sedgeridge_coordination::endpoint_health::PoolHealth;
-    /// use sedgeridge_coordination::slot_budget::Load;
+    /// use sedgeridge_coordination::slot_budget::EndpointLoad;
     /// use sedgeridge_state::ids::EndpointId;
     /// use sedgeridge_state::settings::HealthSettings;
     ///
     /// let desk = EndpointId::from("desk-1");
     /// let mut health = PoolHealth::new(HealthSettings::default());
     /// health.configure(&[(desk.clone(), 8)]);
-    /// let load = Load {
+    /// let load = EndpointLoad {
     ///     running: 3,
     ///     waiting: 0,
     ///     slots: 8,
@@ -182,20 +184,20 @@
     ///     leaving: true,
     /// };
     /// let now = Duration::from_secs(1);
-    /// health.reported(now, &desk, load);
+    /// health.record_report(now, &desk, load);
     /// assert!(health.is_leaving(&desk));
     /// ```
-    pub fn reported(&mut self, now: Duration, id: &EndpointId, load: Load) {
+    pub fn record_report(&mut self, now: Duration, id: &EndpointId, load: EndpointLoad) {
         let Some(endpoint) = self.endpoints.get_mut(id) else {
             return;
         };
         let figures_at = now.saturating_sub(load.age);
         endpoint.reported_at = Some(now);
         endpoint.report = Some((figures_at, load));
-        endpoint.breaker.reported(now, figures_at);
-        endpoint.budget.reported(now, load);
+        endpoint.breaker.record_report(now, figures_at);
+        endpoint.budget.record_report(now, load);
         let was_leaving = endpoint.leaving.is_leaving();
-        endpoint.leaving.reported(load.leaving, figures_at);
+        endpoint.leaving.record_report(load.leaving, figures_at);
         let turned = endpoint.leaving.is_leaving() != was_leaving;
         self.note_change(now, id);
         if turned {
@@ -292,11 +294,11 @@
     /// let desk = EndpointId::from("desk-1");
     /// let mut health = PoolHealth::new(HealthSettings::default());
     /// health.configure(&[(desk.clone(), 8)]);
-    /// let changes = health.changes(Duration::ZERO);
+    /// let changes = health.take_changes(Duration::ZERO);
     /// assert_eq!((changes[0].endpoint.as_str(), changes[0].slots), ("desk-1", 8));
-    /// assert!(health.changes(Duration::ZERO).is_empty());
+    /// assert!(health.take_changes(Duration::ZERO).is_empty());
     /// ```
-    pub fn changes(&mut self, now: Duration) -> Vec<UsableSlots> {
+    pub fn take_changes(&mut self, now: Duration) -> Vec<UsableSlots> {
         if now >= self.scan_at {
             self.scan(now);
         }
--- a/crates/coordination/src/entry/attempts.rs
+++ b/crates/coordination/src/entry/attempts.rs
@@ -17,7 +17,7 @@
 use crate::entry_events::StartAttempt;
 use crate::pool_messages::Grant;
 use crate::pool_messages::GrantId;
-use crate::quarantine::Permit;
+use crate::quarantine::StartDecision;
 use crate::refusal::RefusalReason;
 use crate::request_table::Attempt;
 use crate::request_table::Place;
@@ -76,12 +76,12 @@
             self.give_up(now, key, RefusalReason::DeadlinePassed, actions);
             return false;
         }
-        let permit = self.quarantine.start(now, fingerprint);
-        if permit == Permit::Start {
+        let permit = self.quarantine.try_start(now, fingerprint);
+        if permit == StartDecision::Start {
             return true;
         }
         self.note_left(now, &pool, &account);
-        if permit == Permit::Wait {
+        if permit == StartDecision::Wait {
             self.requests.put_off(key, now + TRIAL_PAUSE);
         } else {
             self.forget_place(key);
@@ -186,11 +186,11 @@
                 self.estimates
                     .learn(&arrival.account, arrival.hint_tokens, charge_of(end));
                 self.retries.on_success(now, &arrival.account);
-                self.quarantine.finished(now, arrival.fingerprint);
+                self.quarantine.on_finished(now, arrival.fingerprint);
                 self.requests.remove(ended.key);
             }
             AttemptEnd::CallerGone { .. } => {
-                self.quarantine.ended(arrival.fingerprint);
+                self.quarantine.on_ended(arrival.fingerprint);
                 self.requests.remove(ended.key);
             }
             AttemptEnd::Failed {
@@ -244,18 +244,20 @@
         match (endpoint, failure) {
             (Some(endpoint), AttemptFailure::ConnectionLost) => {
                 let fingerprint = arrival.fingerprint;
-                self.quarantine.connection_lost(now, fingerprint, endpoint);
+                self.quarantine
+                    .on_connection_lost(now, fingerprint, endpoint);
             }
             (Some(endpoint), AttemptFailure::Crashed) => {
                 let fingerprint = arrival.fingerprint;
-                self.quarantine.connection_lost(now, fingerprint, endpoint);
-                self.quarantine.endpoint_down(now, endpoint);
+                self.quarantine
+                    .on_connection_lost(now, fingerprint, endpoint);
+                self.quarantine.on_endpoint_down(now, endpoint);
             }
             (Some(endpoint), AttemptFailure::ConnectFailed) => {
-                self.quarantine.ended(arrival.fingerprint);
-                self.quarantine.endpoint_down(now, endpoint);
+                self.quarantine.on_ended(arrival.fingerprint);
+                self.quarantine.on_endpoint_down(now, endpoint);
             }
-            _ => self.quarantine.ended(arrival.fingerprint),
+            _ => self.quarantine.on_ended(arrival.fingerprint),
         }
     }
 
--- a/crates/coordination/src/fair_order.rs
+++ b/crates/coordination/src/fair_order.rs
@@ -38,7 +38,7 @@
 
 /// An account in the order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Place {
+pub struct OrderKey {
     /// Weighted service.
     pub tag: Tag,
     /// Breaks ties between equal tags.
@@ -50,7 +50,7 @@
 /// Backlogged accounts, ordered by tag and then by rank.
 #[derive(Debug, Default)]
 pub struct FairOrder {
-    entries: BTreeSet<Place>,
+    entries: BTreeSet<OrderKey>,
     last_minimum: Tag,
 }
 
@@ -58,29 +58,29 @@
     /// Adds an account.
     ///
     /// ```
-    /// use sedgeridge_coordination::fair_order::{FairOrder, Place, Tag};
+    /// use sedgeridge_coordination::fair_order::{FairOrder, OrderKey, Tag};
     ///
     /// let mut order = FairOrder::default();
-    /// order.insert(Place { tag: Tag::default().advanced(10, 1), rank: 0, account: 0 });
-    /// order.insert(Place { tag: Tag::default().advanced(5, 1), rank: 1, account: 1 });
+    /// order.insert(OrderKey { tag: Tag::default().advanced(10, 1), rank: 0, account: 0 });
+    /// order.insert(OrderKey { tag: Tag::default().advanced(5, 1), rank: 1, account: 1 });
     /// assert_eq!(order.first(), Some(1));
     /// ```
-    pub fn insert(&mut self, place: Place) {
+    pub fn insert(&mut self, place: OrderKey) {
         self.entries.insert(place);
     }
 
     /// Removes an account; `place` must be the one that it was added with.
     ///
     /// ```
-    /// use sedgeridge_coordination::fair_order::{FairOrder, Place, Tag};
+    /// use sedgeridge_coordination::fair_order::{FairOrder, OrderKey, Tag};
     ///
     /// let mut order = FairOrder::default();
-    /// let place = Place { tag: Tag::default(), rank: 0, account: 0 };
+    /// let place = OrderKey { tag: Tag::default(), rank: 0, account: 0 };
     /// order.insert(place);
     /// order.remove(place);
     /// assert_eq!(order.first(), None);
     /// ```
-    pub fn remove(&mut self, place: Place) {
+    pub fn remove(&mut self, place: OrderKey) {
         self.entries.remove(&place);
     }
 
@@ -100,11 +100,11 @@
     /// starve the others.
     ///
     /// ```
-    /// use sedgeridge_coordination::fair_order::{FairOrder, Place, Tag};
+    /// use sedgeridge_coordination::fair_order::{FairOrder, OrderKey, Tag};
     ///
     /// let mut order = FairOrder::default();
     /// let tag = Tag::default().advanced(7, 1);
-    /// order.insert(Place { tag, rank: 0, account: 0 });
+    /// order.insert(OrderKey { tag, rank: 0, account: 0 });
     /// assert_eq!(order.floor(), tag);
     /// ```
     pub fn floor(&self) -> Tag {
@@ -116,10 +116,10 @@
     /// Forgets all accounts but keeps the floor.
     ///
     /// ```
-    /// use sedgeridge_coordination::fair_order::{FairOrder, Place, Tag};
+    /// use sedgeridge_coordination::fair_order::{FairOrder, OrderKey, Tag};
     ///
     /// let mut order = FairOrder::default();
-    /// order.insert(Place { tag: Tag::default(), rank: 3, account: 0 });
+    /// order.insert(OrderKey { tag: Tag::default(), rank: 3, account: 0 });
     /// order.clear();
     /// assert_eq!(order.first(), None);
     /// ```
@@ -131,10 +131,10 @@
     /// Remembers the minimum; called before changes that may leave no account backlogged.
     ///
     /// ```
-    /// use sedgeridge_coordination::fair_order::{FairOrder, Place, Tag};
+    /// use sedgeridge_coordination::fair_order::{FairOrder, OrderKey, Tag};
     ///
     /// let mut order = FairOrder::default();
-    /// let place = Place { tag: Tag::default().advanced(3, 1), rank: 0, account: 0 };
+    /// let place = OrderKey { tag: Tag::default().advanced(3, 1), rank: 0, account: 0 };
     /// order.insert(place);
     /// order.note_minimum();
     /// order.remove(place);
--- a/crates/coordination/src/grant_slots.rs
+++ b/crates/coordination/src/grant_slots.rs
@@ -9,7 +9,7 @@
 use crate::entry_record::GrantStage;
 use crate::entry_record::Held;
 use crate::home_events::HomeAction;
-use crate::pool_home::Expiry;
+use crate::pool_home::GrantExpiry;
 use crate::pool_home::MIN_CHARGE_TOKENS;
 use crate::pool_home::PoolHome;
 use crate::pool_messages::Grant;
@@ -33,13 +33,13 @@
     }
 
     pub(crate) fn grant_free_slots(&mut self, now: Duration, actions: &mut Vec<HomeAction>) {
-        while self.granting && self.slots.any_free() {
+        while self.granting && self.slots.has_free_slot() {
             let Some(key) = self.next_demand() else {
                 return;
             };
             let reported = self.demand.reported(key);
             let site = self.entries.record(key.router).site;
-            let Some(endpoint) = self.slots.take(reported.head_prefix, site) else {
+            let Some(endpoint) = self.slots.occupy_free_slot(reported.head_prefix, site) else {
                 return;
             };
             let estimate_tokens = reported.head_cost_tokens.max(MIN_CHARGE_TOKENS);
@@ -49,7 +49,7 @@
 
     fn next_demand(&self) -> Option<DemandKey> {
         match self.settings.order {
-            QueueOrder::Fair => self.demand.next_of(self.accounts.next()?),
+            QueueOrder::Fair => self.demand.next_key(self.accounts.next()?),
             QueueOrder::Fifo => self.demand.oldest(),
         }
     }
@@ -75,13 +75,13 @@
         };
         record.own.insert(sequence, held);
         let to = record.member.clone();
-        self.expiries.push_back(Expiry {
+        self.expiries.push_back(GrantExpiry {
             at,
             router: key.router,
             sequence,
         });
         self.accounts.charge(key.account, estimate_tokens);
-        self.demand.granted(key);
+        self.demand.record_grant(key);
         let demand = &self.demand;
         self.accounts
             .refresh(&[key.account], |account| demand.is_backlogged(account));
@@ -95,7 +95,7 @@
             endpoint: self.slots.id(endpoint).clone(),
             account: self.accounts.id(key.account).clone(),
             class: key.class,
-            contended: self.next_demand().is_some() || !self.slots.any_free(),
+            contended: self.next_demand().is_some() || !self.slots.has_free_slot(),
         };
         HomeAction::Grant { to, grant }
     }
@@ -106,7 +106,7 @@
     /// grant until it reports, else each grant to an unreachable router idles a slot anew.
     pub(crate) fn expire_grants(&mut self, now: Duration, actions: &mut Vec<HomeAction>) {
         while self.expiries.front().is_some_and(|first| first.at <= now) {
-            let Some(Expiry {
+            let Some(GrantExpiry {
                 at,
                 router,
                 sequence,
@@ -114,9 +114,9 @@
             else {
                 return;
             };
-            if self.time_out(at, router, sequence) {
+            if self.time_out_grant(at, router, sequence) {
                 self.counters.timed_out_grants += 1;
-                self.ask_full(now, router, actions);
+                self.request_full_report(now, router, actions);
             }
         }
     }
--- a/crates/coordination/src/home_events.rs
+++ b/crates/coordination/src/home_events.rs
@@ -85,7 +85,7 @@
         grant: Grant,
     },
     /// Ask an entry router for a full report.
-    AskFull {
+    RequestFullReport {
         /// The entry router.
         to: Member,
     },
--- a/crates/coordination/src/homed_pool.rs
+++ b/crates/coordination/src/homed_pool.rs
@@ -25,7 +25,7 @@
 use crate::pool_home::HostSite;
 use crate::pool_home::PoolHome;
 use crate::pool_home::SlotUsage;
-use crate::slot_budget::Load;
+use crate::slot_budget::EndpointLoad;
 
 /// One pool homed on this router.
 #[derive(Debug)]
@@ -127,28 +127,28 @@
     }
 
     /// Takes a load report; false when the endpoint is not of this pool.
-    pub(crate) fn load_read(
+    pub(crate) fn record_load_report(
         &mut self,
         now: Duration,
         endpoint: &EndpointId,
-        load: Option<Load>,
+        load: Option<EndpointLoad>,
         actions: &mut Vec<HomeAction>,
     ) -> bool {
         if !self.endpoints.contains_key(endpoint) {
             return false;
         }
         match load {
-            Some(load) => self.health.reported(now, endpoint, load),
+            Some(load) => self.health.record_report(now, endpoint, load),
             None => self
                 .health
-                .failed(now, endpoint, now, FailureKind::ReportMissing),
+                .record_failure(now, endpoint, now, FailureKind::ReportMissing),
         }
         self.tell_slots(now, actions);
         true
     }
 
     /// Notes that an endpoint takes no new work.
-    pub(crate) fn set_leaving(
+    pub(crate) fn mark_leaving(
         &mut self,
         now: Duration,
         endpoint: &EndpointId,
@@ -163,7 +163,7 @@
     ///
     /// The list lags. An endpoint that is not on it keeps what was said of it last: it may have
     /// joined, or be gone, since the list was made.
-    pub(crate) fn take_host_list(
+    pub(crate) fn apply_host_list(
         &mut self,
         now: Duration,
         hosts: &[ListedHost],
@@ -211,12 +211,12 @@
             let started_at = now.saturating_sub(millis(result.started_ago_ms.into()));
             for _ in 0..result.answered.min(MAX_ANSWERS) {
                 self.health
-                    .succeeded(now, &result.endpoint, started_at, first_byte);
+                    .record_success(now, &result.endpoint, started_at, first_byte);
             }
             for failure in &result.failures {
                 let started_at = now.saturating_sub(millis(failure.started_ago_ms.into()));
                 self.health
-                    .failed(now, &result.endpoint, started_at, failure.kind);
+                    .record_failure(now, &result.endpoint, started_at, failure.kind);
             }
         }
     }
@@ -227,13 +227,13 @@
             let held = usage.map_or(0, |usage| usage.occupied);
             if held != polled.held {
                 polled.held = held;
-                self.health.held(now, endpoint, held);
+                self.health.record_held(now, endpoint, held);
             }
         }
     }
 
     fn tell_slots(&mut self, now: Duration, actions: &mut Vec<HomeAction>) {
-        for change in self.health.changes(now) {
+        for change in self.health.take_changes(now) {
             let event = HomeEvent::EndpointState {
                 endpoint: change.endpoint,
                 usable_slots: change.slots,
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -63,7 +63,7 @@
 
 mod account_table;
 mod coordinator_input;
-mod crash_watch;
+mod crash_detector;
 mod demand_table;
 mod entry_record;
 mod entry_table;
--- a/crates/coordination/src/member_changes.rs
+++ b/crates/coordination/src/member_changes.rs
@@ -35,7 +35,7 @@
             self.remove_router(router);
         }
         let router = self.add_router(member);
-        self.ask_full(now, router, actions);
+        self.request_full_report(now, router, actions);
     }
 
     pub(crate) fn add_router(&mut self, member: &Member) -> usize {
@@ -43,7 +43,7 @@
             .host_sites
             .iter()
             .find(|known| known.host == member.host);
-        let site = host_site.map(|known| self.slots.site(&known.site));
+        let site = host_site.map(|known| self.slots.site_index(&known.site));
         self.entries.add(member, site)
     }
 
@@ -51,17 +51,17 @@
     pub(crate) fn remove_router(&mut self, router: usize) {
         let ids = self.entries.record(router).grant_ids(&self.member);
         for id in ids {
-            self.end(router, &id);
+            self.end_grant(router, &id);
         }
         let waited = self.demand.remove_router(router);
-        self.touched.extend(waited);
+        self.changed_accounts.extend(waited);
         self.accounts.close_run(router);
         self.entries.remove(router);
     }
 
     pub(crate) fn set_host_sites(&mut self, host_sites: Vec<HostSite>) {
         for known in &host_sites {
-            let site = self.slots.site(&known.site);
+            let site = self.slots.site_index(&known.site);
             if let Some(router) = self.entries.find(&known.host) {
                 self.entries.record_mut(router).site = Some(site);
             }
--- a/crates/coordination/src/node.rs
+++ b/crates/coordination/src/node.rs
@@ -165,7 +165,7 @@
             }
             NodeEvent::HostList(hosts) => {
                 self.for_each_home(now, out, |home, out| {
-                    home.take_host_list(now, &hosts, out);
+                    home.apply_host_list(now, &hosts, out);
                 });
                 // The list names the hosts of endpoints as well; those are no members.
                 let settings = &self.settings;
@@ -176,7 +176,7 @@
             }
             NodeEvent::LoadRead { endpoint, load } => {
                 self.for_each_home(now, out, |home, out| {
-                    home.load_read(now, &endpoint, load, out);
+                    home.record_load_report(now, &endpoint, load, out);
                 });
             }
             NodeEvent::DrainEndpoint {
@@ -208,7 +208,7 @@
 
     /// Returns when the next [`NodeEvent::Tick`] is due at the latest.
     pub fn next_wake(&self) -> Duration {
-        let report = self.schedule.next_wake(self.entry.urgency(&self.member));
+        let report = self.schedule.next_due_at(self.entry.urgency(&self.member));
         let timers = [report, self.entry.next_wake(), self.claims.next_wake()];
         let first = timers.into_iter().flatten().min();
         let membership = self.membership.next_wake();
--- a/crates/coordination/src/node/homes.rs
+++ b/crates/coordination/src/node/homes.rs
@@ -18,7 +18,7 @@
 use crate::node::Outbox;
 use crate::node_events::NodeAction;
 use crate::node_events::PeerMessage;
-use crate::poison_notice::PoisonNews;
+use crate::poison_notice::PoisonEvent;
 use crate::poison_notice::PoisonNotice;
 use crate::pool_home::HomeAction;
 use crate::pool_home::HomeEvent;
@@ -69,7 +69,7 @@
         match notice {
             Notice::EndpointLeaving { endpoint, .. } => {
                 self.for_each_home(now, out, |home, out| {
-                    home.set_leaving(now, endpoint, out);
+                    home.mark_leaving(now, endpoint, out);
                 });
             }
             Notice::Quarantine {
@@ -78,7 +78,7 @@
             } => {
                 let event = EntryEvent::Poison(PoisonNotice {
                     fingerprint: *fingerprint,
-                    news: PoisonNews::Quarantined {
+                    event: PoisonEvent::Quarantined {
                         remaining: millis(*expires_in_ms),
                     },
                 });
@@ -170,7 +170,7 @@
                     self.entry
                         .handle(now, EntryEvent::Granted(grant), &mut out.entry);
                 }
-                HomeAction::AskFull { to } if to == self.member => {
+                HomeAction::RequestFullReport { to } if to == self.member => {
                     let pool = pool.clone();
                     let event = EntryEvent::FullReportWanted { pool };
                     self.entry.handle(now, event, &mut out.entry);
@@ -179,7 +179,7 @@
                     let message = PeerMessage::Grant(grant);
                     out.actions.push(NodeAction::Send { to, message });
                 }
-                HomeAction::AskFull { to } => {
+                HomeAction::RequestFullReport { to } => {
                     let pool = pool.clone();
                     let message = PeerMessage::FullReportWanted { pool };
                     out.actions.push(NodeAction::Send { to, message });
--- a/crates/coordination/src/node/peers.rs
+++ b/crates/coordination/src/node/peers.rs
@@ -15,7 +15,7 @@
 use crate::node::Outbox;
 use crate::node_events::NodeAction;
 use crate::node_events::PeerMessage;
-use crate::poison_notice::PoisonNews;
+use crate::poison_notice::PoisonEvent;
 use crate::poison_notice::PoisonNotice;
 use crate::pool_home::HomeEvent;
 use crate::refusal::Outcome;
@@ -75,15 +75,15 @@
 
     pub(super) fn report_to_others(&mut self, now: Duration, out: &mut Outbox) {
         let urgency = self.entry.urgency(&self.member);
-        self.schedule.note(now, urgency);
-        let Some(least) = self.schedule.due(now, urgency) else {
+        self.schedule.note_urgency(now, urgency);
+        let Some(least) = self.schedule.due_urgency(now, urgency) else {
             return;
         };
         let own = &self.member;
         let mut reports = Vec::new();
         let wanted = |home: &Member, urgency| home != own && urgency >= least;
         self.entry.report(least, wanted, &mut reports);
-        self.schedule.sent(now, least);
+        self.schedule.record_sent(now, least);
         for report in reports {
             self.entry_action(now, report, out);
         }
@@ -101,7 +101,7 @@
             }
             EntryAction::Announce(PoisonNotice {
                 fingerprint,
-                news: PoisonNews::Quarantined { remaining },
+                event: PoisonEvent::Quarantined { remaining },
             }) => {
                 // A quarantine also has to reach routers that start later, so it goes the way of
                 // notices that are kept and compared.
--- a/crates/coordination/src/node_events.rs
+++ b/crates/coordination/src/node_events.rs
@@ -26,7 +26,7 @@
 use crate::pool_messages::EntryReport;
 use crate::pool_messages::Grant;
 use crate::retry_budget::RetryReason;
-use crate::slot_budget::Load;
+use crate::slot_budget::EndpointLoad;
 use crate::store_call::StoreAction;
 use crate::store_call::StoreEvent;
 
@@ -127,7 +127,7 @@
         /// The endpoint.
         endpoint: EndpointId,
         /// The report; `None` when it could not be read.
-        load: Option<Load>,
+        load: Option<EndpointLoad>,
     },
     /// An operator drains an endpoint.
     DrainEndpoint {
--- a/crates/coordination/src/node_view.rs
+++ b/crates/coordination/src/node_view.rs
@@ -9,7 +9,7 @@
 use crate::entry_pool::EntryPool;
 use crate::homed_pool::HomedPool;
 use crate::node::Node;
-use crate::slot_budget::Load;
+use crate::slot_budget::EndpointLoad;
 
 /// What is believed of an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -26,7 +26,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReportView {
     /// The report.
-    pub load: Load,
+    pub load: EndpointLoad,
     /// Age of its figures.
     pub age: Duration,
 }
--- a/crates/coordination/src/poison_notice.rs
+++ b/crates/coordination/src/poison_notice.rs
@@ -11,12 +11,12 @@
     /// The request.
     pub fingerprint: Fingerprint,
     /// What is known.
-    pub news: PoisonNews,
+    pub event: PoisonEvent,
 }
 
 /// News about a request. Times are relative, since routers share no clock.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum PoisonNews {
+pub enum PoisonEvent {
     /// It was in progress on an endpoint that crashed.
     Crashed {
         /// The endpoint.
--- a/crates/coordination/src/pool_home.rs
+++ b/crates/coordination/src/pool_home.rs
@@ -41,7 +41,7 @@
 
 /// A grant whose acknowledgement is due.
 #[derive(Debug)]
-pub(crate) struct Expiry {
+pub(crate) struct GrantExpiry {
     pub(crate) at: Duration,
     pub(crate) router: usize,
     pub(crate) sequence: u64,
@@ -59,14 +59,14 @@
     pub(crate) entries: EntryTable,
     pub(crate) counters: HomeCounters,
     /// Accounts whose service or demand changed in this event.
-    pub(crate) touched: Vec<usize>,
+    pub(crate) changed_accounts: Vec<usize>,
     pub(crate) resolved_served: Vec<ResolvedServed>,
     pub(crate) host_sites: Vec<HostSite>,
     pub(crate) members_known: bool,
     pub(crate) configured: bool,
     pub(crate) started_at: Option<Duration>,
     pub(crate) granting: bool,
-    pub(crate) expiries: VecDeque<Expiry>,
+    pub(crate) expiries: VecDeque<GrantExpiry>,
     /// Highest sequence of any grant given here.
     pub(crate) highest_sequence: u64,
 }
@@ -84,7 +84,7 @@
     /// let mut home = PoolHome::new(member.clone(), PoolId::from("desk"), FairSettings::default());
     /// let mut actions = Vec::new();
     /// home.handle(Duration::ZERO, HomeEvent::Members(vec![member.clone()]), &mut actions);
-    /// assert_eq!(actions, [HomeAction::AskFull { to: member }]);
+    /// assert_eq!(actions, [HomeAction::RequestFullReport { to: member }]);
     /// ```
     pub fn new(member: Member, pool: PoolId, settings: FairSettings) -> Self {
         let seed = seed_of(pool.as_str());
@@ -109,7 +109,7 @@
             demand: DemandTable::new(settings.order),
             entries: EntryTable::default(),
             counters: HomeCounters::default(),
-            touched: Vec::new(),
+            changed_accounts: Vec::new(),
             resolved_served: Vec::new(),
             host_sites: Vec::new(),
             members_known: false,
@@ -148,7 +148,7 @@
                 self.configure(now, &endpoints, &weights, actions);
             }
             HomeEvent::HostSites(host_sites) => self.set_host_sites(host_sites),
-            HomeEvent::Report(report) => self.take_report(now, &report, actions),
+            HomeEvent::Report(report) => self.handle_report(now, &report, actions),
             HomeEvent::EndpointState {
                 endpoint,
                 usable_slots,
@@ -225,7 +225,7 @@
         self.slots.configure(endpoints);
         for router in self.entries.indices() {
             if std::mem::take(&mut self.entries.record_mut(router).named_unknown) {
-                self.ask_full(now, router, actions);
+                self.request_full_report(now, router, actions);
             }
         }
         for account in self.accounts.configure(weights) {
@@ -244,13 +244,18 @@
             let record = self.entries.record(router);
             let stale = now >= record.last_full_at + reconcile_interval(router);
             if stale || record.asked_full_at.is_some() {
-                self.ask_full(now, router, actions);
+                self.request_full_report(now, router, actions);
             }
         }
     }
 
     /// Asks for a full report unless one was asked for a moment ago.
-    pub(crate) fn ask_full(&mut self, now: Duration, router: usize, actions: &mut Vec<HomeAction>) {
+    pub(crate) fn request_full_report(
+        &mut self,
+        now: Duration,
+        router: usize,
+        actions: &mut Vec<HomeAction>,
+    ) {
         let patience = millis(self.settings.gather_timeout_ms);
         let record = self.entries.record_mut(router);
         if record.asked_full_at.is_some_and(|at| now < at + patience) {
@@ -258,19 +263,19 @@
         }
         record.asked_full_at = Some(now);
         let to = record.member.clone();
-        actions.push(HomeAction::AskFull { to });
+        actions.push(HomeAction::RequestFullReport { to });
     }
 
     fn refresh_touched(&mut self) {
-        self.demand.settle();
-        let mut touched = std::mem::take(&mut self.touched);
-        touched.sort_unstable();
-        touched.dedup();
+        self.demand.refresh_changed();
+        let mut changed_accounts = std::mem::take(&mut self.changed_accounts);
+        changed_accounts.sort_unstable();
+        changed_accounts.dedup();
         let demand = &self.demand;
         self.accounts
-            .refresh(&touched, |account| demand.is_backlogged(account));
-        touched.clear();
-        self.touched = touched;
+            .refresh(&changed_accounts, |account| demand.is_backlogged(account));
+        changed_accounts.clear();
+        self.changed_accounts = changed_accounts;
     }
 }
 
--- a/crates/coordination/src/pooled_endpoint.rs
+++ b/crates/coordination/src/pooled_endpoint.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::breaker::Breaker;
-use crate::slot_budget::Load;
+use crate::slot_budget::EndpointLoad;
 use crate::slot_budget::SlotBudget;
 
 /// Time for which a notice of leaving stands against reports that say otherwise, since they lag.
@@ -22,7 +22,7 @@
         self.by_report || self.by_peer_at.is_some() || self.by_host_list
     }
 
-    pub(crate) fn reported(&mut self, leaving: bool, figures_at: Duration) {
+    pub(crate) fn record_report(&mut self, leaving: bool, figures_at: Duration) {
         self.by_report = leaving;
         let outlived = |at: Duration| figures_at > at + LEAVING_NOTICE_HOLDS;
         if !leaving && self.by_peer_at.is_some_and(outlived) {
@@ -41,7 +41,7 @@
     pub(crate) leaving: Leaving,
     pub(crate) reported_at: Option<Duration>,
     /// The last report and when its figures were taken.
-    pub(crate) report: Option<(Duration, Load)>,
+    pub(crate) report: Option<(Duration, EndpointLoad)>,
     /// Slots last told.
     pub(crate) told: Option<u32>,
 }
@@ -72,7 +72,7 @@
         if self.breaker.is_half_open() {
             return 1;
         }
-        let usable = self.budget.usable(now, stale_after);
+        let usable = self.budget.usable_slots(now, stale_after);
         self.ramp.map_or(usable, |ramp| ramp.min(usable))
     }
 
@@ -80,7 +80,7 @@
     /// request: a cold endpoint is not flooded, and a warm one is soon back at full load.
     pub(crate) fn climb(&mut self, now: Duration, stale_after: Duration) {
         let Some(ramp) = self.ramp else { return };
-        if ramp + 1 >= self.budget.usable(now, stale_after) {
+        if ramp + 1 >= self.budget.usable_slots(now, stale_after) {
             self.ramp = None;
             self.breaker.forgive();
         } else {
@@ -97,7 +97,7 @@
     /// Returns when the usable slots change by the passing of time alone.
     pub(crate) fn next_change_at(&self, now: Duration, stale_after: Duration) -> Option<Duration> {
         let returns_at = self.breaker.open_until();
-        let foreign_until = self.budget.foreign_until(stale_after);
+        let foreign_until = self.budget.foreign_expires_at(stale_after);
         returns_at.or(foreign_until.filter(|at| *at > now))
     }
 }
--- a/crates/coordination/src/quarantine.rs
+++ b/crates/coordination/src/quarantine.rs
@@ -14,8 +14,8 @@
 use sedgeridge_state::settings::HealthSettings;
 use sedgeridge_state::settings::millis;
 
-use crate::crash_watch::CrashWatch;
-use crate::poison_notice::PoisonNews;
+use crate::crash_detector::CrashDetector;
+use crate::poison_notice::PoisonEvent;
 use crate::poison_notice::PoisonNotice;
 use crate::poison_record::Crash;
 use crate::poison_record::PoisonRecord;
@@ -35,7 +35,7 @@
 
 /// Whether a request may start on an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Permit {
+pub enum StartDecision {
     /// It may.
     Start,
     /// It is a suspect and has to wait until another suspect's trial, or its judgement, is over.
@@ -48,7 +48,7 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use sedgeridge_coordination::quarantine::{Permit, Quarantine};
+/// use sedgeridge_coordination::quarantine::{Quarantine, StartDecision};
 /// use sedgeridge_state::fingerprint::Fingerprint;
 /// use sedgeridge_state::ids::EndpointId;
 /// use sedgeridge_state::settings::HealthSettings;
@@ -57,18 +57,18 @@
 /// let mut quarantine = Quarantine::new(HealthSettings::default());
 /// for (second, name) in [(0, "desk-1"), (10, "desk-2")] {
 ///     let (now, desk) = (Duration::from_secs(second), EndpointId::from(name));
-///     assert_eq!(quarantine.start(now, poison), Permit::Start);
-///     quarantine.connection_lost(now, poison, &desk);
-///     quarantine.endpoint_down(now, &desk);
+///     assert_eq!(quarantine.try_start(now, poison), StartDecision::Start);
+///     quarantine.on_connection_lost(now, poison, &desk);
+///     quarantine.on_endpoint_down(now, &desk);
 ///     quarantine.tick(now + Duration::from_secs(1));
 /// }
-/// assert_eq!(quarantine.start(Duration::from_secs(12), poison), Permit::Refuse);
+/// assert_eq!(quarantine.try_start(Duration::from_secs(12), poison), StartDecision::Refuse);
 /// ```
 #[derive(Debug)]
 pub struct Quarantine {
     settings: HealthSettings,
     records: BTreeMap<Fingerprint, PoisonRecord>,
-    crashes: CrashWatch,
+    crashes: CrashDetector,
     trial: Option<Trial>,
     accused: BTreeMap<Fingerprint, Duration>,
     notices: Vec<PoisonNotice>,
@@ -86,7 +86,7 @@
         Self {
             settings,
             records: BTreeMap::new(),
-            crashes: CrashWatch::default(),
+            crashes: CrashDetector::default(),
             trial: None,
             accused: BTreeMap::new(),
             notices: Vec::new(),
@@ -117,7 +117,7 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use sedgeridge_coordination::quarantine::{Permit, Quarantine};
+    /// use sedgeridge_coordination::quarantine::{Quarantine, StartDecision};
     /// use sedgeridge_state::fingerprint::Fingerprint;
     /// use sedgeridge_state::ids::EndpointId;
     /// use sedgeridge_state::settings::HealthSettings;
@@ -125,41 +125,41 @@
     /// let (now, desk) = (Duration::from_secs(1), EndpointId::from("desk-1"));
     /// let (first, second) = (Fingerprint(1), Fingerprint(2));
     /// let mut quarantine = Quarantine::new(HealthSettings::default());
-    /// quarantine.connection_lost(now, first, &desk);
-    /// quarantine.connection_lost(now, second, &desk);
-    /// quarantine.endpoint_down(now, &desk);
-    /// assert_eq!(quarantine.start(now, first), Permit::Start);
-    /// assert_eq!(quarantine.start(now, second), Permit::Wait);
+    /// quarantine.on_connection_lost(now, first, &desk);
+    /// quarantine.on_connection_lost(now, second, &desk);
+    /// quarantine.on_endpoint_down(now, &desk);
+    /// assert_eq!(quarantine.try_start(now, first), StartDecision::Start);
+    /// assert_eq!(quarantine.try_start(now, second), StartDecision::Wait);
     /// ```
-    pub fn start(&mut self, now: Duration, fingerprint: Fingerprint) -> Permit {
+    pub fn try_start(&mut self, now: Duration, fingerprint: Fingerprint) -> StartDecision {
         if self.accused.get(&fingerprint).is_some_and(|at| *at <= now) {
             self.judge(now, fingerprint);
         }
         let Some(record) = self.records.get(&fingerprint) else {
-            return Permit::Start;
+            return StartDecision::Start;
         };
         if record.quarantined_for(now).is_some() {
-            return Permit::Refuse;
+            return StartDecision::Refuse;
         }
         if !record.is_suspect() {
-            return Permit::Start;
+            return StartDecision::Start;
         }
         let is_on_trial = |trial: &Trial| now.saturating_sub(trial.since) < MAX_TRIAL;
         if self.accused.contains_key(&fingerprint) || self.trial.as_ref().is_some_and(is_on_trial) {
-            return Permit::Wait;
+            return StartDecision::Wait;
         }
         self.trial = Some(Trial {
             fingerprint,
             since: now,
         });
-        Permit::Start
+        StartDecision::Start
     }
 
     /// Notes that a request ran to its end, which clears it: a poison request never does.
     ///
     /// ```
     /// use std::time::Duration;
-    /// use sedgeridge_coordination::quarantine::{Permit, Quarantine};
+    /// use sedgeridge_coordination::quarantine::{Quarantine, StartDecision};
     /// use sedgeridge_state::fingerprint::Fingerprint;
     /// use sedgeridge_state::ids::EndpointId;
     /// use sedgeridge_state::settings::HealthSettings;
@@ -167,14 +167,14 @@
     /// let (now, desk) = (Duration::from_secs(1), EndpointId::from("desk-1"));
     /// let (first, second) = (Fingerprint(1), Fingerprint(2));
     /// let mut quarantine = Quarantine::new(HealthSettings::default());
-    /// quarantine.connection_lost(now, first, &desk);
-    /// quarantine.connection_lost(now, second, &desk);
-    /// quarantine.endpoint_down(now, &desk);
-    /// quarantine.start(now, first);
-    /// quarantine.finished(now, first);
-    /// assert_eq!(quarantine.start(now, second), Permit::Start);
+    /// quarantine.on_connection_lost(now, first, &desk);
+    /// quarantine.on_connection_lost(now, second, &desk);
+    /// quarantine.on_endpoint_down(now, &desk);
+    /// quarantine.try_start(now, first);
+    /// quarantine.on_finished(now, first);
+    /// assert_eq!(quarantine.try_start(now, second), StartDecision::Start);
     /// ```
-    pub fn finished(&mut self, now: Duration, fingerprint: Fingerprint) {
+    pub fn on_finished(&mut self, now: Duration, fingerprint: Fingerprint) {
         self.end_trial(fingerprint);
         let Some(record) = self.records.get_mut(&fingerprint) else {
             return;
@@ -182,12 +182,12 @@
         if record.is_suspect() || record.quarantined_for(now).is_some() {
             record.clear(now);
             self.accused.remove(&fingerprint);
-            self.tell(fingerprint, PoisonNews::Finished);
+            self.tell(fingerprint, PoisonEvent::Finished);
         }
     }
 
     /// Notes that a request ended in a way that says nothing about it, such as a cancel.
-    pub fn ended(&mut self, fingerprint: Fingerprint) {
+    pub fn on_ended(&mut self, fingerprint: Fingerprint) {
         self.end_trial(fingerprint);
     }
 
@@ -195,7 +195,7 @@
     ///
     /// That may be the network's doing. It is held against the request only if the endpoint is then
     /// found to be down, see [`endpoint_down`](Self::endpoint_down).
-    pub fn connection_lost(
+    pub fn on_connection_lost(
         &mut self,
         now: Duration,
         fingerprint: Fingerprint,
@@ -208,7 +208,7 @@
     }
 
     /// Notes that `endpoint` refuses connections or says that it has restarted.
-    pub fn endpoint_down(&mut self, now: Duration, endpoint: &EndpointId) {
+    pub fn on_endpoint_down(&mut self, now: Duration, endpoint: &EndpointId) {
         let Some(batch) = self.crashes.endpoint_down(now, endpoint) else {
             return;
         };
@@ -240,8 +240,8 @@
         let fingerprint = notice.fingerprint;
         let most = self.most_crashes();
         let longest = self.quarantine_time() * MAX_NOTICE_TIMES;
-        match notice.news {
-            PoisonNews::Crashed { endpoint, age } if age <= self.quarantine_time() => {
+        match notice.event {
+            PoisonEvent::Crashed { endpoint, age } if age <= self.quarantine_time() => {
                 let crash = Crash {
                     endpoint,
                     at: now.saturating_sub(age),
@@ -251,12 +251,12 @@
                     self.accuse(now, fingerprint);
                 }
             }
-            PoisonNews::Crashed { .. } => {}
-            PoisonNews::Quarantined { remaining } => {
+            PoisonEvent::Crashed { .. } => {}
+            PoisonEvent::Quarantined { remaining } => {
                 let until = now + remaining.min(longest);
                 self.record(fingerprint).quarantine_until(now, until);
             }
-            PoisonNews::Finished => {
+            PoisonEvent::Finished => {
                 self.record(fingerprint).clear(now);
                 self.accused.remove(&fingerprint);
             }
@@ -267,7 +267,7 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use sedgeridge_coordination::quarantine::{Permit, Quarantine};
+    /// use sedgeridge_coordination::quarantine::{Quarantine, StartDecision};
     /// use sedgeridge_state::fingerprint::Fingerprint;
     /// use sedgeridge_state::ids::EndpointId;
     /// use sedgeridge_state::settings::HealthSettings;
@@ -275,9 +275,9 @@
     /// let (now, desk) = (Duration::from_secs(1), EndpointId::from("desk-1"));
     /// let (first, second) = (Fingerprint(1), Fingerprint(2));
     /// let mut quarantine = Quarantine::new(HealthSettings::default());
-    /// quarantine.connection_lost(now, first, &desk);
-    /// quarantine.connection_lost(now, second, &desk);
-    /// quarantine.endpoint_down(now, &desk);
+    /// quarantine.on_connection_lost(now, first, &desk);
+    /// quarantine.on_connection_lost(now, second, &desk);
+    /// quarantine.on_endpoint_down(now, &desk);
     /// let mut peer = Quarantine::new(HealthSettings::default());
     /// for notice in quarantine.take_notices() {
     ///     peer.on_notice(now, notice);
@@ -305,7 +305,7 @@
             return;
         }
         self.accuse(now, fingerprint);
-        let news = PoisonNews::Crashed {
+        let news = PoisonEvent::Crashed {
             endpoint: crash.endpoint.clone(),
             age: now.saturating_sub(crash.at),
         };
@@ -330,7 +330,7 @@
             return;
         }
         let remaining = self.record(fingerprint).quarantine(now, first);
-        self.tell(fingerprint, PoisonNews::Quarantined { remaining });
+        self.tell(fingerprint, PoisonEvent::Quarantined { remaining });
     }
 
     fn is_foremost(&self, fingerprint: Fingerprint, crash: &Crash) -> bool {
@@ -351,8 +351,8 @@
         }
     }
 
-    fn tell(&mut self, fingerprint: Fingerprint, news: PoisonNews) {
-        self.notices.push(PoisonNotice { fingerprint, news });
+    fn tell(&mut self, fingerprint: Fingerprint, event: PoisonEvent) {
+        self.notices.push(PoisonNotice { fingerprint, event });
     }
 
     fn record(&mut self, fingerprint: Fingerprint) -> &mut PoisonRecord {
--- a/crates/coordination/src/report_apply.rs
+++ b/crates/coordination/src/report_apply.rs
@@ -28,7 +28,7 @@
 }
 
 impl PoolHome {
-    pub(crate) fn take_report(
+    pub(crate) fn handle_report(
         &mut self,
         now: Duration,
         report: &EntryReport,
@@ -65,8 +65,8 @@
     fn ask_full_from(&mut self, now: Duration, from: &Member, actions: &mut Vec<HomeAction>) {
         let known = self.entries.find(&from.host);
         match known.filter(|router| self.entries.record(*router).member == *from) {
-            Some(router) => self.ask_full(now, router, actions),
-            None => actions.push(HomeAction::AskFull { to: from.clone() }),
+            Some(router) => self.request_full_report(now, router, actions),
+            None => actions.push(HomeAction::RequestFullReport { to: from.clone() }),
         }
     }
 
@@ -130,9 +130,9 @@
             self.start_grants(now, router, report);
         }
         let resumed = self.demand.suspend(router, false);
-        self.touched.extend(resumed);
+        self.changed_accounts.extend(resumed);
         for id in &report.ended {
-            self.end(router, id);
+            self.end_grant(router, id);
         }
         self.acknowledge(router, report.grants_received);
         for holding in &report.holdings {
@@ -194,11 +194,11 @@
         let stage = std::mem::replace(&mut held.stage, GrantStage::Acknowledged);
         let held = *held;
         match stage {
-            GrantStage::Sent { .. } => self.demand.acknowledged(key_of(router, &held)),
+            GrantStage::Sent { .. } => self.demand.record_acknowledgement(key_of(router, &held)),
             GrantStage::TimedOut => self.occupy_again(&held),
             GrantStage::Acknowledged => {}
         }
-        self.touched.push(held.account);
+        self.changed_accounts.push(held.account);
     }
 
     /// Counts a grant again that arrived after its slot was returned; it may run beside another.
@@ -209,7 +209,7 @@
     }
 
     /// Returns the slot of a grant that is not acknowledged; false if it is, or has ended.
-    pub(crate) fn time_out(&mut self, at: Duration, router: usize, sequence: u64) -> bool {
+    pub(crate) fn time_out_grant(&mut self, at: Duration, router: usize, sequence: u64) -> bool {
         if !self.entries.is_live(router) {
             return false;
         }
@@ -227,11 +227,11 @@
         let held = *held;
         self.free(router, &held, GrantStage::Sent { expires_at: at });
         let suspended = self.demand.suspend(router, true);
-        self.touched.extend(suspended);
+        self.changed_accounts.extend(suspended);
         true
     }
 
-    pub(crate) fn end(&mut self, router: usize, id: &GrantId) {
+    pub(crate) fn end_grant(&mut self, router: usize, id: &GrantId) {
         let record = self.entries.record_mut(router);
         if let Some(held) = record.remove(&self.member, id) {
             self.free(router, &held, held.stage);
@@ -240,14 +240,14 @@
 
     /// Takes back what a grant occupied in `stage`.
     fn free(&mut self, router: usize, held: &Held, stage: GrantStage) {
-        self.touched.push(held.account);
+        self.changed_accounts.push(held.account);
         if stage == GrantStage::TimedOut {
             return;
         }
         self.slots.release(held.endpoint);
         self.accounts.refund(held.account, held.estimate_tokens);
         if stage != GrantStage::Acknowledged {
-            self.demand.acknowledged(key_of(router, held));
+            self.demand.record_acknowledgement(key_of(router, held));
         }
     }
 
@@ -259,7 +259,7 @@
             let account = held.account;
             self.accounts.refund(account, before_tokens);
             self.accounts.charge(account, estimate_tokens);
-            self.touched.push(account);
+            self.changed_accounts.push(account);
             return;
         }
         self.adopt(router, holding, estimate_tokens);
@@ -282,7 +282,7 @@
         };
         self.slots.occupy(endpoint);
         self.accounts.charge(account, estimate_tokens);
-        self.touched.push(account);
+        self.changed_accounts.push(account);
         let record = self.entries.record_mut(router);
         record.insert(&self.member, &holding.grant, held);
     }
@@ -301,7 +301,7 @@
             let unseen = id.home == self.member && id.sequence > report.grants_received;
             let listed = report.holdings.iter().any(|holding| holding.grant == id);
             if !unseen && !listed {
-                self.end(router, &id);
+                self.end_grant(router, &id);
             }
         }
     }
@@ -317,7 +317,7 @@
         } in served
         {
             self.accounts.merge_served(router, account, total_tokens);
-            self.touched.push(account);
+            self.changed_accounts.push(account);
         }
     }
 
@@ -336,7 +336,7 @@
             head_prefix: demand.head_prefix,
         };
         self.demand.report(key, report);
-        self.touched.push(account);
+        self.changed_accounts.push(account);
     }
 
     fn withdraw_unlisted(&mut self, router: usize, report: &EntryReport) {
@@ -347,7 +347,7 @@
                 continue;
             }
             self.demand.report(key, DemandReport::default());
-            self.touched.push(key.account);
+            self.changed_accounts.push(key.account);
         }
     }
 
@@ -358,7 +358,7 @@
             self.demand.report(key, DemandReport::default());
             self.entries.record_mut(key.router).named_unknown = true;
         }
-        self.touched.push(account);
+        self.changed_accounts.push(account);
     }
 }
 
--- a/crates/coordination/src/report_schedule.rs
+++ b/crates/coordination/src/report_schedule.rs
@@ -14,10 +14,10 @@
 /// let (batch, interval) = (Duration::from_millis(5), Duration::from_millis(200));
 /// let mut schedule = ReportSchedule::new(batch, interval);
 /// let start = Duration::from_secs(1);
-/// schedule.note(start, Urgency::Lazy);
-/// assert_eq!(schedule.due(start, Urgency::Lazy), None);
-/// assert_eq!(schedule.due(start, Urgency::Urgent), Some(Urgency::Urgent));
-/// assert_eq!(schedule.due(start + interval, Urgency::Lazy), Some(Urgency::Lazy));
+/// schedule.note_urgency(start, Urgency::Lazy);
+/// assert_eq!(schedule.due_urgency(start, Urgency::Lazy), None);
+/// assert_eq!(schedule.due_urgency(start, Urgency::Urgent), Some(Urgency::Urgent));
+/// assert_eq!(schedule.due_urgency(start + interval, Urgency::Lazy), Some(Urgency::Lazy));
 /// ```
 #[derive(Debug)]
 pub struct ReportSchedule {
@@ -45,7 +45,7 @@
     }
 
     /// Notes how urgent the news are now.
-    pub fn note(&mut self, now: Duration, urgency: Urgency) {
+    pub fn note_urgency(&mut self, now: Duration, urgency: Urgency) {
         if urgency == Urgency::None {
             self.lazy_since = None;
         } else {
@@ -54,7 +54,7 @@
     }
 
     /// Returns the least urgency of the news that are due, if any are.
-    pub fn due(&self, now: Duration, urgency: Urgency) -> Option<Urgency> {
+    pub fn due_urgency(&self, now: Duration, urgency: Urgency) -> Option<Urgency> {
         let lazy_at = self.lazy_since? + self.interval;
         if now >= lazy_at {
             return Some(Urgency::Lazy);
@@ -64,7 +64,7 @@
     }
 
     /// Notes that the news of this urgency and above went out.
-    pub fn sent(&mut self, now: Duration, least: Urgency) {
+    pub fn record_sent(&mut self, now: Duration, least: Urgency) {
         self.urgent_at = now;
         if least == Urgency::Lazy {
             self.lazy_since = None;
@@ -72,7 +72,7 @@
     }
 
     /// Returns when the next news are due, if there are any.
-    pub fn next_wake(&self, urgency: Urgency) -> Option<Duration> {
+    pub fn next_due_at(&self, urgency: Urgency) -> Option<Duration> {
         let lazy_at = self.lazy_since? + self.interval;
         Some(match urgency {
             Urgency::Urgent => lazy_at.min(self.urgent_at + self.batch),
--- a/crates/coordination/src/service_ledger.rs
+++ b/crates/coordination/src/service_ledger.rs
@@ -21,12 +21,12 @@
     /// use sedgeridge_coordination::service_ledger::ServiceLedger;
     ///
     /// let mut ledger = ServiceLedger::default();
-    /// ledger.admit(0, [(7, 100)]);
+    /// ledger.admit_run(0, [(7, 100)]);
     /// assert_eq!(ledger.received_tokens(7), 0);
     /// assert_eq!(ledger.merge(0, 7, 130), 30);
     /// assert_eq!(ledger.received_tokens(7), 30);
     /// ```
-    pub fn admit(&mut self, run: usize, totals: impl IntoIterator<Item = (usize, u64)>) {
+    pub fn admit_run(&mut self, run: usize, totals: impl IntoIterator<Item = (usize, u64)>) {
         *self.run(run) = totals.into_iter().collect();
     }
 
@@ -71,10 +71,10 @@
     ///
     /// let mut ledger = ServiceLedger::default();
     /// ledger.merge(0, 7, 30);
-    /// ledger.close(0);
+    /// ledger.close_run(0);
     /// assert_eq!(ledger.received_tokens(7), 30);
     /// ```
-    pub fn close(&mut self, run: usize) {
+    pub fn close_run(&mut self, run: usize) {
         self.run(run).clear();
     }
 
--- a/crates/coordination/src/slot_budget.rs
+++ b/crates/coordination/src/slot_budget.rs
@@ -21,7 +21,7 @@
 
 /// An endpoint's load as it was some time ago.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Load {
+pub struct EndpointLoad {
     /// Requests in the running batch.
     pub running: u32,
     /// Requests admitted but not yet in the batch.
@@ -44,21 +44,21 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// use sedgeridge_coordination::slot_budget::{Load, SlotBudget};
+/// use sedgeridge_coordination::slot_budget::{EndpointLoad, SlotBudget};
 ///
 /// let mut budget = SlotBudget::new(8);
-/// let overfull = Load {
+/// let overfull = EndpointLoad {
 ///     running: 5,
 ///     waiting: 3,
 ///     slots: 8,
 ///     age: Duration::ZERO,
 ///     leaving: false,
 /// };
-/// budget.held(Duration::ZERO, 8);
+/// budget.record_held(Duration::ZERO, 8);
 /// for second in 1..=4 {
-///     budget.reported(Duration::from_secs(second), overfull);
+///     budget.record_report(Duration::from_secs(second), overfull);
 /// }
-/// assert_eq!(budget.usable(Duration::from_secs(4), Duration::from_secs(1)), 5);
+/// assert_eq!(budget.usable_slots(Duration::from_secs(4), Duration::from_secs(1)), 5);
 /// ```
 #[derive(Debug)]
 pub struct SlotBudget {
@@ -99,7 +99,7 @@
     }
 
     /// Notes how many requests the fleet holds on the endpoint from `now` on.
-    pub fn held(&mut self, now: Duration, requests: u32) {
+    pub fn record_held(&mut self, now: Duration, requests: u32) {
         if self.history.len() == HISTORY_LEN {
             self.history.pop_front();
         }
@@ -110,7 +110,7 @@
     }
 
     /// Learns from a load report. One no newer than the last, or too old to compare, is dropped.
-    pub fn reported(&mut self, now: Duration, load: Load) {
+    pub fn record_report(&mut self, now: Duration, load: EndpointLoad) {
         let figures_at = now.saturating_sub(load.age);
         if self.figures_at.is_some_and(|last| figures_at <= last) {
             return;
@@ -129,7 +129,12 @@
     }
 
     /// Learns from the time to the first byte of an answer, when reports are missing.
-    pub fn answered(&mut self, now: Duration, first_byte: Duration, reports_stale_after: Duration) {
+    pub fn record_first_byte(
+        &mut self,
+        now: Duration,
+        first_byte: Duration,
+        reports_stale_after: Duration,
+    ) {
         self.note_latency(first_byte);
         if self.is_reported(now, reports_stale_after) {
             self.answers = 0;
@@ -152,10 +157,10 @@
     ///
     /// ```
     /// use std::time::Duration;
-    /// use sedgeridge_coordination::slot_budget::{Load, SlotBudget};
+    /// use sedgeridge_coordination::slot_budget::{EndpointLoad, SlotBudget};
     ///
     /// let mut budget = SlotBudget::new(8);
-    /// let not_ours = Load {
+    /// let not_ours = EndpointLoad {
     ///     running: 6,
     ///     waiting: 0,
     ///     slots: 8,
@@ -163,11 +168,11 @@
     ///     leaving: false,
     /// };
     /// let stale_after = Duration::from_secs(1);
-    /// budget.reported(Duration::from_secs(1), not_ours);
-    /// assert_eq!(budget.usable(Duration::from_secs(1), stale_after), 2);
-    /// assert_eq!(budget.usable(Duration::from_secs(9), stale_after), 8);
+    /// budget.record_report(Duration::from_secs(1), not_ours);
+    /// assert_eq!(budget.usable_slots(Duration::from_secs(1), stale_after), 2);
+    /// assert_eq!(budget.usable_slots(Duration::from_secs(9), stale_after), 8);
     /// ```
-    pub fn usable(&self, now: Duration, reports_stale_after: Duration) -> u32 {
+    pub fn usable_slots(&self, now: Duration, reports_stale_after: Duration) -> u32 {
         let foreign = if self.is_reported(now, reports_stale_after) {
             self.foreign
         } else {
@@ -178,14 +183,14 @@
     }
 
     /// Returns when work of others stops to be counted unless a report tells of it again.
-    pub fn foreign_until(&self, reports_stale_after: Duration) -> Option<Duration> {
+    pub fn foreign_expires_at(&self, reports_stale_after: Duration) -> Option<Duration> {
         let is_counted = self.foreign > 0;
         self.figures_at
             .filter(|_| is_counted)
             .map(|at| at + reports_stale_after)
     }
 
-    fn learn_from(&mut self, load: Load) {
+    fn learn_from(&mut self, load: EndpointLoad) {
         let most = self.configured.min(load.slots.max(1));
         if load.waiting > 0 {
             self.overfull_reports += 1;
--- a/crates/coordination/src/slot_table.rs
+++ b/crates/coordination/src/slot_table.rs
@@ -75,7 +75,7 @@
     }
 
     fn configure_one(&mut self, configured: &HomeEndpoint) -> usize {
-        let site = self.site(&configured.site);
+        let site = self.site_index(&configured.site);
         let Some(index) = self.by_id.find(&configured.id) else {
             return self.add(configured, site);
         };
@@ -105,7 +105,7 @@
     }
 
     /// Returns the index of a site, adding it when it is new.
-    pub(crate) fn site(&mut self, id: &SiteId) -> usize {
+    pub(crate) fn site_index(&mut self, id: &SiteId) -> usize {
         if let Some(site) = self.sites.find(id) {
             return site;
         }
@@ -136,7 +136,7 @@
         self.update(endpoint, |endpoint| endpoint.occupied_slots -= 1);
     }
 
-    pub(crate) fn any_free(&self) -> bool {
+    pub(crate) fn has_free_slot(&self) -> bool {
         !self.free.is_empty()
     }
 
@@ -149,7 +149,7 @@
     }
 
     /// Occupies a free slot and returns its endpoint.
-    pub(crate) fn take(
+    pub(crate) fn occupy_free_slot(
         &mut self,
         prefix: Option<PrefixHash>,
         site: Option<usize>,
--- a/crates/coordination/tests/common/coordinator_fleet.rs
+++ b/crates/coordination/tests/common/coordinator_fleet.rs
@@ -11,7 +11,7 @@
 use sedgeridge_coordination::coordinator_events::CoordinatorSettings;
 use sedgeridge_coordination::order_events::EngineAnswer;
 use sedgeridge_coordination::order_events::SendOrder;
-use sedgeridge_coordination::slot_budget::Load;
+use sedgeridge_coordination::slot_budget::EndpointLoad;
 use sedgeridge_coordination::store_call::StoreAction;
 use sedgeridge_state::ids::EndpointId;
 use sedgeridge_state::ids::Incarnation;
@@ -170,7 +170,7 @@
                 );
             }
             CoordinatorAction::ReadLoad { endpoint } => {
-                let load = self.network.is_reached.then_some(Load {
+                let load = self.network.is_reached.then_some(EndpointLoad {
                     running: 0,
                     waiting: 0,
                     slots: 4,
--- a/crates/coordination/tests/coordinator.rs
+++ b/crates/coordination/tests/coordinator.rs
@@ -18,7 +18,7 @@
 use sedgeridge_coordination::node_config::ConfigRead;
 use sedgeridge_coordination::order_events::EngineAnswer;
 use sedgeridge_coordination::order_events::SendOrder;
-use sedgeridge_coordination::slot_budget::Load;
+use sedgeridge_coordination::slot_budget::EndpointLoad;
 use sedgeridge_state::config_document::ConfigDocument;
 use sedgeridge_state::config_records::ConfigContent;
 use sedgeridge_state::ids::EndpointId;
@@ -136,9 +136,9 @@
         self.event(CoordinatorEvent::ConfigRead(event));
     }
 
-    fn load(&self, endpoint: &EndpointId) -> Option<Load> {
+    fn load(&self, endpoint: &EndpointId) -> Option<EndpointLoad> {
         let reports = self.reporting.contains(&endpoint.as_str());
-        reports.then_some(Load {
+        reports.then_some(EndpointLoad {
             running: 0,
             waiting: 0,
             slots: 4,
--- a/crates/coordination/tests/endpoint_health.rs
+++ b/crates/coordination/tests/endpoint_health.rs
@@ -14,7 +14,7 @@
 use sedgeridge_coordination::breaker::FailureKind;
 use sedgeridge_coordination::endpoint_health::LeavingSource;
 use sedgeridge_coordination::endpoint_health::PoolHealth;
-use sedgeridge_coordination::slot_budget::Load;
+use sedgeridge_coordination::slot_budget::EndpointLoad;
 use sedgeridge_state::ids::EndpointId;
 use sedgeridge_state::settings::HealthSettings;
 use sedgeridge_state::settings::millis;
@@ -36,8 +36,8 @@
     (health, ids)
 }
 
-fn load(running: u32, leaving: bool) -> Load {
-    Load {
+fn load(running: u32, leaving: bool) -> EndpointLoad {
+    EndpointLoad {
         running,
         waiting: 0,
         slots: SLOTS,
@@ -54,7 +54,7 @@
     times: u32,
 ) {
     for _ in 0..times {
-        health.failed(now, id, now, kind);
+        health.record_failure(now, id, now, kind);
     }
 }
 
@@ -83,18 +83,18 @@
     fail_times(&mut health, now, &ids[0], FailureKind::TimedOut, 3);
     for eject_ms in [2_000, 4_000, 8_000] {
         now += millis(eject_ms - 1);
-        health.changes(now);
+        health.take_changes(now);
         assert_eq!(health.usable_slots(now, &ids[0]), 0, "after {eject_ms}");
         now += millis(1);
-        health.changes(now);
+        health.take_changes(now);
         assert_eq!(health.usable_slots(now, &ids[0]), 1, "after {eject_ms}");
-        health.failed(now, &ids[0], now, FailureKind::TimedOut);
+        health.record_failure(now, &ids[0], now, FailureKind::TimedOut);
     }
     now += millis(16_000);
-    health.changes(now);
+    health.take_changes(now);
     let mut slots = Vec::new();
     for _ in 0..SLOTS {
-        health.succeeded(now, &ids[0], now, millis(20));
+        health.record_success(now, &ids[0], now, millis(20));
         slots.push(health.usable_slots(now, &ids[0]));
     }
     assert_eq!(slots, [2, 3, 4, 5, 6, 7, 8, 8], "slow start");
@@ -113,9 +113,9 @@
         8,
     );
     let now = millis(3_000);
-    health.changes(now);
+    health.take_changes(now);
     for _ in 0..5 {
-        health.failed(now, &ids[0], millis(5), FailureKind::TimedOut);
+        health.record_failure(now, &ids[0], millis(5), FailureKind::TimedOut);
     }
     assert_eq!(health.usable_slots(now, &ids[0]), 1);
 }
@@ -143,9 +143,9 @@
     for n in 0..100 {
         let now = millis(n * 10);
         for id in &ids {
-            health.succeeded(now, id, now, millis(20));
+            health.record_success(now, id, now, millis(20));
         }
-        health.failed(now, &ids[0], now, FailureKind::ServerError);
+        health.record_failure(now, &ids[0], now, FailureKind::ServerError);
     }
     assert_eq!(health.usable_slots(millis(1_000), &ids[0]), 0);
     assert_eq!(health.usable_slots(millis(1_000), &ids[1]), SLOTS);
@@ -156,7 +156,7 @@
 #[test]
 fn silent_connections_do_not_eject_an_endpoint_that_reports() {
     let (mut health, ids) = pool(4);
-    health.reported(millis(4_900), &ids[0], load(0, false));
+    health.record_report(millis(4_900), &ids[0], load(0, false));
     fail_times(&mut health, millis(5_000), &ids[0], FailureKind::Silent, 8);
     assert_eq!(health.usable_slots(millis(5_000), &ids[0]), SLOTS);
 }
@@ -172,7 +172,7 @@
         FailureKind::ConnectionLost,
         3,
     );
-    health.reported(millis(1_000), &ids[0], load(0, false));
+    health.record_report(millis(1_000), &ids[0], load(0, false));
     assert_eq!(health.usable_slots(millis(1_000), &ids[0]), 1);
 }
 
@@ -181,17 +181,17 @@
 #[test]
 fn any_source_stops_work_and_a_late_list_does_not_restart_it() {
     let (mut health, ids) = pool(2);
-    health.reported(millis(10), &ids[0], load(3, true));
+    health.record_report(millis(10), &ids[0], load(3, true));
     health.set_leaving(millis(20), &ids[0], LeavingSource::HostList, false);
     assert_eq!(health.usable_slots(millis(20), &ids[0]), 0);
     health.set_leaving(millis(30), &ids[1], LeavingSource::Peer, true);
-    health.reported(millis(40), &ids[1], load(0, false));
+    health.record_report(millis(40), &ids[1], load(0, false));
     assert_eq!(
         health.usable_slots(millis(40), &ids[1]),
         0,
         "the report lags"
     );
-    health.reported(millis(11_000), &ids[1], load(0, false));
+    health.record_report(millis(11_000), &ids[1], load(0, false));
     assert_eq!(health.usable_slots(millis(11_000), &ids[1]), SLOTS);
 }
 
@@ -241,14 +241,14 @@
 fn apply(health: &mut PoolHealth, ids: &mut Vec<EndpointId>, now: &mut Duration, step: Step) {
     let all = names(6);
     match step {
-        Step::Succeed(i) => health.succeeded(*now, &all[i], *now, millis(20)),
-        Step::Fail(i, kind) => health.failed(*now, &all[i], *now, kind),
+        Step::Succeed(i) => health.record_success(*now, &all[i], *now, millis(20)),
+        Step::Fail(i, kind) => health.record_failure(*now, &all[i], *now, kind),
         Step::Report(i, leaving, running, waiting) => {
-            let report = Load {
+            let report = EndpointLoad {
                 waiting,
                 ..load(running, leaving)
             };
-            health.reported(*now, &all[i], report);
+            health.record_report(*now, &all[i], report);
         }
         Step::PeerSaysLeaving(i, on) => health.set_leaving(*now, &all[i], LeavingSource::Peer, on),
         Step::HostListSaysLeaving(i, on) => {
@@ -293,7 +293,7 @@
         for step in steps {
             now += millis(1);
             apply(&mut health, &mut ids, &mut now, step);
-            for change in health.changes(now) {
+            for change in health.take_changes(now) {
                 told.insert(change.endpoint, change.slots);
             }
             let slots: Vec<_> = ids.iter().map(|id| health.usable_slots(now, id)).collect();
--- a/crates/coordination/tests/entry_pool_and_home.rs
+++ b/crates/coordination/tests/entry_pool_and_home.rs
@@ -77,7 +77,7 @@
     }
     let grants = actions.into_iter().filter_map(|action| match action {
         HomeAction::Grant { grant, .. } => Some(grant),
-        HomeAction::AskFull { .. } => None,
+        HomeAction::RequestFullReport { .. } => None,
     });
     grants.collect()
 }
--- a/crates/coordination/tests/home_fuzz/router.rs
+++ b/crates/coordination/tests/home_fuzz/router.rs
@@ -78,7 +78,7 @@
         for message in std::mem::take(&mut self.inbox) {
             match message {
                 HomeAction::Grant { grant, .. } => self.bind(&grant),
-                HomeAction::AskFull { .. } => self.must_send_full = true,
+                HomeAction::RequestFullReport { .. } => self.must_send_full = true,
             }
         }
     }
--- a/crates/coordination/tests/pool_home.rs
+++ b/crates/coordination/tests/pool_home.rs
@@ -185,7 +185,7 @@
 fn an_unanswered_request_for_a_full_report_is_repeated() {
     let mut fleet = Fleet::new(1, &[("desk-1", 1)], &[("a", 1)]);
     fleet.wait(0, "a", 2);
-    let ask = [HomeAction::AskFull { to: member(0) }];
+    let ask = [HomeAction::RequestFullReport { to: member(0) }];
     assert_eq!(fleet.tick(ms(1_000)), ask);
     assert_eq!(fleet.tick(ms(100)), []);
     assert_eq!(fleet.tick(ms(200)), ask);
@@ -202,7 +202,7 @@
 fn a_router_with_nothing_new_to_say_is_asked_in_the_end() {
     let mut fleet = Fleet::new(1, &[("desk-1", 1)], &[("a", 1)]);
     assert_eq!(fleet.tick(ms(29_000)), []);
-    let ask = [HomeAction::AskFull { to: member(0) }];
+    let ask = [HomeAction::RequestFullReport { to: member(0) }];
     assert_eq!(fleet.tick(ms(11_000)), ask);
 }
 
@@ -238,7 +238,7 @@
     let mut bad = report(0, sequence, full);
     bad.demand.push(demand("a", 1));
     let actions = fleet.send(bad);
-    let asked = actions.contains(&HomeAction::AskFull { to: member(0) });
+    let asked = actions.contains(&HomeAction::RequestFullReport { to: member(0) });
     assert_eq!(asked, asks);
     assert!(fleet.grants.is_empty());
     assert_eq!(fleet.home.counters().rejections[&reason], 1);
@@ -286,7 +286,7 @@
     fleet.send(early);
     assert_eq!(fleet.grants.len(), 1);
     let actions = fleet.configure(&[("desk-1", 4)], &[("a", 1), ("new", 1)]);
-    assert_eq!(actions, [HomeAction::AskFull { to: member(0) }]);
+    assert_eq!(actions, [HomeAction::RequestFullReport { to: member(0) }]);
 }
 
 // Callers of an account wait for good. An operator removed it by mistake and put it back before its
@@ -298,7 +298,7 @@
     fleet.wait(0, "a", 1);
     assert_eq!(fleet.configure(&[("desk-1", 0)], &[]), []);
     let actions = fleet.configure(&[("desk-1", 0)], &[("a", 1)]);
-    assert_eq!(actions, [HomeAction::AskFull { to: member(0) }]);
+    assert_eq!(actions, [HomeAction::RequestFullReport { to: member(0) }]);
 }
 
 #[test]
--- a/crates/coordination/tests/pool_home_fuzz.rs
+++ b/crates/coordination/tests/pool_home_fuzz.rs
@@ -149,7 +149,7 @@
 
     fn dispatch(&mut self, action: HomeAction) {
         let to = match &action {
-            HomeAction::Grant { to, .. } | HomeAction::AskFull { to } => to,
+            HomeAction::Grant { to, .. } | HomeAction::RequestFullReport { to } => to,
         };
         let router = self.routers.iter_mut().find(|router| router.member == *to);
         if let Some(router) = router {
--- a/crates/coordination/tests/quarantine.rs
+++ b/crates/coordination/tests/quarantine.rs
@@ -2,11 +2,11 @@
 
 use std::time::Duration;
 
-use sedgeridge_coordination::poison_notice::PoisonNews;
+use sedgeridge_coordination::poison_notice::PoisonEvent;
 use sedgeridge_coordination::poison_notice::PoisonNotice;
 use sedgeridge_coordination::quarantine::MAX_RECORDS;
-use sedgeridge_coordination::quarantine::Permit;
 use sedgeridge_coordination::quarantine::Quarantine;
+use sedgeridge_coordination::quarantine::StartDecision;
 use sedgeridge_state::fingerprint::Fingerprint;
 use sedgeridge_state::ids::EndpointId;
 use sedgeridge_state::settings::HealthSettings;
@@ -22,9 +22,9 @@
 fn crash(router: &mut Quarantine, now: Duration, endpoint: &str, batch: &[Fingerprint]) {
     let endpoint = EndpointId::from(endpoint);
     for fingerprint in batch {
-        router.connection_lost(now, *fingerprint, &endpoint);
+        router.on_connection_lost(now, *fingerprint, &endpoint);
     }
-    router.endpoint_down(now, &endpoint);
+    router.on_endpoint_down(now, &endpoint);
 }
 
 fn router() -> Quarantine {
@@ -37,14 +37,14 @@
 fn repeat_offender_is_refused_and_batch_mate_is_cleared() {
     let mut router = router();
     crash(&mut router, seconds(0), "desk-1", &[POISON, INNOCENT]);
-    assert_eq!(router.start(seconds(1), INNOCENT), Permit::Start);
+    assert_eq!(router.try_start(seconds(1), INNOCENT), StartDecision::Start);
     assert_eq!(
-        router.start(seconds(1), POISON),
-        Permit::Wait,
+        router.try_start(seconds(1), POISON),
+        StartDecision::Wait,
         "one at a time"
     );
-    router.finished(seconds(2), INNOCENT);
-    assert_eq!(router.start(seconds(3), POISON), Permit::Start);
+    router.on_finished(seconds(2), INNOCENT);
+    assert_eq!(router.try_start(seconds(3), POISON), StartDecision::Start);
     crash(
         &mut router,
         seconds(10),
@@ -52,15 +52,21 @@
         &[POISON, Fingerprint(3)],
     );
     assert_eq!(
-        router.start(seconds(10), POISON),
-        Permit::Wait,
+        router.try_start(seconds(10), POISON),
+        StartDecision::Wait,
         "not yet judged"
     );
     router.tick(seconds(11));
-    assert_eq!(router.start(seconds(11), POISON), Permit::Refuse);
+    assert_eq!(router.try_start(seconds(11), POISON), StartDecision::Refuse);
     assert_eq!(router.refused_for(seconds(11), POISON), Some(QUARANTINE));
-    assert_eq!(router.start(seconds(11), INNOCENT), Permit::Start);
-    assert_eq!(router.start(seconds(11), Fingerprint(3)), Permit::Start);
+    assert_eq!(
+        router.try_start(seconds(11), INNOCENT),
+        StartDecision::Start
+    );
+    assert_eq!(
+        router.try_start(seconds(11), Fingerprint(3)),
+        StartDecision::Start
+    );
 }
 
 /// The network drops all connections to an endpoint that keeps running.
@@ -69,9 +75,9 @@
 fn lost_connections_alone_blame_nobody() {
     let mut router = router();
     let desk = EndpointId::from("desk-1");
-    router.connection_lost(seconds(0), INNOCENT, &desk);
+    router.on_connection_lost(seconds(0), INNOCENT, &desk);
     router.tick(seconds(6));
-    router.endpoint_down(seconds(7), &desk);
+    router.on_endpoint_down(seconds(7), &desk);
     assert!(router.is_empty());
 }
 
@@ -80,8 +86,8 @@
 fn a_loss_noticed_late_belongs_to_the_same_crash() {
     let mut router = router();
     let desk = EndpointId::from("desk-1");
-    router.endpoint_down(seconds(0), &desk);
-    router.connection_lost(seconds(1), POISON, &desk);
+    router.on_endpoint_down(seconds(0), &desk);
+    router.on_connection_lost(seconds(1), POISON, &desk);
     assert_eq!(router.len(), 1);
 }
 
@@ -93,9 +99,12 @@
     for s in [0, 10, 20] {
         crash(&mut router, seconds(s), "desk-1", &[INNOCENT]);
         router.tick(seconds(s + 1));
-        assert_eq!(router.start(seconds(s + 2), INNOCENT), Permit::Start);
+        assert_eq!(
+            router.try_start(seconds(s + 2), INNOCENT),
+            StartDecision::Start
+        );
     }
-    router.finished(seconds(30), INNOCENT);
+    router.on_finished(seconds(30), INNOCENT);
     assert_eq!(router.refused_for(seconds(30), INNOCENT), None);
 }
 
@@ -121,13 +130,13 @@
     }
     one.tick(seconds(11));
     two.tick(seconds(11));
-    assert_eq!(two.start(seconds(12), INNOCENT), Permit::Start);
-    two.finished(seconds(13), INNOCENT);
-    assert_eq!(one.start(seconds(12), POISON), Permit::Start);
+    assert_eq!(two.try_start(seconds(12), INNOCENT), StartDecision::Start);
+    two.on_finished(seconds(13), INNOCENT);
+    assert_eq!(one.try_start(seconds(12), POISON), StartDecision::Start);
     crash(&mut one, seconds(20), "desk-3", &[POISON]);
     one.tick(seconds(21));
-    assert_eq!(one.start(seconds(21), POISON), Permit::Refuse);
-    assert_eq!(two.start(seconds(21), INNOCENT), Permit::Start);
+    assert_eq!(one.try_start(seconds(21), POISON), StartDecision::Refuse);
+    assert_eq!(two.try_start(seconds(21), INNOCENT), StartDecision::Start);
 }
 
 /// The caller sends the poison again through another router, and again after the quarantine.
@@ -142,9 +151,9 @@
         two.on_notice(seconds(12), notice.clone());
         two.on_notice(seconds(12), notice);
     }
-    assert_eq!(two.start(seconds(13), POISON), Permit::Refuse);
+    assert_eq!(two.try_start(seconds(13), POISON), StartDecision::Refuse);
     let later = seconds(320);
-    assert_eq!(two.start(later, POISON), Permit::Start);
+    assert_eq!(two.try_start(later, POISON), StartDecision::Start);
     crash(&mut two, later, "desk-1", &[POISON]);
     two.tick(later + seconds(1));
     let left = two.refused_for(later + seconds(1), POISON);
@@ -158,17 +167,20 @@
     let mut router = router();
     let notice = PoisonNotice {
         fingerprint: POISON,
-        news: PoisonNews::Quarantined {
+        event: PoisonEvent::Quarantined {
             remaining: seconds(10),
         },
     };
     router.on_notice(seconds(0), notice);
-    assert_eq!(router.start(seconds(1), POISON), Permit::Refuse);
-    assert_eq!(router.start(seconds(11), POISON), Permit::Start);
+    assert_eq!(router.try_start(seconds(1), POISON), StartDecision::Refuse);
+    assert_eq!(router.try_start(seconds(11), POISON), StartDecision::Start);
     crash(&mut router, seconds(12), "desk-1", &[POISON, INNOCENT]);
     router.tick(seconds(13));
-    assert_eq!(router.start(seconds(13), POISON), Permit::Refuse);
-    assert_eq!(router.start(seconds(13), INNOCENT), Permit::Start);
+    assert_eq!(router.try_start(seconds(13), POISON), StartDecision::Refuse);
+    assert_eq!(
+        router.try_start(seconds(13), INNOCENT),
+        StartDecision::Start
+    );
 }
 
 #[test]
@@ -176,27 +188,30 @@
     let mut router = router();
     crash(&mut router, seconds(400), "desk-1", &[INNOCENT]);
     let stale = router.take_notices();
-    router.finished(seconds(401), INNOCENT);
+    router.on_finished(seconds(401), INNOCENT);
     for notice in stale.iter().chain(&stale) {
         router.on_notice(seconds(402), notice.clone());
     }
     let forged = PoisonNotice {
         fingerprint: INNOCENT,
-        news: PoisonNews::Crashed {
+        event: PoisonEvent::Crashed {
             endpoint: EndpointId::from("desk-9"),
             age: Duration::MAX,
         },
     };
     router.on_notice(seconds(402), forged);
-    assert_eq!(router.start(seconds(403), INNOCENT), Permit::Start);
     assert_eq!(
-        router.start(seconds(403), INNOCENT),
-        Permit::Start,
+        router.try_start(seconds(403), INNOCENT),
+        StartDecision::Start
+    );
+    assert_eq!(
+        router.try_start(seconds(403), INNOCENT),
+        StartDecision::Start,
         "no suspect"
     );
     let endless = PoisonNotice {
         fingerprint: POISON,
-        news: PoisonNews::Quarantined {
+        event: PoisonEvent::Quarantined {
             remaining: Duration::MAX,
         },
     };
@@ -219,7 +234,7 @@
         crash(&mut router, seconds(20), "desk-3", &[Fingerprint(100 + n)]);
     }
     assert_eq!(router.len(), MAX_RECORDS);
-    assert_eq!(router.start(seconds(21), POISON), Permit::Refuse);
+    assert_eq!(router.try_start(seconds(21), POISON), StartDecision::Refuse);
     router.tick(seconds(3_600));
     assert!(router.is_empty());
 }
--- a/crates/coordination/tests/quarantine_fleet.rs
+++ b/crates/coordination/tests/quarantine_fleet.rs
@@ -14,8 +14,8 @@
 use proptest::test_runner::Config as ProptestConfig;
 use proptest::test_runner::RngSeed;
 use sedgeridge_coordination::poison_notice::PoisonNotice;
-use sedgeridge_coordination::quarantine::Permit;
 use sedgeridge_coordination::quarantine::Quarantine;
+use sedgeridge_coordination::quarantine::StartDecision;
 use sedgeridge_coordination::random::SeededRandom;
 use sedgeridge_state::fingerprint::Fingerprint;
 use sedgeridge_state::ids::EndpointId;
@@ -155,10 +155,10 @@
                 self.waiting.push(request);
                 continue;
             };
-            match self.routers[request.router].start(now, request.fingerprint) {
-                Permit::Start => self.run(now, &id, request),
-                Permit::Wait => self.waiting.push(request),
-                Permit::Refuse => self.refused(now, request),
+            match self.routers[request.router].try_start(now, request.fingerprint) {
+                StartDecision::Start => self.run(now, &id, request),
+                StartDecision::Wait => self.waiting.push(request),
+                StartDecision::Refuse => self.refused(now, request),
             }
         }
     }
@@ -208,7 +208,7 @@
                 router,
                 since,
             } = running.request;
-            self.routers[router].finished(now, fingerprint);
+            self.routers[router].on_finished(now, fingerprint);
             self.longest_wait = self.longest_wait.max(now - since);
             self.send_innocent(now, fingerprint == POPULAR);
         }
@@ -220,12 +220,12 @@
         let mut routers = BTreeSet::new();
         for running in batch {
             let request = running.request;
-            self.routers[request.router].connection_lost(now, request.fingerprint, id);
+            self.routers[request.router].on_connection_lost(now, request.fingerprint, id);
             routers.insert(request.router);
             self.waiting.push(request);
         }
         for router in routers {
-            self.routers[router].endpoint_down(now, id);
+            self.routers[router].on_endpoint_down(now, id);
         }
     }
 }
--- a/crates/coordination/tests/service_ledger.rs
+++ b/crates/coordination/tests/service_ledger.rs
@@ -68,8 +68,8 @@
         after in 0..1_000u64,
     ) {
         let mut ledger = merged(&[(0, 0, before)]);
-        ledger.close(0);
-        ledger.admit(0, [(0, before + meanwhile)]);
+        ledger.close_run(0);
+        ledger.admit_run(0, [(0, before + meanwhile)]);
         ledger.merge(0, 0, before + meanwhile + after);
         prop_assert_eq!(ledger.received_tokens(0), before + after);
     }
@@ -77,8 +77,8 @@
     #[test]
     fn a_restarted_run_starts_from_nothing(before in 0..1_000u64, after in 0..1_000u64) {
         let mut ledger = merged(&[(0, 0, before)]);
-        ledger.close(0);
-        ledger.admit(0, []);
+        ledger.close_run(0);
+        ledger.admit_run(0, []);
         ledger.merge(0, 0, after);
         prop_assert_eq!(ledger.received_tokens(0), before + after);
     }
--- a/crates/coordination/tests/slot_budget.rs
+++ b/crates/coordination/tests/slot_budget.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use sedgeridge_coordination::random::SeededRandom;
-use sedgeridge_coordination::slot_budget::Load;
+use sedgeridge_coordination::slot_budget::EndpointLoad;
 use sedgeridge_coordination::slot_budget::SlotBudget;
 use sedgeridge_state::settings::millis;
 
@@ -45,12 +45,12 @@
         self.past.push_back((now, self.run_ends.len(), self.queued));
     }
 
-    fn report(&mut self, now: Duration) -> Load {
+    fn report(&mut self, now: Duration) -> EndpointLoad {
         while self.past.len() > 1 && self.past[1].0 + REPORT_AGE <= now {
             self.past.pop_front();
         }
         let (at, running, waiting) = self.past[0];
-        Load {
+        EndpointLoad {
             running: running as u32,
             waiting: waiting as u32,
             slots: 16,
@@ -68,11 +68,11 @@
         engine.step(now);
         if now.as_millis().is_multiple_of(250) {
             let report = engine.report(now);
-            budget.reported(now, report);
+            budget.record_report(now, report);
         }
-        let usable = budget.usable(now, STALE_AFTER) as usize;
+        let usable = budget.usable_slots(now, STALE_AFTER) as usize;
         engine.queued += usable.saturating_sub(engine.held());
-        budget.held(now, engine.held() as u32);
+        budget.record_held(now, engine.held() as u32);
         used += engine.run_ends.len();
         queued += engine.queued;
         steps += 1;
@@ -127,26 +127,26 @@
 #[test]
 fn work_of_an_earlier_home_takes_up_slots() {
     let mut budget = SlotBudget::new(8);
-    let report = |running| Load {
+    let report = |running| EndpointLoad {
         running,
         waiting: 0,
         slots: 8,
         age: REPORT_AGE,
         leaving: false,
     };
-    budget.reported(millis(1_000), report(6));
-    assert_eq!(budget.usable(millis(1_000), STALE_AFTER), 2);
-    budget.held(millis(1_000), 2);
-    budget.reported(millis(1_250), report(6));
+    budget.record_report(millis(1_000), report(6));
+    assert_eq!(budget.usable_slots(millis(1_000), STALE_AFTER), 2);
+    budget.record_held(millis(1_000), 2);
+    budget.record_report(millis(1_250), report(6));
     assert_eq!(
-        budget.usable(millis(1_250), STALE_AFTER),
+        budget.usable_slots(millis(1_250), STALE_AFTER),
         2,
         "not yet in the figures"
     );
-    budget.reported(millis(1_500), report(8));
-    assert_eq!(budget.usable(millis(1_500), STALE_AFTER), 2);
-    budget.reported(millis(1_750), report(2));
-    assert_eq!(budget.usable(millis(1_750), STALE_AFTER), 8);
+    budget.record_report(millis(1_500), report(8));
+    assert_eq!(budget.usable_slots(millis(1_500), STALE_AFTER), 2);
+    budget.record_report(millis(1_750), report(2));
+    assert_eq!(budget.usable_slots(millis(1_750), STALE_AFTER), 8);
 }
 
 /// Seven of eight requests end, and the report that comes then still shows them running.
@@ -154,42 +154,42 @@
 #[test]
 fn a_late_report_is_compared_with_what_was_held_then() {
     let mut budget = SlotBudget::new(8);
-    budget.held(millis(100), 8);
-    budget.held(millis(1_000), 1);
-    let late = Load {
+    budget.record_held(millis(100), 8);
+    budget.record_held(millis(1_000), 1);
+    let late = EndpointLoad {
         running: 8,
         waiting: 0,
         slots: 8,
         age: REPORT_AGE,
         leaving: false,
     };
-    budget.reported(millis(1_100), late);
-    assert_eq!(budget.usable(millis(1_100), STALE_AFTER), 8);
+    budget.record_report(millis(1_100), late);
+    assert_eq!(budget.usable_slots(millis(1_100), STALE_AFTER), 8);
 }
 
 /// A report claims absurd figures. The endpoint keeps one slot, and all when the report is stale.
 #[test]
 fn an_absurd_report_does_not_shut_an_endpoint_out() {
     let mut budget = SlotBudget::new(8);
-    let absurd = Load {
+    let absurd = EndpointLoad {
         running: u32::MAX,
         waiting: u32::MAX,
         slots: 0,
         age: Duration::ZERO,
         leaving: false,
     };
-    budget.reported(millis(1_000), absurd);
-    assert_eq!(budget.usable(millis(1_000), STALE_AFTER), 1);
-    budget.reported(
+    budget.record_report(millis(1_000), absurd);
+    assert_eq!(budget.usable_slots(millis(1_000), STALE_AFTER), 1);
+    budget.record_report(
         millis(1_250),
-        Load {
+        EndpointLoad {
             running: 1,
             waiting: 0,
             slots: 8,
             ..absurd
         },
     );
-    assert!(budget.usable(millis(1_250), STALE_AFTER) >= 1);
+    assert!(budget.usable_slots(millis(1_250), STALE_AFTER) >= 1);
 }
 
 /// Reports are lost for good and the engine slows down as it queues.
@@ -201,10 +201,10 @@
     let mut answer = |budget: &mut SlotBudget, first_byte: Duration| {
         for _ in 0..64 {
             now += millis(10);
-            budget.held(now, budget.usable(now, STALE_AFTER));
-            budget.answered(now, first_byte, STALE_AFTER);
+            budget.record_held(now, budget.usable_slots(now, STALE_AFTER));
+            budget.record_first_byte(now, first_byte, STALE_AFTER);
         }
-        budget.usable(now, STALE_AFTER)
+        budget.usable_slots(now, STALE_AFTER)
     };
     assert_eq!(answer(&mut budget, millis(50)), 16);
     assert!(answer(&mut budget, millis(400)) <= 4);
--- a/crates/fleet/src/dispatcher/attempts.rs
+++ b/crates/fleet/src/dispatcher/attempts.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use sedgeridge_coordination::quarantine::Permit;
+use sedgeridge_coordination::quarantine::StartDecision;
 
 use super::Attempt;
 use super::Dispatcher;
@@ -80,11 +80,11 @@
             return true;
         };
         let fingerprint = pending.arrival.fingerprint;
-        let permit = fingerprint.map(|it| self.quarantine.start(now, it));
-        match permit.unwrap_or(Permit::Start) {
-            Permit::Start => {}
-            Permit::Wait => return false,
-            Permit::Refuse => {
+        let permit = fingerprint.map(|it| self.quarantine.try_start(now, it));
+        match permit.unwrap_or(StartDecision::Start) {
+            StartDecision::Start => {}
+            StartDecision::Wait => return false,
+            StartDecision::Refuse => {
                 self.refuse(now, id, RefusalReason::Quarantined, None, decisions);
                 return true;
             }
@@ -157,7 +157,7 @@
             self.loads.subtract_own(attempt.endpoint.key, attempt.load);
         }
         if let Some(fingerprint) = pending.arrival.fingerprint {
-            self.quarantine.finished(now, fingerprint);
+            self.quarantine.on_finished(now, fingerprint);
         }
     }
 
@@ -176,7 +176,7 @@
             }
         }
         if let Some(fingerprint) = pending.arrival.fingerprint {
-            self.quarantine.ended(fingerprint);
+            self.quarantine.on_ended(fingerprint);
         }
     }
 
@@ -211,15 +211,15 @@
         }
         self.loads.subtract_own(endpoint.key, attempt.load);
         if self.records.on_failure(now, endpoint.key, failure) {
-            self.quarantine.endpoint_down(now, &endpoint.run_name());
+            self.quarantine.on_endpoint_down(now, &endpoint.run_name());
             self.expect_cold(now, &endpoint);
         }
         if let Some(fingerprint) = fingerprint {
             if failure == Failure::ConnectionLost {
                 let run = endpoint.run_name();
-                self.quarantine.connection_lost(now, fingerprint, &run);
+                self.quarantine.on_connection_lost(now, fingerprint, &run);
             }
-            self.quarantine.ended(fingerprint);
+            self.quarantine.on_ended(fingerprint);
         }
         if failure == Failure::Misdirected {
             // Another run has the address: this one is gone, whatever the list says.
--- a/crates/fleet/src/peer_report.rs
+++ b/crates/fleet/src/peer_report.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use sedgeridge_coordination::poison_notice::PoisonNews;
+use sedgeridge_coordination::poison_notice::PoisonEvent;
 use sedgeridge_coordination::poison_notice::PoisonNotice;
 use sedgeridge_state::fingerprint::Fingerprint;
 use sedgeridge_state::ids::EndpointId;
@@ -253,15 +253,15 @@
 impl From<&PoisonNotice> for CrashNotice {
     fn from(notice: &PoisonNotice) -> Self {
         let fingerprint = notice.fingerprint.0;
-        let kind = match &notice.news {
-            PoisonNews::Crashed { endpoint, age } => CrashNoticeKind::Crashed {
+        let kind = match &notice.event {
+            PoisonEvent::Crashed { endpoint, age } => CrashNoticeKind::Crashed {
                 endpoint: endpoint.to_string(),
                 age_ms: to_millis(*age),
             },
-            PoisonNews::Quarantined { remaining } => CrashNoticeKind::Quarantined {
+            PoisonEvent::Quarantined { remaining } => CrashNoticeKind::Quarantined {
                 remaining_ms: to_millis(*remaining),
             },
-            PoisonNews::Finished => CrashNoticeKind::Finished,
+            PoisonEvent::Finished => CrashNoticeKind::Finished,
         };
         Self {
             high: (fingerprint >> 64) as u64,
@@ -274,17 +274,17 @@
 impl From<&CrashNotice> for PoisonNotice {
     fn from(notice: &CrashNotice) -> Self {
         let fingerprint = Fingerprint(u128::from(notice.high) << 64 | u128::from(notice.low));
-        let news = match &notice.kind {
-            CrashNoticeKind::Crashed { endpoint, age_ms } => PoisonNews::Crashed {
+        let event = match &notice.kind {
+            CrashNoticeKind::Crashed { endpoint, age_ms } => PoisonEvent::Crashed {
                 endpoint: EndpointId::from(endpoint.as_str()),
                 age: Duration::from_millis(*age_ms),
             },
-            CrashNoticeKind::Quarantined { remaining_ms } => PoisonNews::Quarantined {
+            CrashNoticeKind::Quarantined { remaining_ms } => PoisonEvent::Quarantined {
                 remaining: Duration::from_millis(*remaining_ms),
             },
-            CrashNoticeKind::Finished => PoisonNews::Finished,
+            CrashNoticeKind::Finished => PoisonEvent::Finished,
         };
-        Self { fingerprint, news }
+        Self { fingerprint, event }
     }
 }
 
--- a/crates/protocol/src/peer_poison.rs
+++ b/crates/protocol/src/peer_poison.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use sedgeridge_coordination::poison_notice::PoisonNews;
+use sedgeridge_coordination::poison_notice::PoisonEvent;
 use sedgeridge_coordination::poison_notice::PoisonNotice;
 use sedgeridge_state::fingerprint::Fingerprint;
 use serde::Deserialize;
@@ -29,15 +29,15 @@
 pub(crate) fn wire_poison(notice: &PoisonNotice) -> WirePoison {
     WirePoison {
         fingerprint: notice.fingerprint.0.to_be_bytes(),
-        news: match &notice.news {
-            PoisonNews::Crashed { endpoint, age } => WirePoisonNews::Crashed {
+        news: match &notice.event {
+            PoisonEvent::Crashed { endpoint, age } => WirePoisonNews::Crashed {
                 endpoint: endpoint.as_str().to_owned(),
                 age_ms: age.as_millis() as u64,
             },
-            PoisonNews::Quarantined { remaining } => WirePoisonNews::Quarantined {
+            PoisonEvent::Quarantined { remaining } => WirePoisonNews::Quarantined {
                 remaining_ms: remaining.as_millis() as u64,
             },
-            PoisonNews::Finished => WirePoisonNews::Finished,
+            PoisonEvent::Finished => WirePoisonNews::Finished,
         },
     }
 }
@@ -45,15 +45,15 @@
 pub(crate) fn read_poison(notice: &WirePoison) -> PoisonNotice {
     PoisonNotice {
         fingerprint: Fingerprint(u128::from_be_bytes(notice.fingerprint)),
-        news: match &notice.news {
-            WirePoisonNews::Crashed { endpoint, age_ms } => PoisonNews::Crashed {
+        event: match &notice.news {
+            WirePoisonNews::Crashed { endpoint, age_ms } => PoisonEvent::Crashed {
                 endpoint: endpoint.as_str().into(),
                 age: Duration::from_millis(*age_ms),
             },
-            WirePoisonNews::Quarantined { remaining_ms } => PoisonNews::Quarantined {
+            WirePoisonNews::Quarantined { remaining_ms } => PoisonEvent::Quarantined {
                 remaining: Duration::from_millis(*remaining_ms),
             },
-            WirePoisonNews::Finished => PoisonNews::Finished,
+            WirePoisonNews::Finished => PoisonEvent::Finished,
         },
     }
 }
--- a/crates/protocol/tests/peer.rs
+++ b/crates/protocol/tests/peer.rs
@@ -9,7 +9,7 @@
 use sedgeridge_coordination::config_events::Generation;
 use sedgeridge_coordination::node::PeerMessage;
 use sedgeridge_coordination::node_config::ConfigMessage;
-use sedgeridge_coordination::poison_notice::PoisonNews;
+use sedgeridge_coordination::poison_notice::PoisonEvent;
 use sedgeridge_coordination::poison_notice::PoisonNotice;
 use sedgeridge_coordination::pool_messages::Demand;
 use sedgeridge_coordination::pool_messages::EntryReport;
@@ -98,10 +98,10 @@
         class: RequestClass::Deferred,
         contended: true,
     };
-    let poison = |news| {
+    let poison = |event| {
         PeerMessage::Poison(PoisonNotice {
             fingerprint: Fingerprint(u128::MAX - 5),
-            news,
+            event,
         })
     };
     let edit = SectionEdit {
@@ -119,14 +119,14 @@
         PeerMessage::FullReportWanted {
             pool: "desk".into(),
         },
-        poison(PoisonNews::Crashed {
+        poison(PoisonEvent::Crashed {
             endpoint: "desk-1".into(),
             age: Duration::from_millis(30),
         }),
-        poison(PoisonNews::Quarantined {
+        poison(PoisonEvent::Quarantined {
             remaining: Duration::from_secs(60),
         }),
-        poison(PoisonNews::Finished),
+        poison(PoisonEvent::Finished),
         PeerMessage::Config(ConfigMessage::GenerationWanted),
         PeerMessage::Config(ConfigMessage::GenerationInForce(Some(Generation(7)))),
         PeerMessage::Config(ConfigMessage::ChangesWanted {
--- a/crates/slopes/src/fleet/mod.rs
+++ b/crates/slopes/src/fleet/mod.rs
@@ -23,7 +23,7 @@
 use sedgeridge_coordination::node::NodeAction;
 use sedgeridge_coordination::node::NodeEvent;
 use sedgeridge_coordination::node::PeerMessage;
-use sedgeridge_coordination::slot_budget::Load;
+use sedgeridge_coordination::slot_budget::EndpointLoad;
 use sedgeridge_protocol::membership;
 use sedgeridge_protocol::peer;
 use sedgeridge_state::config_records::ConfigContent;
@@ -249,7 +249,7 @@
     }
 
     fn load_read(&mut self, node: usize, endpoint: EndpointId) {
-        let load = Load {
+        let load = EndpointLoad {
             running: self.running.get(&endpoint).copied().unwrap_or(0),
             waiting: 0,
             slots: design::SLOTS,
--- a/crates/slopes/src/roles/home_endpoints.rs
+++ b/crates/slopes/src/roles/home_endpoints.rs
@@ -4,7 +4,7 @@
 
 use sedgeridge_coordination::node::Node;
 use sedgeridge_coordination::node::NodeEvent;
-use sedgeridge_coordination::slot_budget::Load;
+use sedgeridge_coordination::slot_budget::EndpointLoad;
 use sedgeridge_state::ids::Incarnation;
 use sedgeridge_state::ids::Member;
 use sedgeridge_state::settings::FairScope;
@@ -62,7 +62,7 @@
     let before = meter::resident_bytes();
     let mut node = Node::new(member, settings, point.seed);
     let mut watch = Stopwatch::start();
-    let load = Load {
+    let load = EndpointLoad {
         running: 0,
         waiting: 0,
         slots: design::SLOTS,
--- a/crates/transport/src/core.rs
+++ b/crates/transport/src/core.rs
@@ -26,7 +26,7 @@
 use sedgeridge_coordination::node_claims::ClaimKey;
 use sedgeridge_coordination::refusal::Outcome;
 use sedgeridge_coordination::refusal::RefusalReason;
-use sedgeridge_coordination::slot_budget::Load;
+use sedgeridge_coordination::slot_budget::EndpointLoad;
 use sedgeridge_coordination::store_call::StoreEvent;
 use sedgeridge_state::config_records::ConfigContent;
 use sedgeridge_state::ids::EndpointId;
@@ -136,7 +136,7 @@
         /// The endpoint.
         endpoint: EndpointId,
         /// The report.
-        load: Option<Load>,
+        load: Option<EndpointLoad>,
     },
     /// An operator drains an endpoint.
     DrainEndpoint {
--- a/crates/transport/src/load_reads.rs
+++ b/crates/transport/src/load_reads.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use metrics::counter;
-use sedgeridge_coordination::slot_budget::Load;
+use sedgeridge_coordination::slot_budget::EndpointLoad;
 use sedgeridge_protocol::engine::LOAD_PATH;
 use sedgeridge_protocol::engine::LoadReport;
 use sedgeridge_state::ids::EndpointId;
@@ -54,7 +54,7 @@
     /// Fails when a thread cannot be started.
     pub fn start<I: Send + 'static>(
         inputs: &SyncSender<I>,
-        wrap: fn(EndpointId, Option<Load>) -> I,
+        wrap: fn(EndpointId, Option<EndpointLoad>) -> I,
     ) -> io::Result<Self> {
         let (ring, reads) = sync_channel(READ_RING_LEN);
         let reads = Arc::new(Mutex::new(reads));
@@ -103,7 +103,7 @@
     agent: &Agent,
     reads: &Mutex<Receiver<LoadRead>>,
     inputs: &SyncSender<I>,
-    wrap: fn(EndpointId, Option<Load>) -> I,
+    wrap: fn(EndpointId, Option<EndpointLoad>) -> I,
 ) {
     loop {
         let next = reads.lock().expect("no reader panics").recv();
@@ -119,13 +119,13 @@
     }
 }
 
-fn read(agent: &Agent, address: SocketAddr) -> Option<Load> {
+fn read(agent: &Agent, address: SocketAddr) -> Option<EndpointLoad> {
     let url = format!("http://{address}{LOAD_PATH}");
     let mut response = agent.get(url).call().ok()?;
     let body = response.body_mut().with_config().limit(MAX_REPORT_BYTES);
     let body = body.read_to_vec().ok()?;
     let report: LoadReport = serde_json::from_slice(&body).ok()?;
-    Some(Load {
+    Some(EndpointLoad {
         running: report.running,
         waiting: report.waiting,
         slots: report.slots,
--- a/crates/transport/tests/read_limits.rs
+++ b/crates/transport/tests/read_limits.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use sedgeridge_coordination::membership::ListedHost;
-use sedgeridge_coordination::slot_budget::Load;
+use sedgeridge_coordination::slot_budget::EndpointLoad;
 use sedgeridge_state::ids::EndpointId;
 use sedgeridge_transport::host_list_reads::start_host_list_reads;
 use sedgeridge_transport::load_reads::LoadReads;
@@ -18,8 +18,8 @@
 const LOAD: &str = r#"{"running":1,"waiting":0,"slots":4,"age_ms":0,"leaving":false}"#;
 const HOSTS: &str = r#"{"hosts":[],"age_ms":0}"#;
 
-fn load_of(text: &str) -> Option<Load> {
-    let (inputs, ends) = sync_channel::<(EndpointId, Option<Load>)>(1);
+fn load_of(text: &str) -> Option<EndpointLoad> {
+    let (inputs, ends) = sync_channel::<(EndpointId, Option<EndpointLoad>)>(1);
     let mut reads = LoadReads::start(&inputs, |endpoint, load| (endpoint, load)).expect("threads");
     reads.ask(&"desk-1".into(), endpoint(answer_of(text), || {}));
     ends.recv_timeout(PATIENCE).expect("an end").1
