--- a/crates/coordination/src/grant_slots.rs
+++ b/crates/coordination/src/grant_slots.rs
@@ -24,16 +24,16 @@
     /// member that stays silent may hold its reports back for the gather time at most; what it
     /// holds is then over-admitted until its report arrives.
     pub(crate) fn finish_gathering(&mut self, now: Duration) {
-        if self.granting || !self.configured {
+        if self.is_granting || !self.is_configured {
             return;
         }
         let started_at = self.started_at.unwrap_or(now);
         let waited = now >= started_at + millis(self.settings.gather_timeout_ms);
-        self.granting = waited || (self.members_known && self.entries.all_reported());
+        self.is_granting = waited || (self.members_known && self.entries.all_reported());
     }
 
     pub(crate) fn grant_free_slots(&mut self, now: Duration, actions: &mut Vec<HomeAction>) {
-        while self.granting && self.slots.has_free_slot() {
+        while self.is_granting && self.slots.has_free_slot() {
             let Some(key) = self.next_demand() else {
                 return;
             };
--- a/crates/coordination/src/home_counters.rs
+++ b/crates/coordination/src/home_counters.rs
@@ -2,24 +2,24 @@
 
 use std::collections::BTreeMap;
 
-/// Why a report, or an item of it, was not taken.
+/// Why a report, or an item of it, was rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RejectionReason {
     /// The report is for another pool.
     WrongPool,
     /// The sender is not among the live members.
     NotAMember,
-    /// The sender restarted since.
+    /// The sender has restarted since.
     OlderIncarnation,
-    /// A report with this or a higher sequence was taken before.
+    /// A report with this or a higher sequence was accepted before.
     RepeatedSequence,
     /// A partial report after a gap in the sequence.
     SequenceGap,
-    /// A partial report from a run whose full report has not come.
+    /// A partial report from a run whose full report has not arrived.
     UnknownRun,
-    /// A counter is beyond any sensible value.
+    /// A counter is higher than any working router can reach.
     AbsurdCounter,
-    /// Settled service went down within one run.
+    /// Settled service decreased within one run.
     ServedWentDown,
     /// An item names an account that is not configured here.
     UnknownAccount,
@@ -51,16 +51,16 @@
     }
 }
 
-/// What a home has counted since it started.
+/// Counters of a home since it started.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct HomeCounters {
-    /// Reports and items not taken.
+    /// Rejected reports and items, by reason.
     pub rejections: BTreeMap<RejectionReason, u64>,
-    /// Grants given.
+    /// Grants sent.
     pub grants: u64,
     /// Grants not acknowledged in time, whose slots were returned.
     pub timed_out_grants: u64,
-    /// Grants that turned out to be in use after their slot was returned.
+    /// Grants found to be in use after their slot was returned.
     pub late_grants: u64,
 }
 
--- a/crates/coordination/src/home_events.rs
+++ b/crates/coordination/src/home_events.rs
@@ -9,45 +9,45 @@
 use crate::pool_messages::EntryReport;
 use crate::pool_messages::Grant;
 
-/// What happens to the home of a pool.
+/// Event for the home of a pool.
 #[derive(Debug, Clone, PartialEq)]
 pub enum HomeEvent {
-    /// A configuration is in force.
+    /// A new configuration takes effect.
     Configured {
         /// The pool's endpoints.
         endpoints: Vec<HomeEndpoint>,
         /// Weights of all client accounts.
         weights: Vec<AccountWeight>,
     },
-    /// Where the hosts stand; without it no endpoint counts as near.
+    /// Sites of the hosts; without them no endpoint counts as near.
     HostSites(Vec<HostSite>),
-    /// An entry router reports.
+    /// Report of an entry router.
     Report(EntryReport),
-    /// What is known of an endpoint changed.
+    /// The usable slots of an endpoint changed.
     EndpointState {
         /// The endpoint.
         endpoint: EndpointId,
         /// Slots that may be granted now; 0 while it is ejected or leaving.
         usable_slots: u32,
     },
-    /// The members believed alive changed; holdings of the others are freed.
+    /// The live members changed; slots held by other members are freed.
     Members(Vec<Member>),
-    /// Time passed. Grants are found to be lost here only, so it should come every few milliseconds.
+    /// Timer tick. Only ticks detect lost grants, so they should come every few milliseconds.
     Tick,
 }
 
-/// An endpoint as its pool's home sees it.
+/// Configuration of an endpoint for its pool's home.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HomeEndpoint {
     /// Name of the endpoint.
     pub id: EndpointId,
-    /// Site it stands in.
+    /// Site of the endpoint.
     pub site: SiteId,
     /// Requests it may run at once.
     pub slots: u32,
 }
 
-/// Share of a client account.
+/// Weight of a client account.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AccountWeight {
     /// The client account.
@@ -56,7 +56,7 @@
     pub weight: u32,
 }
 
-/// Where a host stands.
+/// Site of a host.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HostSite {
     /// The host.
@@ -65,16 +65,16 @@
     pub site: SiteId,
 }
 
-/// Slots of an endpoint.
+/// Usage of an endpoint's slots.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SlotUsage {
     /// Slots that may be granted now.
     pub usable: u32,
-    /// Slots that grants occupy; above `usable` when it shrank, or after rehoming.
+    /// Slots that grants occupy; exceeds `usable` after that decreased or after rehoming.
     pub occupied: u32,
 }
 
-/// What the home of a pool wants done.
+/// Action that the home of a pool asks for.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum HomeAction {
     /// Send a grant.
--- a/crates/coordination/src/homed_pool.rs
+++ b/crates/coordination/src/homed_pool.rs
@@ -1,5 +1,5 @@
-//! A pool whose home stands on this router: the order of its demand, the health of its endpoints
-//! and the schedule by which their load reports are read.
+//! A pool that is homed on this router: the order of its demand, the health of its endpoints and
+//! the schedule for reading their load reports.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -33,14 +33,14 @@
     home: PoolHome,
     health: PoolHealth,
     report_interval: Duration,
-    endpoints: BTreeMap<EndpointId, Polled>,
+    endpoints: BTreeMap<EndpointId, PolledEndpoint>,
 }
 
-/// When an endpoint's load report is read, and what was last told of its slots.
+/// When an endpoint's load report is read next, and the held requests last recorded for it.
 #[derive(Debug, Clone, Copy)]
-struct Polled {
+struct PolledEndpoint {
     next_read_at: Duration,
-    held: u32,
+    held_requests: u32,
 }
 
 impl HomedPool {
@@ -72,9 +72,9 @@
         self.report_interval = millis(settings.health.report_interval_ms);
         let mut known = std::mem::take(&mut self.endpoints);
         for (index, endpoint) in endpoints.iter().enumerate() {
-            let polled = known.remove(&endpoint.id).unwrap_or(Polled {
-                next_read_at: now + self.phase(index, endpoints.len()),
-                held: 0,
+            let polled = known.remove(&endpoint.id).unwrap_or(PolledEndpoint {
+                next_read_at: now + self.first_read_delay(index, endpoints.len()),
+                held_requests: 0,
             });
             self.endpoints.insert(endpoint.id.clone(), polled);
         }
@@ -95,7 +95,7 @@
         self.home.handle(now, sites, actions);
     }
 
-    /// Takes an event of the order, and what attempts told about endpoints beside it.
+    /// Handles an event of the home; attempt results in a report also update the endpoint health.
     pub(crate) fn handle(
         &mut self,
         now: Duration,
@@ -103,16 +103,16 @@
         actions: &mut Vec<HomeAction>,
     ) {
         if let HomeEvent::Report(report) = &event {
-            self.take_results(now, &report.results);
+            self.record_attempt_results(now, &report.results);
         }
         self.home.handle(now, event, actions);
-        self.tell_slots(now, actions);
+        self.forward_slot_changes(now, actions);
     }
 
-    /// Lets time pass and returns the endpoints whose load report is due.
+    /// Handles a timer tick and returns the endpoints whose load report is due.
     pub(crate) fn tick(&mut self, now: Duration, actions: &mut Vec<HomeAction>) -> Vec<EndpointId> {
-        self.note_held(now);
-        self.tell_slots(now, actions);
+        self.update_held_requests(now);
+        self.forward_slot_changes(now, actions);
         self.home.handle(now, HomeEvent::Tick, actions);
         let report_interval = self.report_interval;
         let due = self
@@ -126,7 +126,7 @@
         .collect()
     }
 
-    /// Takes a load report; false when the endpoint is not of this pool.
+    /// Records a load report, or a failed read; returns false if the endpoint is not in this pool.
     pub(crate) fn record_load_report(
         &mut self,
         now: Duration,
@@ -143,11 +143,11 @@
                 .health
                 .record_failure(now, endpoint, now, FailureKind::ReportMissing),
         }
-        self.tell_slots(now, actions);
+        self.forward_slot_changes(now, actions);
         true
     }
 
-    /// Notes that an endpoint takes no new work.
+    /// Marks an endpoint as leaving, on a notice of another router.
     pub(crate) fn mark_leaving(
         &mut self,
         now: Duration,
@@ -156,13 +156,13 @@
     ) {
         self.health
             .set_leaving(now, endpoint, LeavingSource::Peer, true);
-        self.tell_slots(now, actions);
+        self.forward_slot_changes(now, actions);
     }
 
-    /// Takes what the platform's list says of the endpoints on it.
+    /// Applies the platform's host list to the endpoints on it.
     ///
-    /// The list lags. An endpoint that is not on it keeps what was said of it last: it may have
-    /// joined, or be gone, since the list was made.
+    /// The list lags. An endpoint that is not on it keeps its last known state: it may have joined
+    /// or left since the list was made.
     pub(crate) fn apply_host_list(
         &mut self,
         now: Duration,
@@ -177,7 +177,7 @@
                     .set_leaving(now, &endpoint, LeavingSource::HostList, leaving);
             }
         }
-        self.tell_slots(now, actions);
+        self.forward_slot_changes(now, actions);
     }
 
     /// Lists the endpoints.
@@ -195,21 +195,21 @@
         self.home.slot_usage(endpoint)
     }
 
-    /// Returns the counters of the order.
+    /// Returns the counters of the pool's home.
     pub(crate) fn counters(&self) -> &HomeCounters {
         self.home.counters()
     }
 
-    /// Spreads the reads of a pool's endpoints over the interval.
-    fn phase(&self, index: usize, endpoints: usize) -> Duration {
+    /// Spreads the reads of the pool's endpoints over the report interval.
+    fn first_read_delay(&self, index: usize, endpoints: usize) -> Duration {
         self.report_interval * index as u32 / endpoints.max(1) as u32
     }
 
-    fn take_results(&mut self, now: Duration, results: &[EndpointResult]) {
+    fn record_attempt_results(&mut self, now: Duration, results: &[EndpointResult]) {
         for result in results {
             let first_byte = millis(result.first_byte_ms.into());
             let started_at = now.saturating_sub(millis(result.started_ago_ms.into()));
-            for _ in 0..result.answered.min(MAX_ANSWERS) {
+            for _ in 0..result.answered.min(MAX_ANSWERS_PER_RESULT) {
                 self.health
                     .record_success(now, &result.endpoint, started_at, first_byte);
             }
@@ -221,18 +221,18 @@
         }
     }
 
-    fn note_held(&mut self, now: Duration) {
+    fn update_held_requests(&mut self, now: Duration) {
         for (endpoint, polled) in &mut self.endpoints {
             let usage = self.home.slot_usage(endpoint);
-            let held = usage.map_or(0, |usage| usage.occupied);
-            if held != polled.held {
-                polled.held = held;
-                self.health.record_held(now, endpoint, held);
+            let held_requests = usage.map_or(0, |usage| usage.occupied);
+            if held_requests != polled.held_requests {
+                polled.held_requests = held_requests;
+                self.health.record_held(now, endpoint, held_requests);
             }
         }
     }
 
-    fn tell_slots(&mut self, now: Duration, actions: &mut Vec<HomeAction>) {
+    fn forward_slot_changes(&mut self, now: Duration, actions: &mut Vec<HomeAction>) {
         for change in self.health.take_changes(now) {
             let event = HomeEvent::EndpointState {
                 endpoint: change.endpoint,
@@ -243,13 +243,12 @@
     }
 }
 
-/// Most answers that one report may claim for one endpoint; a larger claim is absurd and would
-/// only cost time.
-const MAX_ANSWERS: u32 = 1_000;
+/// Most answers counted from one attempt result; a larger claim is absurd and would only cost time.
+const MAX_ANSWERS_PER_RESULT: u32 = 1_000;
 
 fn endpoints_of(pool: &PoolId, settings: &Settings) -> Vec<HomeEndpoint> {
-    let share = match settings.fair.scope {
-        // Routers that know nothing of each other split the slots evenly between them.
+    let slot_divisor = match settings.fair.scope {
+        // Routers that do not coordinate each use an equal part of the slots.
         FairScope::Router => settings.hosts.len().max(1) as u32,
         FairScope::Fleet => 1,
     };
@@ -258,7 +257,7 @@
         .map(|endpoint| HomeEndpoint {
             id: endpoint.id.clone(),
             site: endpoint.site.clone(),
-            slots: endpoint.slots.div_ceil(share),
+            slots: endpoint.slots.div_ceil(slot_divisor),
         })
         .collect()
 }
--- a/crates/coordination/src/pool_home.rs
+++ b/crates/coordination/src/pool_home.rs
@@ -1,9 +1,9 @@
 //! The home of a pool: orders the demand of the whole fleet and grants the pool's slots.
 //!
-//! Entry routers report what waits, what runs and what was served. The home charges each account
-//! its settled service and the estimates of what runs, and grants every free slot to the
-//! backlogged account with the least weighted service. It keeps nothing that must last: a new home
-//! starts from full reports.
+//! Entry routers report waiting requests, running requests and settled service. The home charges
+//! each account its settled service and the estimated cost of its running requests, and grants
+//! every free slot to the backlogged account with the least weighted service. It has no durable
+//! state: a new home starts from full reports.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -31,15 +31,15 @@
 pub use crate::home_events::HostSite;
 pub use crate::home_events::SlotUsage;
 
-/// Least charge of a request, so that requests estimated at nothing still move the order.
+/// Minimum charge of a request, so that a request with an estimate of zero still moves the order.
 pub(crate) const MIN_CHARGE_TOKENS: u64 = 1;
-/// Time after which a router is asked for a full report in any case.
-const RECONCILE_INTERVAL: Duration = Duration::from_secs(30);
-/// Steps by which routers are asked one after the other, and how many steps there are.
-const RECONCILE_STEP: Duration = Duration::from_millis(100);
-const RECONCILE_STEPS: usize = 100;
+/// Age of a router's last full report at which another one is requested.
+const FULL_REPORT_INTERVAL: Duration = Duration::from_secs(30);
+/// Step and number of steps by which the requests to different routers are spread.
+const FULL_REPORT_STEP: Duration = Duration::from_millis(100);
+const FULL_REPORT_STEPS: usize = 100;
 
-/// A grant whose acknowledgement is due.
+/// Deadline for the acknowledgement of a grant.
 #[derive(Debug)]
 pub(crate) struct GrantExpiry {
     pub(crate) at: Duration,
@@ -47,7 +47,7 @@
     pub(crate) sequence: u64,
 }
 
-/// Orders demand and grants slots.
+/// Home of one pool.
 #[derive(Debug)]
 pub struct PoolHome {
     pub(crate) member: Member,
@@ -58,16 +58,16 @@
     pub(crate) demand: DemandTable,
     pub(crate) entries: EntryTable,
     pub(crate) counters: HomeCounters,
-    /// Accounts whose service or demand changed in this event.
+    /// Accounts whose service or demand the current event changed.
     pub(crate) changed_accounts: Vec<usize>,
     pub(crate) resolved_served: Vec<ResolvedServed>,
     pub(crate) host_sites: Vec<HostSite>,
     pub(crate) members_known: bool,
-    pub(crate) configured: bool,
+    pub(crate) is_configured: bool,
     pub(crate) started_at: Option<Duration>,
-    pub(crate) granting: bool,
+    pub(crate) is_granting: bool,
     pub(crate) expiries: VecDeque<GrantExpiry>,
-    /// Highest sequence of any grant given here.
+    /// Highest sequence of all grants of this home.
     pub(crate) highest_sequence: u64,
 }
 
@@ -113,9 +113,9 @@
             resolved_served: Vec::new(),
             host_sites: Vec::new(),
             members_known: false,
-            configured: false,
+            is_configured: false,
             started_at: None,
-            granting: false,
+            is_granting: false,
             expiries: VecDeque::new(),
             highest_sequence: 0,
             member,
@@ -124,10 +124,10 @@
         }
     }
 
-    /// Takes one event and appends what is to be done.
+    /// Handles one event and appends the resulting actions.
     ///
-    /// `now` never goes back. Reports of hosts outside the last [`HomeEvent::Members`] are not
-    /// taken, and nothing is granted before the first [`HomeEvent::Configured`].
+    /// `now` must not decrease. Reports of hosts outside the last [`HomeEvent::Members`] are
+    /// rejected, and nothing is granted before the first [`HomeEvent::Configured`].
     ///
     /// ```
     /// use std::time::Duration;
@@ -160,10 +160,10 @@
             HomeEvent::Members(members) => self.set_members(now, &members, actions),
             HomeEvent::Tick => {
                 self.expire_grants(now, actions);
-                self.reconcile(now, actions);
+                self.request_due_full_reports(now, actions);
             }
         }
-        self.refresh_touched();
+        self.refresh_changed_accounts();
         self.finish_gathering(now);
         self.grant_free_slots(now, actions);
     }
@@ -231,34 +231,37 @@
         for account in self.accounts.configure(weights) {
             self.drop_demand_of(account);
         }
-        self.configured = true;
+        self.is_configured = true;
     }
 
-    /// Asks routers again whose full report has not come, and all of them now and then.
+    /// Repeats unanswered requests for full reports, and requests one from each router regularly.
     ///
-    /// A request lost on its way would leave the demand of a router that has nothing new to say
-    /// unknown here, and its callers waiting. So would a lost report with none after it, which
-    /// shows no gap: the regular request bounds that wait.
-    fn reconcile(&mut self, now: Duration, actions: &mut Vec<HomeAction>) {
+    /// If a request is lost and the router has nothing new to report, its demand stays unknown here
+    /// and its callers wait. The same holds for a lost report that no other follows, since no gap
+    /// in the sequence shows; the regular request bounds that wait.
+    fn request_due_full_reports(&mut self, now: Duration, actions: &mut Vec<HomeAction>) {
         for router in self.entries.indices() {
             let record = self.entries.record(router);
-            let stale = now >= record.last_full_at + reconcile_interval(router);
+            let stale = now >= record.last_full_at + full_report_interval(router);
             if stale || record.asked_full_at.is_some() {
                 self.request_full_report(now, router, actions);
             }
         }
     }
 
-    /// Asks for a full report unless one was asked for a moment ago.
+    /// Requests a full report unless one was requested within the gather timeout.
     pub(crate) fn request_full_report(
         &mut self,
         now: Duration,
         router: usize,
         actions: &mut Vec<HomeAction>,
     ) {
-        let patience = millis(self.settings.gather_timeout_ms);
+        let repeat_after = millis(self.settings.gather_timeout_ms);
         let record = self.entries.record_mut(router);
-        if record.asked_full_at.is_some_and(|at| now < at + patience) {
+        if record
+            .asked_full_at
+            .is_some_and(|at| now < at + repeat_after)
+        {
             return;
         }
         record.asked_full_at = Some(now);
@@ -266,7 +269,7 @@
         actions.push(HomeAction::RequestFullReport { to });
     }
 
-    fn refresh_touched(&mut self) {
+    fn refresh_changed_accounts(&mut self) {
         self.demand.refresh_changed();
         let mut changed_accounts = std::mem::take(&mut self.changed_accounts);
         changed_accounts.sort_unstable();
@@ -279,7 +282,8 @@
     }
 }
 
-/// Spreads the requests: a new home hears all routers at once, and would again each time.
-fn reconcile_interval(router: usize) -> Duration {
-    RECONCILE_INTERVAL + RECONCILE_STEP * (router % RECONCILE_STEPS) as u32
+/// Spreads the requests: a new home gets the first full reports of all routers at once, and with
+/// equal intervals would get all later ones at once too.
+fn full_report_interval(router: usize) -> Duration {
+    FULL_REPORT_INTERVAL + FULL_REPORT_STEP * (router % FULL_REPORT_STEPS) as u32
 }
