--- a/crates/coordination/src/account_table.rs
+++ b/crates/coordination/src/account_table.rs
@@ -173,7 +173,7 @@
     /// the other, the first one's tag would lift the second one's. The lift never adds to a tag
     /// above the minimum, so an account whose requests come one by one is charged for these only.
     pub(crate) fn refresh(&mut self, changed: &[usize], is_backlogged: impl Fn(usize) -> bool) {
-        self.order.note_minimum();
+        self.order.remember_minimum();
         let mut joined = Vec::new();
         for &index in changed {
             let backlogged = is_backlogged(index);
--- a/crates/coordination/src/breaker.rs
+++ b/crates/coordination/src/breaker.rs
@@ -1,23 +1,23 @@
-//! The breaker of one endpoint: closed while it works, open while it is ejected, half-open while
-//! one request tries whether it is back.
+//! Circuit breaker of one endpoint: closed while the endpoint works, open while it is ejected,
+//! half-open while a single trial request checks whether it works again.
 
 use std::time::Duration;
 
 use sedgeridge_state::settings::HealthSettings;
 use sedgeridge_state::settings::millis;
 
-/// Most doublings of the ejection time.
+/// Maximum number of doublings of the ejection time.
 const MAX_DOUBLINGS: u32 = 6;
-/// Time in which a counted answer loses half of its weight.
+/// Time after which a counted answer has half of its weight.
 const HALF_LIFE: Duration = Duration::from_secs(10);
-/// Answers needed before a share of failures means anything.
+/// Minimum weighted answers for a meaningful share of failures.
 const MIN_ANSWERS: f64 = 20.0;
-/// Share of failures that makes an endpoint an outlier.
+/// Minimum share of failures of an outlier.
 const OUTLIER_SHARE: f64 = 0.5;
-/// An outlier fails at least this many times as often as the rest of its pool.
+/// Minimum ratio of an outlier's share of failures to that of the rest of its pool.
 const OUTLIER_FACTOR: f64 = 2.0;
 
-/// What went wrong with an endpoint.
+/// Kind of failure of an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum FailureKind {
     /// No connection could be opened.
@@ -28,7 +28,7 @@
     TimedOut,
     /// The answer was a server error.
     ServerError,
-    /// The answer went silent on an open connection.
+    /// No more of the answer came on an open connection.
     Silent,
     /// The load report could not be read.
     ReportMissing,
@@ -53,7 +53,7 @@
         }
     }
 
-    fn means_unreachable(self) -> bool {
+    fn indicates_unreachable(self) -> bool {
         matches!(
             self,
             Self::ConnectFailed | Self::ConnectionLost | Self::ReportMissing
@@ -61,7 +61,7 @@
     }
 }
 
-/// Recent answers and failures, older ones counting less.
+/// Recent answers and failures, with exponentially decaying weights.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub(crate) struct AnswerCounts {
     answers: f64,
@@ -72,9 +72,9 @@
 impl AnswerCounts {
     fn count(&mut self, now: Duration, failed: bool) {
         let elapsed_s = now.saturating_sub(self.counted_at).as_secs_f64();
-        let kept = (-elapsed_s / HALF_LIFE.as_secs_f64()).exp2();
-        self.answers = self.answers * kept + 1.0;
-        self.failures = self.failures * kept + f64::from(u8::from(failed));
+        let decay_factor = (-elapsed_s / HALF_LIFE.as_secs_f64()).exp2();
+        self.answers = self.answers * decay_factor + 1.0;
+        self.failures = self.failures * decay_factor + f64::from(u8::from(failed));
         self.counted_at = now;
     }
 
@@ -84,14 +84,14 @@
         self.failures += other.failures;
     }
 
-    fn failed_share(self) -> f64 {
+    fn failure_share(self) -> f64 {
         self.failures / self.answers.max(1.0)
     }
 
     fn is_outlier(self, others: Self) -> bool {
         self.answers >= MIN_ANSWERS
-            && self.failed_share() >= OUTLIER_SHARE
-            && self.failed_share() >= others.failed_share() * OUTLIER_FACTOR
+            && self.failure_share() >= OUTLIER_SHARE
+            && self.failure_share() >= others.failure_share() * OUTLIER_FACTOR
     }
 }
 
@@ -102,12 +102,12 @@
     HalfOpen,
 }
 
-/// Breaker of one endpoint. It says when it wants to open; its pool decides whether it may.
+/// Breaker of one endpoint. It reports when it should open; its pool decides whether it may.
 #[derive(Debug)]
 pub(crate) struct Breaker {
     state: State,
-    since: Duration,
-    cause: Option<FailureKind>,
+    state_since: Duration,
+    last_failure: Option<FailureKind>,
     ejections: u32,
     request_failures: u32,
     report_failures: u32,
@@ -119,8 +119,8 @@
     pub(crate) fn new() -> Self {
         Self {
             state: State::Closed,
-            since: Duration::ZERO,
-            cause: None,
+            state_since: Duration::ZERO,
+            last_failure: None,
             ejections: 0,
             request_failures: 0,
             report_failures: 0,
@@ -128,17 +128,17 @@
         }
     }
 
-    /// Tells whether the endpoint takes no work or just one request on trial.
+    /// Tells whether the endpoint takes no work or only a single trial request.
     pub(crate) fn is_ejected(&self) -> bool {
         self.state != State::Closed
     }
 
-    /// Tells whether one request on trial may run.
+    /// Tells whether a single trial request may run.
     pub(crate) fn is_half_open(&self) -> bool {
         self.state == State::HalfOpen
     }
 
-    /// Tells when an open breaker turns half-open.
+    /// Returns when an open breaker turns half-open.
     pub(crate) fn open_until(&self) -> Option<Duration> {
         match self.state {
             State::Open { until } => Some(until),
@@ -151,20 +151,20 @@
         self.counts
     }
 
-    /// Counts a whole answer to a request started at `started_at`; tells whether the breaker
-    /// closed by it.
+    /// Counts a complete answer to a request started at `started_at`; returns whether it closes the
+    /// breaker.
     pub(crate) fn record_success(&mut self, now: Duration, started_at: Duration) -> bool {
         self.counts.count(now, false);
         self.request_failures = 0;
         self.report_failures = 0;
-        let closes = self.is_half_open() && started_at >= self.since;
+        let closes = self.is_half_open() && started_at >= self.state_since;
         if closes {
-            self.change(now, State::Closed);
+            self.set_state(now, State::Closed);
         }
         closes
     }
 
-    /// Counts a failure; tells whether the breaker wants to open.
+    /// Counts a failure; returns whether the breaker should open.
     pub(crate) fn record_failure(
         &mut self,
         now: Duration,
@@ -173,12 +173,12 @@
         settings: &HealthSettings,
         others: AnswerCounts,
     ) -> bool {
-        // A crash ends many requests at once. Those that began before the breaker last changed say
-        // nothing about the endpoint as it is now.
-        if started_at < self.since || self.open_until().is_some() {
+        // A crash ends many requests at once. Requests that started before the last state change
+        // say nothing about the present state of the endpoint.
+        if started_at < self.state_since || self.open_until().is_some() {
             return false;
         }
-        self.cause = Some(kind);
+        self.last_failure = Some(kind);
         if kind == FailureKind::ReportMissing {
             self.report_failures += 1;
         } else {
@@ -196,41 +196,43 @@
         let doublings = self.ejections.min(MAX_DOUBLINGS);
         let until = now + millis(settings.eject_ms).saturating_mul(1 << doublings);
         self.ejections = self.ejections.saturating_add(1);
-        self.change(now, State::Open { until });
+        self.set_state(now, State::Open { until });
     }
 
-    /// Closes the breaker although the endpoint fails, since its pool can't spare it.
-    pub(crate) fn close_anyway(&mut self, now: Duration) {
-        self.change(now, State::Closed);
+    /// Closes the breaker although the endpoint fails, because its pool cannot do without it.
+    pub(crate) fn force_close(&mut self, now: Duration) {
+        self.set_state(now, State::Closed);
     }
 
-    /// Lets one request try whether the endpoint is back.
+    /// Turns an open breaker half-open, so that a trial request may run.
     pub(crate) fn half_open(&mut self, now: Duration) {
         if self.open_until().is_some() {
-            self.change(now, State::HalfOpen);
+            self.set_state(now, State::HalfOpen);
         }
     }
 
-    /// Notes a load report with figures from `figures_at`.
+    /// Records a load report measured at `measured_at`.
     ///
-    /// An endpoint that was ejected because it could not be reached is tried as soon as it reports
-    /// again: waiting out the ejection would leave a restarted engine idle.
-    pub(crate) fn record_report(&mut self, now: Duration, figures_at: Duration) {
+    /// An endpoint that was ejected as unreachable gets its trial request as soon as it reports
+    /// again: waiting for the end of the ejection would leave a restarted engine idle.
+    pub(crate) fn record_report(&mut self, now: Duration, measured_at: Duration) {
         self.report_failures = 0;
-        let was_unreachable = self.cause.is_some_and(FailureKind::means_unreachable);
-        if was_unreachable && figures_at > self.since {
+        let was_unreachable = self
+            .last_failure
+            .is_some_and(FailureKind::indicates_unreachable);
+        if was_unreachable && measured_at > self.state_since {
             self.half_open(now);
         }
     }
 
-    /// Forgets earlier ejections, once the endpoint carries its full load again.
-    pub(crate) fn forgive(&mut self) {
+    /// Resets the count of ejections, once the endpoint carries its full load again.
+    pub(crate) fn reset_ejections(&mut self) {
         self.ejections = 0;
     }
 
-    fn change(&mut self, now: Duration, state: State) {
+    fn set_state(&mut self, now: Duration, state: State) {
         self.state = state;
-        self.since = now;
+        self.state_since = now;
         self.request_failures = 0;
         self.report_failures = 0;
         self.counts = AnswerCounts::default();
--- a/crates/coordination/src/crash_detector.rs
+++ b/crates/coordination/src/crash_detector.rs
@@ -1,4 +1,4 @@
-//! Tells crashes of endpoints from connections that the network lost.
+//! Distinguishes crashes of endpoints from connections that the network lost.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -8,7 +8,7 @@
 use sedgeridge_state::ids::EndpointId;
 
 use crate::poison_record::Crash;
-use crate::poison_record::SAME_CRASH;
+use crate::poison_record::SAME_CRASH_WINDOW;
 
 /// Requests that were in progress on an endpoint when it crashed.
 #[derive(Debug)]
@@ -17,21 +17,21 @@
     pub(crate) requests: BTreeSet<Fingerprint>,
 }
 
-/// Connections that were lost, and endpoints that were found to be down.
+/// Recently lost connections, and endpoints recently found to be down.
 #[derive(Debug, Default)]
 pub(crate) struct CrashDetector {
-    lost: BTreeMap<EndpointId, Lost>,
-    down: BTreeMap<EndpointId, Duration>,
+    lost_connections: BTreeMap<EndpointId, LostConnections>,
+    down_since: BTreeMap<EndpointId, Duration>,
 }
 
 #[derive(Debug)]
-struct Lost {
+struct LostConnections {
     since: Duration,
     requests: BTreeSet<Fingerprint>,
 }
 
-impl Lost {
-    fn at(since: Duration) -> Self {
+impl LostConnections {
+    fn starting_at(since: Duration) -> Self {
         Self {
             since,
             requests: BTreeSet::new(),
@@ -40,39 +40,39 @@
 }
 
 impl CrashDetector {
-    /// Notes a lost connection; returns the crash if the endpoint is known to be down.
+    /// Records a lost connection; returns the crash if the endpoint is known to be down.
     ///
-    /// Losses are noticed one after another, some only after the endpoint was found to be down.
-    pub(crate) fn connection_lost(
+    /// Losses are detected one after another, some only after the endpoint was found to be down.
+    pub(crate) fn on_connection_lost(
         &mut self,
         now: Duration,
         fingerprint: Fingerprint,
         endpoint: &EndpointId,
     ) -> Option<Crash> {
-        if let Some(at) = self.down_since(now, endpoint) {
+        if let Some(at) = self.recent_down_since(now, endpoint) {
             let endpoint = endpoint.clone();
             return Some(Crash { endpoint, at });
         }
-        let lost = self.lost.entry(endpoint.clone());
-        let lost = lost.or_insert_with(|| Lost::at(now));
-        if now.saturating_sub(lost.since) >= SAME_CRASH {
-            *lost = Lost::at(now);
+        let lost = self.lost_connections.entry(endpoint.clone());
+        let lost = lost.or_insert_with(|| LostConnections::starting_at(now));
+        if now.saturating_sub(lost.since) >= SAME_CRASH_WINDOW {
+            *lost = LostConnections::starting_at(now);
         }
         lost.requests.insert(fingerprint);
         None
     }
 
-    /// Notes that an endpoint is down; returns the requests whose connections were just lost.
-    pub(crate) fn endpoint_down(
+    /// Records that an endpoint is down; returns the requests whose connections it just lost.
+    pub(crate) fn on_endpoint_down(
         &mut self,
         now: Duration,
         endpoint: &EndpointId,
     ) -> Option<CrashedBatch> {
-        let lost = self.lost.remove(endpoint);
-        let lost = lost.filter(|lost| now.saturating_sub(lost.since) < SAME_CRASH);
+        let lost = self.lost_connections.remove(endpoint);
+        let lost = lost.filter(|lost| now.saturating_sub(lost.since) < SAME_CRASH_WINDOW);
         let at = lost.as_ref().map_or(now, |lost| lost.since);
-        if self.down_since(now, endpoint).is_none() {
-            self.down.insert(endpoint.clone(), at);
+        if self.recent_down_since(now, endpoint).is_none() {
+            self.down_since.insert(endpoint.clone(), at);
         }
         let endpoint = endpoint.clone();
         lost.map(|lost| CrashedBatch {
@@ -81,15 +81,16 @@
         })
     }
 
-    /// Forgets losses and crashes that nothing can be added to any more.
-    pub(crate) fn forget_old(&mut self, now: Duration) {
-        let is_recent = |at: Duration| now.saturating_sub(at) < SAME_CRASH;
-        self.lost.retain(|_, lost| is_recent(lost.since));
-        self.down.retain(|_, at| is_recent(*at));
+    /// Removes losses and crashes to which nothing can be added any more.
+    pub(crate) fn remove_expired(&mut self, now: Duration) {
+        let is_recent = |at: Duration| now.saturating_sub(at) < SAME_CRASH_WINDOW;
+        self.lost_connections
+            .retain(|_, lost| is_recent(lost.since));
+        self.down_since.retain(|_, at| is_recent(*at));
     }
 
-    fn down_since(&self, now: Duration, endpoint: &EndpointId) -> Option<Duration> {
-        let at = *self.down.get(endpoint)?;
-        (now.saturating_sub(at) < SAME_CRASH).then_some(at)
+    fn recent_down_since(&self, now: Duration, endpoint: &EndpointId) -> Option<Duration> {
+        let at = *self.down_since.get(endpoint)?;
+        (now.saturating_sub(at) < SAME_CRASH_WINDOW).then_some(at)
     }
 }
--- a/crates/coordination/src/demand_table.rs
+++ b/crates/coordination/src/demand_table.rs
@@ -9,7 +9,7 @@
 
 use crate::pool_messages::PrefixHash;
 
-/// Whose requests a grant is for.
+/// Identifies the requests of one account and class at one entry router.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct DemandKey {
     pub(crate) account: usize,
@@ -17,7 +17,7 @@
     pub(crate) router: usize,
 }
 
-/// What an entry router said of the requests behind one key.
+/// What an entry router last reported for one key.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct DemandReport {
     pub(crate) waiting: u32,
@@ -26,17 +26,17 @@
 }
 
 #[derive(Debug, Default)]
-struct Cell {
+struct DemandEntry {
     report: DemandReport,
     /// Grants that the reported count does not take into account yet.
     unacknowledged: u32,
-    listed_at: Option<u64>,
+    listed_turn: Option<u64>,
     turn: u64,
-    /// Arrival stamps of the requests that may be granted, in runs; kept for FIFO order only.
+    /// Arrival stamp and number of grantable requests, oldest first; maintained for FIFO order only.
     arrivals: VecDeque<(u64, u32)>,
 }
 
-impl Cell {
+impl DemandEntry {
     fn grantable(&self) -> u32 {
         self.report.waiting.saturating_sub(self.unacknowledged)
     }
@@ -45,8 +45,8 @@
         self.report.waiting == 0 && self.unacknowledged == 0
     }
 
-    /// Keeps as many arrival stamps as there are requests to grant.
-    fn stamp_arrivals(&mut self, stamp: u64) {
+    /// Adjusts the arrival stamps to the number of grantable requests.
+    fn update_arrivals(&mut self, stamp: u64) {
         let stamped: u32 = self.arrivals.iter().map(|(_, count)| count).sum();
         let grantable = self.grantable();
         if grantable > stamped {
@@ -70,12 +70,12 @@
 
 #[derive(Debug, Default)]
 struct RouterDemand {
-    /// Nothing is granted to a router that lets grants time out, until it reports again.
+    /// Whether a grant to the router timed out; it gets no further grant until it reports again.
     suspended: bool,
-    cells: BTreeMap<(usize, RequestClass), Cell>,
+    entries: BTreeMap<(usize, RequestClass), DemandEntry>,
 }
 
-/// Keys of one account that can be granted, by turn.
+/// Routers with grantable requests of one account, by turn; one set for each class.
 type Rotation = [BTreeSet<(u64, usize)>; 2];
 
 /// Demand of the whole fleet for one pool.
@@ -86,7 +86,7 @@
     routers: Vec<RouterDemand>,
     rotations: Vec<Rotation>,
     arrivals: BTreeSet<(u64, DemandKey)>,
-    /// Keys whose cells changed since the last [`DemandTable::refresh_changed`].
+    /// Keys whose entries changed since the last [`DemandTable::refresh_changed`].
     changed_keys: Vec<DemandKey>,
 }
 
@@ -102,28 +102,28 @@
         }
     }
 
-    pub(crate) fn report(&mut self, key: DemandKey, report: DemandReport) {
-        self.cell(key).report = report;
+    pub(crate) fn set_report(&mut self, key: DemandKey, report: DemandReport) {
+        self.entry(key).report = report;
         self.note_changed(key);
     }
 
     /// Counts a grant against the reported requests.
     pub(crate) fn record_grant(&mut self, key: DemandKey) {
         let turn = self.take_turn();
-        let cell = self.cell(key);
-        cell.unacknowledged += 1;
-        cell.turn = turn;
+        let entry = self.entry(key);
+        entry.unacknowledged += 1;
+        entry.turn = turn;
         self.refresh(key);
     }
 
-    /// The router has seen the grant, or never will.
+    /// Stops counting a grant that the router has received, or never will.
     pub(crate) fn record_acknowledgement(&mut self, key: DemandKey) {
-        let cell = self.cell(key);
-        cell.unacknowledged = cell.unacknowledged.saturating_sub(1);
+        let entry = self.entry(key);
+        entry.unacknowledged = entry.unacknowledged.saturating_sub(1);
         self.note_changed(key);
     }
 
-    /// Withholds a router's demand, or offers it again; returns the accounts that this concerns.
+    /// Suspends or resumes the demand of a router; returns the affected accounts.
     pub(crate) fn suspend(&mut self, router: usize, suspended: bool) -> Vec<usize> {
         if self.router(router).suspended == suspended {
             return Vec::new();
@@ -134,10 +134,10 @@
         keys.iter().map(|key| key.account).collect()
     }
 
-    /// Brings the turns up to date with all changes of one event at once.
+    /// Updates the turns for all changes of one event together.
     ///
-    /// A report acknowledges a grant and lowers the count of waiting requests by the same one;
-    /// taken one after the other these would look like an arrival and a withdrawal.
+    /// A report that acknowledges a grant also lowers the count of waiting requests by the granted
+    /// one; applied separately, the two changes would look like an arrival and a withdrawal.
     pub(crate) fn refresh_changed(&mut self) {
         let mut changed_keys = std::mem::take(&mut self.changed_keys);
         for key in changed_keys.drain(..) {
@@ -146,13 +146,13 @@
         self.changed_keys = changed_keys;
     }
 
-    /// Forgets a router and returns the accounts that waited there.
+    /// Removes the demand of a router and returns its accounts.
     pub(crate) fn remove_router(&mut self, router: usize) -> Vec<usize> {
         let keys = self.keys_of(router);
         for key in &keys {
-            *self.cell(*key) = Cell {
-                listed_at: self.cell(*key).listed_at,
-                ..Cell::default()
+            *self.entry(*key) = DemandEntry {
+                listed_turn: self.entry(*key).listed_turn,
+                ..DemandEntry::default()
             };
             self.refresh(*key);
         }
@@ -162,8 +162,8 @@
 
     /// Returns the keys of a router in a fixed order.
     pub(crate) fn keys_of(&mut self, router: usize) -> Vec<DemandKey> {
-        let cells = self.router(router).cells.keys();
-        cells
+        let entries = self.router(router).entries.keys();
+        entries
             .map(|&(account, class)| DemandKey {
                 account,
                 class,
@@ -176,7 +176,7 @@
         let mut keys = Vec::new();
         for router in 0..self.routers.len() {
             for class in [RequestClass::Interactive, RequestClass::Deferred] {
-                if self.routers[router].cells.contains_key(&(account, class)) {
+                if self.routers[router].entries.contains_key(&(account, class)) {
                     keys.push(DemandKey {
                         account,
                         class,
@@ -192,10 +192,10 @@
         self.next_key(account).is_some()
     }
 
-    /// Returns whose request of an account is next: interactive ones first, then routers in turn.
+    /// Returns the next key of an account: interactive requests first, then routers in turn.
     ///
-    /// A router that was granted goes to the end of the turns. Serving the longest queue first
-    /// instead would let one busy router keep the account's callers at quiet routers waiting.
+    /// A router goes to the end of the turns with each grant. Serving the longest queue first would
+    /// let one busy router keep the account's callers at quiet routers waiting.
     pub(crate) fn next_key(&self, account: usize) -> Option<DemandKey> {
         let rotation = self.rotations.get(account)?;
         [RequestClass::Interactive, RequestClass::Deferred]
@@ -210,17 +210,17 @@
             })
     }
 
-    /// Returns the key that has waited longest of all; kept for FIFO order only.
+    /// Returns the key with the longest waiting request; maintained for FIFO order only.
     pub(crate) fn oldest(&self) -> Option<DemandKey> {
         self.arrivals.first().map(|(_, key)| *key)
     }
 
     /// Returns what was reported for a key.
     pub(crate) fn reported(&self, key: DemandKey) -> DemandReport {
-        let cell = self.routers[key.router]
-            .cells
+        let entry = self.routers[key.router]
+            .entries
             .get(&(key.account, key.class));
-        cell.map(|cell| cell.report).unwrap_or_default()
+        entry.map(|entry| entry.report).unwrap_or_default()
     }
 
     fn note_changed(&mut self, key: DemandKey) {
@@ -241,50 +241,53 @@
         &mut self.routers[router]
     }
 
-    fn cell(&mut self, key: DemandKey) -> &mut Cell {
-        let cells = &mut self.router(key.router).cells;
-        cells.entry((key.account, key.class)).or_default()
+    fn entry(&mut self, key: DemandKey) -> &mut DemandEntry {
+        let entries = &mut self.router(key.router).entries;
+        entries.entry((key.account, key.class)).or_default()
     }
 
-    /// Lists or unlists a key after its cell changed, and drops an empty cell.
+    /// Lists or unlists a key after its entry changed, and drops an empty entry.
     fn refresh(&mut self, key: DemandKey) {
         let fifo = self.order == QueueOrder::Fifo;
         let stamp = self.take_turn();
         let suspended = self.router(key.router).suspended;
-        let cell = self.cell(key);
+        let entry = self.entry(key);
         if fifo {
-            cell.stamp_arrivals(stamp);
+            entry.update_arrivals(stamp);
         }
-        if cell.listed_at.is_none() && cell.turn == 0 {
-            cell.turn = stamp;
+        if entry.listed_turn.is_none() && entry.turn == 0 {
+            entry.turn = stamp;
         }
-        let place = cell.arrivals.front().map_or(cell.turn, |(stamp, _)| *stamp);
-        let wanted = (cell.grantable() > 0 && !suspended).then_some(place);
-        let listed = std::mem::replace(&mut cell.listed_at, wanted);
-        if cell.is_empty() {
+        let listing_turn = entry
+            .arrivals
+            .front()
+            .map_or(entry.turn, |(stamp, _)| *stamp);
+        let new_turn = (entry.grantable() > 0 && !suspended).then_some(listing_turn);
+        let old_turn = std::mem::replace(&mut entry.listed_turn, new_turn);
+        if entry.is_empty() {
             self.routers[key.router]
-                .cells
+                .entries
                 .remove(&(key.account, key.class));
         }
-        if listed != wanted {
-            self.relist(key, listed, wanted);
+        if old_turn != new_turn {
+            self.update_listing(key, old_turn, new_turn);
         }
     }
 
-    fn relist(&mut self, key: DemandKey, listed: Option<u64>, wanted: Option<u64>) {
+    fn update_listing(&mut self, key: DemandKey, old_turn: Option<u64>, new_turn: Option<u64>) {
         if self.rotations.len() <= key.account {
             self.rotations
                 .resize_with(key.account + 1, Rotation::default);
         }
         let rotation = &mut self.rotations[key.account][key.class as usize];
-        if let Some(place) = listed {
-            rotation.remove(&(place, key.router));
-            self.arrivals.remove(&(place, key));
+        if let Some(listing_turn) = old_turn {
+            rotation.remove(&(listing_turn, key.router));
+            self.arrivals.remove(&(listing_turn, key));
         }
-        if let Some(place) = wanted {
-            rotation.insert((place, key.router));
+        if let Some(listing_turn) = new_turn {
+            rotation.insert((listing_turn, key.router));
             if self.order == QueueOrder::Fifo {
-                self.arrivals.insert((place, key));
+                self.arrivals.insert((listing_turn, key));
             }
         }
     }
--- a/crates/coordination/src/endpoint_health.rs
+++ b/crates/coordination/src/endpoint_health.rs
@@ -1,7 +1,7 @@
-//! Health of a pool's endpoints: which take new work, and how much.
+//! Health of a pool's endpoints: which of them take new work, and how much.
 //!
-//! The home of a pool owns one [`PoolHealth`]. It is told what became of attempts, what the load
-//! reports say and which endpoints are leaving, and tells how many requests each may hold.
+//! The home of a pool has one [`PoolHealth`]. It derives the number of requests that each endpoint
+//! may hold from results of attempts, load reports and notices of leaving.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -20,7 +20,8 @@
 
 /// Report intervals after which a load report is stale.
 const STALE_REPORT_INTERVALS: u32 = 4;
-/// Who says that an endpoint is leaving.
+
+/// Source of a notice that an endpoint is leaving.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeavingSource {
     /// Another router of the fleet.
@@ -29,12 +30,12 @@
     HostList,
 }
 
-/// Requests that may be held on an endpoint.
+/// Number of requests that may be held on an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UsableSlots {
     /// The endpoint.
     pub endpoint: EndpointId,
-    /// Requests in all, those in progress included; 0 while it is ejected or leaving.
+    /// All requests, including those in progress; 0 while the endpoint is ejected or leaving.
     pub slots: u32,
 }
 
@@ -47,23 +48,23 @@
 /// use sedgeridge_state::ids::EndpointId;
 /// use sedgeridge_state::settings::HealthSettings;
 ///
-/// let (sick, sound) = (EndpointId::from("desk-1"), EndpointId::from("desk-2"));
+/// let (failing, working) = (EndpointId::from("desk-1"), EndpointId::from("desk-2"));
 /// let mut health = PoolHealth::new(HealthSettings::default());
-/// health.configure(&[(sick.clone(), 8), (sound.clone(), 8)]);
+/// health.configure(&[(failing.clone(), 8), (working.clone(), 8)]);
 /// for ms in 1..=3 {
 ///     let now = Duration::from_millis(ms);
-///     health.record_failure(now, &sick, now, FailureKind::ConnectFailed);
+///     health.record_failure(now, &failing, now, FailureKind::ConnectFailed);
 /// }
 /// let now = Duration::from_millis(4);
-/// assert_eq!(health.usable_slots(now, &sick), 0);
-/// assert_eq!(health.usable_slots(now, &sound), 8);
+/// assert_eq!(health.usable_slots(now, &failing), 0);
+/// assert_eq!(health.usable_slots(now, &working), 8);
 /// ```
 #[derive(Debug)]
 pub struct PoolHealth {
     settings: HealthSettings,
     endpoints: BTreeMap<EndpointId, PooledEndpoint>,
-    changed: BTreeSet<EndpointId>,
-    scan_at: Duration,
+    changed_ids: BTreeSet<EndpointId>,
+    next_scan_at: Duration,
 }
 
 impl PoolHealth {
@@ -72,15 +73,15 @@
         Self {
             settings,
             endpoints: BTreeMap::new(),
-            changed: BTreeSet::new(),
-            scan_at: Duration::ZERO,
+            changed_ids: BTreeSet::new(),
+            next_scan_at: Duration::ZERO,
         }
     }
 
-    /// Adopts the pool's endpoints and their slots; what is known of the others is dropped.
+    /// Adopts the pool's endpoints and their slots, and drops the state of all others.
     ///
-    /// An endpoint that joins others starts slowly. Those of the first configuration do not: they
-    /// were serving before this home was.
+    /// Endpoints that are added later have a slow start. Those of the first configuration do not:
+    /// they were already serving before this home started.
     pub fn configure(&mut self, endpoints: &[(EndpointId, u32)]) {
         let joins = !self.endpoints.is_empty();
         let mut known = std::mem::take(&mut self.endpoints);
@@ -91,29 +92,29 @@
                     endpoint
                 }
                 None => PooledEndpoint {
-                    ramp: joins.then_some(1),
+                    slow_start_slots: joins.then_some(1),
                     ..PooledEndpoint::new(*slots)
                 },
             };
             self.endpoints.insert(id.clone(), endpoint);
         }
-        self.scan_at = Duration::ZERO;
+        self.next_scan_at = Duration::ZERO;
     }
 
     /// Adopts changed settings.
     pub fn set_settings(&mut self, settings: HealthSettings) {
         self.settings = settings;
-        self.scan_at = Duration::ZERO;
+        self.next_scan_at = Duration::ZERO;
     }
 
-    /// Notes how many requests the fleet holds on an endpoint from now on.
+    /// Records how many requests the fleet holds on an endpoint from `now` on.
     pub fn record_held(&mut self, now: Duration, id: &EndpointId, requests: u32) {
         if let Some(endpoint) = self.endpoints.get_mut(id) {
             endpoint.budget.record_held(now, requests);
         }
     }
 
-    /// Counts a whole answer to an attempt that began at `started_at`.
+    /// Counts a complete answer to an attempt that started at `started_at`.
     pub fn record_success(
         &mut self,
         now: Duration,
@@ -129,13 +130,13 @@
             .budget
             .record_first_byte(now, first_byte, stale_after);
         if endpoint.breaker.record_success(now, started_at) {
-            endpoint.ramp = Some(1);
+            endpoint.slow_start_slots = Some(1);
         }
-        endpoint.climb(now, stale_after);
+        endpoint.advance_slow_start(now, stale_after);
         self.note_change(now, id);
     }
 
-    /// Counts a failed attempt that began at `started_at`, or a load report that can't be read.
+    /// Counts a failed attempt that started at `started_at`, or a failed read of the load report.
     pub fn record_failure(
         &mut self,
         now: Duration,
@@ -148,12 +149,12 @@
         let Some(endpoint) = self.endpoints.get_mut(id) else {
             return;
         };
-        // Something between the two ends can lose track of one open connection while new ones
-        // work. An endpoint that answered a fresh read of its report since then is not at fault.
-        let answers_elsewhere = endpoint
+        // A middlebox can lose the state of an open connection while new connections work. An
+        // endpoint whose report was read since the connection fell silent is not at fault.
+        let has_fresh_report = endpoint
             .reported_at
             .is_some_and(|at| now.saturating_sub(at) < idle_timeout);
-        if kind == FailureKind::Silent && answers_elsewhere && !endpoint.breaker.is_half_open() {
+        if kind == FailureKind::Silent && has_fresh_report && !endpoint.breaker.is_half_open() {
             return;
         }
         let settings = &self.settings;
@@ -164,7 +165,7 @@
         }
     }
 
-    /// Takes a load report; `load.age` counts from when its figures were true.
+    /// Records a load report; `load.age` is the time since its measurement.
     ///
     /// ```
     /// use std::time::Duration;
@@ -191,24 +192,24 @@
         let Some(endpoint) = self.endpoints.get_mut(id) else {
             return;
         };
-        let figures_at = now.saturating_sub(load.age);
+        let measured_at = now.saturating_sub(load.age);
         endpoint.reported_at = Some(now);
-        endpoint.report = Some((figures_at, load));
-        endpoint.breaker.record_report(now, figures_at);
+        endpoint.last_report = Some((measured_at, load));
+        endpoint.breaker.record_report(now, measured_at);
         endpoint.budget.record_report(now, load);
         let was_leaving = endpoint.leaving.is_leaving();
-        endpoint.leaving.record_report(load.leaving, figures_at);
-        let turned = endpoint.leaving.is_leaving() != was_leaving;
+        endpoint.leaving.record_report(load.leaving, measured_at);
+        let leaving_changed = endpoint.leaving.is_leaving() != was_leaving;
         self.note_change(now, id);
-        if turned {
-            self.keep_quota(now);
+        if leaving_changed {
+            self.enforce_ejection_limit(now);
         }
     }
 
-    /// Notes that somebody other than the endpoint says whether it is leaving.
+    /// Records whether an endpoint is leaving according to a source other than the endpoint.
     ///
-    /// Any one source is enough to stop new work, and none can take back what another says: the
-    /// host list lags, so "not leaving" in it may be the past.
+    /// A single source is enough to stop new work, and no source can revoke the notice of another:
+    /// the host list lags, so its "not leaving" may be outdated.
     ///
     /// ```
     /// use std::time::Duration;
@@ -237,7 +238,7 @@
             LeavingSource::HostList => endpoint.leaving.by_host_list = leaving,
         }
         self.note_change(now, id);
-        self.keep_quota(now);
+        self.enforce_ejection_limit(now);
     }
 
     /// Tells whether an endpoint is leaving.
@@ -247,14 +248,14 @@
             .is_some_and(|endpoint| endpoint.leaving.is_leaving())
     }
 
-    /// Returns how many requests the fleet may hold on an endpoint, those in progress included.
+    /// Returns how many requests the fleet may hold on an endpoint, including those in progress.
     pub fn usable_slots(&self, now: Duration, id: &EndpointId) -> u32 {
         self.endpoints
             .get(id)
             .map_or(0, |endpoint| endpoint.usable_slots(now, self.stale_after()))
     }
 
-    /// Tells what is believed of an endpoint.
+    /// Returns the condition of an endpoint; an unknown one counts as serving.
     ///
     /// ```
     /// use sedgeridge_coordination::endpoint_health::PoolHealth;
@@ -277,13 +278,13 @@
 
     /// Returns the last load report of an endpoint.
     pub(crate) fn report(&self, now: Duration, id: &EndpointId) -> Option<ReportView> {
-        let (figures_at, load) = self.endpoints.get(id)?.report?;
-        let age = now.saturating_sub(figures_at);
+        let (measured_at, load) = self.endpoints.get(id)?.last_report?;
+        let age = now.saturating_sub(measured_at);
         Some(ReportView { load, age })
     }
 
-    /// Ends ejections that are over, and returns the endpoints whose usable slots changed since
-    /// the last call. Called after events and at each tick.
+    /// Ends expired ejections, and returns the endpoints whose usable slots changed since the last
+    /// call. Called after events and at each tick.
     ///
     /// ```
     /// use std::time::Duration;
@@ -299,17 +300,17 @@
     /// assert!(health.take_changes(Duration::ZERO).is_empty());
     /// ```
     pub fn take_changes(&mut self, now: Duration) -> Vec<UsableSlots> {
-        if now >= self.scan_at {
+        if now >= self.next_scan_at {
             self.scan(now);
         }
         let stale_after = self.stale_after();
         let mut changes = Vec::new();
-        for id in std::mem::take(&mut self.changed) {
+        for id in std::mem::take(&mut self.changed_ids) {
             let Some(endpoint) = self.endpoints.get_mut(&id) else {
                 continue;
             };
             let slots = endpoint.usable_slots(now, stale_after);
-            if endpoint.told.replace(slots) != Some(slots) {
+            if endpoint.announced_slots.replace(slots) != Some(slots) {
                 changes.push(UsableSlots {
                     endpoint: id,
                     slots,
@@ -319,7 +320,8 @@
         changes
     }
 
-    // A large pool is not gone through at each event, only when time alone changes an endpoint.
+    // Runs only when an endpoint changes without an event: visiting all endpoints of a large pool
+    // at each event would be slow.
     fn scan(&mut self, now: Duration) {
         let stale_after = self.stale_after();
         for endpoint in self.endpoints.values_mut() {
@@ -327,10 +329,10 @@
                 endpoint.breaker.half_open(now);
             }
         }
-        self.keep_quota(now);
-        self.changed.extend(self.endpoints.keys().cloned());
+        self.enforce_ejection_limit(now);
+        self.changed_ids.extend(self.endpoints.keys().cloned());
         let next_changes = self.endpoints.values();
-        self.scan_at = next_changes
+        self.next_scan_at = next_changes
             .filter_map(|endpoint| endpoint.next_change_at(now, stale_after))
             .min()
             .unwrap_or(Duration::MAX);
@@ -342,9 +344,9 @@
             return;
         };
         if let Some(at) = endpoint.next_change_at(now, stale_after) {
-            self.scan_at = self.scan_at.min(at);
+            self.next_scan_at = self.next_scan_at.min(at);
         }
-        self.changed.insert(id.clone());
+        self.changed_ids.insert(id.clone());
     }
 
     fn stale_after(&self) -> Duration {
@@ -361,8 +363,8 @@
         others
     }
 
-    // An endpoint that can't be spared is throttled instead: an endpoint that fails fast frees its
-    // slots fast, and would draw the work of the whole pool into failing.
+    // An endpoint that may not be ejected is throttled instead: one that fails fast frees its slots
+    // fast, and would attract the work of the whole pool and fail it.
     fn eject(&mut self, now: Duration, id: &EndpointId) {
         let may_eject = self.may_eject(id);
         let settings = &self.settings;
@@ -378,14 +380,14 @@
 
     fn may_eject(&self, id: &EndpointId) -> bool {
         let mut ejected = 0;
-        let mut full_members = 0;
+        let mut in_service = 0;
         for (other, endpoint) in &self.endpoints {
             if other != id {
                 ejected += usize::from(endpoint.breaker.is_ejected());
-                full_members += usize::from(endpoint.is_full_member());
+                in_service += usize::from(endpoint.is_in_service());
             }
         }
-        full_members > 0 && ejected < self.max_ejected()
+        in_service > 0 && ejected < self.max_ejected()
     }
 
     fn max_ejected(&self) -> usize {
@@ -393,27 +395,27 @@
         self.endpoints.len() * percent / 100
     }
 
-    // When endpoints leave the pool, those that are ejected may become too large a part of it, or
-    // all of it. The ones that would return first return at once, slowly.
-    fn keep_quota(&mut self, now: Duration) {
-        while self.ejected() > self.max_ejected() || !self.takes_work() {
+    // When endpoints leave the pool, the ejected ones may become too large a share of it, or all of
+    // it. Those that would return first are readmitted at once, with a slow start.
+    fn enforce_ejection_limit(&mut self, now: Duration) {
+        while self.ejected_count() > self.max_ejected() || !self.has_usable_endpoint() {
             let Some((id, endpoint)) = self.first_to_return() else {
                 return;
             };
             endpoint.throttle(now);
             let id = id.clone();
-            self.changed.insert(id);
+            self.changed_ids.insert(id);
         }
     }
 
-    fn ejected(&self) -> usize {
+    fn ejected_count(&self) -> usize {
         self.endpoints
             .values()
             .filter(|endpoint| endpoint.breaker.is_ejected())
             .count()
     }
 
-    fn takes_work(&self) -> bool {
+    fn has_usable_endpoint(&self) -> bool {
         self.endpoints.values().any(|endpoint| {
             !endpoint.leaving.is_leaving() && endpoint.breaker.open_until().is_none()
         })
--- a/crates/coordination/src/fair_order.rs
+++ b/crates/coordination/src/fair_order.rs
@@ -1,8 +1,8 @@
-//! The fair order: backlogged accounts by weighted service, least first.
+//! The fair order of backlogged accounts: by weighted service, least first.
 
 use std::collections::BTreeSet;
 
-/// Fraction bits of a [`Tag`]. The rest lasts for a century of the service designed for.
+/// Fraction bits of a [`Tag`]. The other bits suffice for a century of service at the design rate.
 const TAG_FRACTION_BITS: u32 = 8;
 
 /// Weighted service of an account: tokens divided by weight, in fixed point.
@@ -10,7 +10,7 @@
 pub struct Tag(i64);
 
 impl Tag {
-    /// Returns this tag moved on by `service_tokens` at `weight`; negative service moves it back.
+    /// Returns this tag advanced by `service_tokens` at `weight`; negative service moves it back.
     ///
     /// ```
     /// use sedgeridge_coordination::fair_order::Tag;
@@ -36,7 +36,7 @@
     }
 }
 
-/// An account in the order.
+/// Sort key of an account in the order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct OrderKey {
     /// Weighted service.
@@ -50,8 +50,8 @@
 /// Backlogged accounts, ordered by tag and then by rank.
 #[derive(Debug, Default)]
 pub struct FairOrder {
-    entries: BTreeSet<OrderKey>,
-    last_minimum: Tag,
+    keys: BTreeSet<OrderKey>,
+    last_minimum_tag: Tag,
 }
 
 impl FairOrder {
@@ -65,23 +65,23 @@
     /// order.insert(OrderKey { tag: Tag::default().advanced(5, 1), rank: 1, account: 1 });
     /// assert_eq!(order.first(), Some(1));
     /// ```
-    pub fn insert(&mut self, place: OrderKey) {
-        self.entries.insert(place);
+    pub fn insert(&mut self, key: OrderKey) {
+        self.keys.insert(key);
     }
 
-    /// Removes an account; `place` must be the one that it was added with.
+    /// Removes an account; `key` must be the one that it was added with.
     ///
     /// ```
     /// use sedgeridge_coordination::fair_order::{FairOrder, OrderKey, Tag};
     ///
     /// let mut order = FairOrder::default();
-    /// let place = OrderKey { tag: Tag::default(), rank: 0, account: 0 };
-    /// order.insert(place);
-    /// order.remove(place);
+    /// let key = OrderKey { tag: Tag::default(), rank: 0, account: 0 };
+    /// order.insert(key);
+    /// order.remove(key);
     /// assert_eq!(order.first(), None);
     /// ```
-    pub fn remove(&mut self, place: OrderKey) {
-        self.entries.remove(&place);
+    pub fn remove(&mut self, key: OrderKey) {
+        self.keys.remove(&key);
     }
 
     /// Returns the account that is served next.
@@ -90,14 +90,14 @@
     /// assert_eq!(sedgeridge_coordination::fair_order::FairOrder::default().first(), None);
     /// ```
     pub fn first(&self) -> Option<u32> {
-        self.entries.first().map(|place| place.account)
+        self.keys.first().map(|key| key.account)
     }
 
     /// Returns the least tag that a newly backlogged account may start with.
     ///
-    /// That is the minimum of the backlogged accounts, or the last one when none is backlogged:
-    /// without it an account that was idle for a day would come back with a day of credit and
-    /// starve the others.
+    /// That is the minimum of the backlogged accounts, or the last minimum if none is backlogged.
+    /// Otherwise an account that was idle for a day would return with a day of credit and starve
+    /// the others.
     ///
     /// ```
     /// use sedgeridge_coordination::fair_order::{FairOrder, OrderKey, Tag};
@@ -108,12 +108,12 @@
     /// assert_eq!(order.floor(), tag);
     /// ```
     pub fn floor(&self) -> Tag {
-        self.entries
+        self.keys
             .first()
-            .map_or(self.last_minimum, |place| place.tag)
+            .map_or(self.last_minimum_tag, |key| key.tag)
     }
 
-    /// Forgets all accounts but keeps the floor.
+    /// Removes all accounts but keeps the floor.
     ///
     /// ```
     /// use sedgeridge_coordination::fair_order::{FairOrder, OrderKey, Tag};
@@ -124,23 +124,23 @@
     /// assert_eq!(order.first(), None);
     /// ```
     pub fn clear(&mut self) {
-        self.note_minimum();
-        self.entries.clear();
+        self.remember_minimum();
+        self.keys.clear();
     }
 
-    /// Remembers the minimum; called before changes that may leave no account backlogged.
+    /// Remembers the minimum; called before changes after which no account may be backlogged.
     ///
     /// ```
     /// use sedgeridge_coordination::fair_order::{FairOrder, OrderKey, Tag};
     ///
     /// let mut order = FairOrder::default();
-    /// let place = OrderKey { tag: Tag::default().advanced(3, 1), rank: 0, account: 0 };
-    /// order.insert(place);
-    /// order.note_minimum();
-    /// order.remove(place);
+    /// let key = OrderKey { tag: Tag::default().advanced(3, 1), rank: 0, account: 0 };
+    /// order.insert(key);
+    /// order.remember_minimum();
+    /// order.remove(key);
     /// assert_eq!(order.floor(), Tag::default().advanced(3, 1));
     /// ```
-    pub fn note_minimum(&mut self) {
-        self.last_minimum = self.floor();
+    pub fn remember_minimum(&mut self) {
+        self.last_minimum_tag = self.floor();
     }
 }
--- a/crates/coordination/src/poison_notice.rs
+++ b/crates/coordination/src/poison_notice.rs
@@ -1,20 +1,20 @@
-//! What routers tell each other about requests that were in progress in crashes.
+//! Notices between routers about requests that were in progress when an endpoint crashed.
 
 use std::time::Duration;
 
 use sedgeridge_state::fingerprint::Fingerprint;
 use sedgeridge_state::ids::EndpointId;
 
-/// What a router tells the others about a request.
+/// Notice of a router about one request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PoisonNotice {
     /// The request.
     pub fingerprint: Fingerprint,
-    /// What is known.
+    /// What happened to it.
     pub event: PoisonEvent,
 }
 
-/// News about a request. Times are relative, since routers share no clock.
+/// Event in a notice. Times are relative, since routers share no clock.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PoisonEvent {
     /// It was in progress on an endpoint that crashed.
@@ -24,9 +24,9 @@
         /// Time since the crash.
         age: Duration,
     },
-    /// It is refused.
+    /// It is quarantined.
     Quarantined {
-        /// Time for which it is.
+        /// Remaining time of the quarantine.
         remaining: Duration,
     },
     /// It finished.
--- a/crates/coordination/src/poison_record.rs
+++ b/crates/coordination/src/poison_record.rs
@@ -1,17 +1,17 @@
-//! What is known of one request that was in progress on endpoints when they crashed.
+//! Evidence against one request that was in progress on endpoints when they crashed.
 
 use std::time::Duration;
 
 use sedgeridge_state::ids::EndpointId;
 
-/// Losses on one endpoint that lie closer together belong to one crash.
-pub const SAME_CRASH: Duration = Duration::from_secs(5);
-/// Crashes beyond the set number after which a request is held guilty whatever else ran with it.
+/// Lost connections of one endpoint within this time belong to one crash.
+pub const SAME_CRASH_WINDOW: Duration = Duration::from_secs(5);
+/// Crashes beyond the threshold after which a request counts as poison whatever else ran with it.
 const EXTRA_CRASHES: usize = 2;
-/// Most doublings of the quarantine time.
+/// Maximum number of doublings of the quarantine time.
 const MAX_DOUBLINGS: u32 = 5;
 
-/// A crash of an endpoint, as far as one request is concerned.
+/// A crash of an endpoint, as observed by one request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Crash {
     /// The endpoint.
@@ -23,27 +23,27 @@
 impl Crash {
     /// Tells whether both are the same crash.
     pub fn is_same(&self, other: &Self) -> bool {
-        self.endpoint == other.endpoint && self.at.abs_diff(other.at) < SAME_CRASH
+        self.endpoint == other.endpoint && self.at.abs_diff(other.at) < SAME_CRASH_WINDOW
     }
 }
 
-/// Evidence against one request.
+/// Crashes and quarantines of one request.
 #[derive(Debug, Default)]
 pub struct PoisonRecord {
     crashes: Vec<Crash>,
     quarantines: u32,
     quarantined_until: Option<Duration>,
-    settled_at: Option<Duration>,
+    resolved_at: Option<Duration>,
 }
 
 impl PoisonRecord {
-    /// Adds a crash; tells whether it was news.
-    pub fn add(&mut self, crash: Crash, most: usize) -> bool {
+    /// Adds a crash; returns whether it was new.
+    pub fn add_crash(&mut self, crash: Crash, crash_threshold: usize) -> bool {
         let is_known = self.crashes.iter().any(|known| known.is_same(&crash));
-        if is_known || !self.is_open(&crash) {
+        if is_known || !self.is_unresolved(&crash) {
             return false;
         }
-        if self.crashes.len() == most_kept(most) {
+        if self.crashes.len() == max_kept_crashes(crash_threshold) {
             self.crashes.remove(0);
         }
         self.crashes.push(crash);
@@ -55,20 +55,21 @@
         !self.crashes.is_empty() || self.quarantines > 0
     }
 
-    /// Tells whether there is evidence enough for a judgement.
-    pub fn is_accused(&self) -> bool {
-        self.open_crashes().count() >= 2 || self.quarantines > 0
+    /// Tells whether there is enough evidence for an evaluation.
+    pub fn needs_evaluation(&self) -> bool {
+        self.unresolved_crashes().count() >= 2 || self.quarantines > 0
     }
 
-    /// Returns how suspect the request was in `crash`, going by its other crashes and quarantines;
-    /// 0 when it was not in progress, or was no suspect.
+    /// Returns how suspect the request was in `crash`: the number of its earlier crashes and of its
+    /// quarantines; 0 if it was not in progress, or not a suspect.
     ///
-    /// A notice makes a crash look later than it was, so one shortly after counts as before.
-    pub fn suspicion_in(&self, crash: &Crash) -> u32 {
+    /// A notice makes a crash appear later than it was, so one shortly after counts as earlier.
+    pub fn suspicion_score(&self, crash: &Crash) -> u32 {
         if !self.was_in(crash) {
             return 0;
         }
-        let is_earlier = |known: &&Crash| known.at < crash.at + SAME_CRASH && !known.is_same(crash);
+        let is_earlier =
+            |known: &&Crash| known.at < crash.at + SAME_CRASH_WINDOW && !known.is_same(crash);
         let earlier = self.crashes.iter().filter(is_earlier).count();
         let earlier = u32::try_from(earlier).unwrap_or(u32::MAX);
         earlier.saturating_add(self.quarantines)
@@ -78,34 +79,46 @@
         self.crashes.iter().any(|known| known.is_same(crash))
     }
 
-    /// Judges the request. `is_foremost` tells whether no other request was as suspect in a crash.
+    /// Evaluates the evidence. `is_prime_suspect` tells whether no other request was as suspect in a
+    /// crash.
     ///
     /// The first crash counts although a whole batch was in it; a later one only if the request was
-    /// the foremost suspect. Without this, innocent requests that were retried beside the poison
-    /// would be refused with it.
-    pub fn is_guilty(&self, is_foremost: impl Fn(&Crash) -> bool, most: usize) -> bool {
-        let was_free = self.quarantines == 0;
+    /// the prime suspect. Otherwise innocent requests that were retried beside the poison would be
+    /// refused with it.
+    pub fn is_poison(
+        &self,
+        is_prime_suspect: impl Fn(&Crash) -> bool,
+        crash_threshold: usize,
+    ) -> bool {
+        let was_never_quarantined = self.quarantines == 0;
         let first = self.crashes.iter().min_by_key(|crash| crash.at);
-        let counts = |crash: &&Crash| was_free && Some(*crash) == first || is_foremost(crash);
-        let counted = self.open_crashes().filter(counts);
+        let counts = |crash: &&Crash| {
+            was_never_quarantined && Some(*crash) == first || is_prime_suspect(crash)
+        };
+        let counted = self.unresolved_crashes().filter(counts);
         let mut endpoints: Vec<_> = counted.map(|crash| &crash.endpoint).collect();
         endpoints.sort_unstable();
         endpoints.dedup();
-        let needed = if was_free { most } else { 1 };
-        endpoints.len() >= needed || self.open_crashes().count() >= most_kept(most)
+        let needed = if was_never_quarantined {
+            crash_threshold
+        } else {
+            1
+        };
+        endpoints.len() >= needed
+            || self.unresolved_crashes().count() >= max_kept_crashes(crash_threshold)
     }
 
-    /// Quarantines the request; each further time lasts twice as long.
-    pub fn quarantine(&mut self, now: Duration, first: Duration) -> Duration {
-        let lasts = first.saturating_mul(1 << self.quarantines.min(MAX_DOUBLINGS));
+    /// Quarantines the request and returns for how long; each further quarantine lasts twice as long.
+    pub fn quarantine(&mut self, now: Duration, base_duration: Duration) -> Duration {
+        let duration = base_duration.saturating_mul(1 << self.quarantines.min(MAX_DOUBLINGS));
         self.quarantines += 1;
-        self.quarantine_until(now, now + lasts);
-        lasts
+        self.quarantine_until(now, now + duration);
+        duration
     }
 
-    /// Quarantines the request at least until `until`. Crashes up to now are judged by that.
+    /// Quarantines the request at least until `until`, which resolves all crashes up to now.
     pub fn quarantine_until(&mut self, now: Duration, until: Duration) {
-        self.settled_at = self.settled_at.max(Some(now));
+        self.resolved_at = self.resolved_at.max(Some(now));
         self.quarantines = self.quarantines.max(1);
         self.quarantined_until = self.quarantined_until.max(Some(until));
     }
@@ -116,40 +129,42 @@
         (left > Duration::ZERO).then_some(left)
     }
 
-    /// Drops all evidence, when the request finished.
+    /// Drops all evidence, because the request finished.
     pub fn clear(&mut self, now: Duration) {
         *self = Self {
-            settled_at: Some(now),
+            resolved_at: Some(now),
             ..Self::default()
         };
     }
 
-    /// Tells whether the request was cleared or judged since `at`, or so shortly before that a
-    /// notice of an earlier crash may only have been slow: its age leaves out the time on the way.
-    pub fn was_settled_near(&self, at: Duration) -> bool {
-        self.settled_at
-            .is_some_and(|settled| at < settled + SAME_CRASH)
+    /// Tells whether the request was cleared or quarantined since `at`, or so shortly before that a
+    /// notice of an earlier crash may only have been slow: its age does not include its transit time.
+    pub fn was_resolved_near(&self, at: Duration) -> bool {
+        self.resolved_at
+            .is_some_and(|resolved| at < resolved + SAME_CRASH_WINDOW)
     }
 
-    /// Returns when something was last learnt.
+    /// Returns the time of the last change.
     pub fn changed_at(&self) -> Duration {
         let crashed_at = self.crashes.iter().map(|crash| crash.at).max();
         crashed_at
             .max(self.quarantined_until)
-            .max(self.settled_at)
+            .max(self.resolved_at)
             .unwrap_or_default()
     }
 
-    fn is_open(&self, crash: &Crash) -> bool {
-        self.settled_at.is_none_or(|settled| crash.at > settled)
+    fn is_unresolved(&self, crash: &Crash) -> bool {
+        self.resolved_at.is_none_or(|resolved| crash.at > resolved)
     }
 
-    fn open_crashes(&self) -> impl Iterator<Item = &Crash> {
-        self.crashes.iter().filter(|crash| self.is_open(crash))
+    fn unresolved_crashes(&self) -> impl Iterator<Item = &Crash> {
+        self.crashes
+            .iter()
+            .filter(|crash| self.is_unresolved(crash))
     }
 }
 
-/// Most crashes of one request that are kept; more prove no more.
-fn most_kept(most: usize) -> usize {
-    most + EXTRA_CRASHES
+/// Maximum number of crashes kept for one request; more would prove nothing more.
+fn max_kept_crashes(crash_threshold: usize) -> usize {
+    crash_threshold + EXTRA_CRASHES
 }
--- a/crates/coordination/src/pooled_endpoint.rs
+++ b/crates/coordination/src/pooled_endpoint.rs
@@ -1,4 +1,4 @@
-//! One endpoint of a pool: its breaker, its budget, its slow start and who says it is leaving.
+//! Health state of one endpoint of a pool: breaker, slot budget, slow start and leaving notices.
 
 use std::time::Duration;
 
@@ -6,10 +6,11 @@
 use crate::slot_budget::EndpointLoad;
 use crate::slot_budget::SlotBudget;
 
-/// Time for which a notice of leaving stands against reports that say otherwise, since they lag.
-const LEAVING_NOTICE_HOLDS: Duration = Duration::from_secs(10);
+/// Time for which a router's notice of leaving takes precedence over reports that say otherwise,
+/// since reports lag.
+const LEAVING_NOTICE_PRECEDENCE: Duration = Duration::from_secs(10);
 
-/// Who says that an endpoint is leaving.
+/// Sources that say that an endpoint is leaving.
 #[derive(Debug, Default)]
 pub(crate) struct Leaving {
     by_report: bool,
@@ -22,28 +23,28 @@
         self.by_report || self.by_peer_at.is_some() || self.by_host_list
     }
 
-    pub(crate) fn record_report(&mut self, leaving: bool, figures_at: Duration) {
+    pub(crate) fn record_report(&mut self, leaving: bool, measured_at: Duration) {
         self.by_report = leaving;
-        let outlived = |at: Duration| figures_at > at + LEAVING_NOTICE_HOLDS;
-        if !leaving && self.by_peer_at.is_some_and(outlived) {
+        let is_outlived = |at: Duration| measured_at > at + LEAVING_NOTICE_PRECEDENCE;
+        if !leaving && self.by_peer_at.is_some_and(is_outlived) {
             self.by_peer_at = None;
         }
     }
 }
 
-/// An endpoint as its pool's health sees it.
+/// Health state of one endpoint.
 #[derive(Debug)]
 pub(crate) struct PooledEndpoint {
     pub(crate) breaker: Breaker,
     pub(crate) budget: SlotBudget,
-    /// Slots of a slow start, while it lasts.
-    pub(crate) ramp: Option<u32>,
+    /// Slot limit of the slow start, while it lasts.
+    pub(crate) slow_start_slots: Option<u32>,
     pub(crate) leaving: Leaving,
     pub(crate) reported_at: Option<Duration>,
-    /// The last report and when its figures were taken.
-    pub(crate) report: Option<(Duration, EndpointLoad)>,
-    /// Slots last told.
-    pub(crate) told: Option<u32>,
+    /// The last report and the time of its measurement.
+    pub(crate) last_report: Option<(Duration, EndpointLoad)>,
+    /// Usable slots last returned by `PoolHealth::take_changes`.
+    pub(crate) announced_slots: Option<u32>,
 }
 
 impl PooledEndpoint {
@@ -51,16 +52,16 @@
         Self {
             breaker: Breaker::new(),
             budget: SlotBudget::new(slots),
-            ramp: None,
+            slow_start_slots: None,
             leaving: Leaving::default(),
             reported_at: None,
-            report: None,
-            told: None,
+            last_report: None,
+            announced_slots: None,
         }
     }
 
-    /// Tells whether the endpoint takes work without limits.
-    pub(crate) fn is_full_member(&self) -> bool {
+    /// Tells whether the endpoint is neither leaving nor ejected.
+    pub(crate) fn is_in_service(&self) -> bool {
         !self.leaving.is_leaving() && !self.breaker.is_ejected()
     }
 
@@ -73,31 +74,34 @@
             return 1;
         }
         let usable = self.budget.usable_slots(now, stale_after);
-        self.ramp.map_or(usable, |ramp| ramp.min(usable))
+        self.slow_start_slots
+            .map_or(usable, |slow_start_slots| slow_start_slots.min(usable))
     }
 
-    /// Raises a slow start by one slot for each answer. That doubles the load in the time of one
-    /// request: a cold endpoint is not flooded, and a warm one is soon back at full load.
-    pub(crate) fn climb(&mut self, now: Duration, stale_after: Duration) {
-        let Some(ramp) = self.ramp else { return };
-        if ramp + 1 >= self.budget.usable_slots(now, stale_after) {
-            self.ramp = None;
-            self.breaker.forgive();
+    /// Raises the slow start by one slot for each answer. That doubles the load within the duration
+    /// of one request: a cold endpoint is not flooded, and a warm one is soon back at full load.
+    pub(crate) fn advance_slow_start(&mut self, now: Duration, stale_after: Duration) {
+        let Some(slow_start_slots) = self.slow_start_slots else {
+            return;
+        };
+        if slow_start_slots + 1 >= self.budget.usable_slots(now, stale_after) {
+            self.slow_start_slots = None;
+            self.breaker.reset_ejections();
         } else {
-            self.ramp = Some(ramp + 1);
+            self.slow_start_slots = Some(slow_start_slots + 1);
         }
     }
 
-    /// Takes the endpoint back although it fails, one request at a time.
+    /// Readmits the endpoint although it fails, starting with one request at a time.
     pub(crate) fn throttle(&mut self, now: Duration) {
-        self.breaker.close_anyway(now);
-        self.ramp = Some(1);
+        self.breaker.force_close(now);
+        self.slow_start_slots = Some(1);
     }
 
-    /// Returns when the usable slots change by the passing of time alone.
+    /// Returns when the usable slots change next without any event.
     pub(crate) fn next_change_at(&self, now: Duration, stale_after: Duration) -> Option<Duration> {
         let returns_at = self.breaker.open_until();
-        let foreign_until = self.budget.foreign_expires_at(stale_after);
-        returns_at.or(foreign_until.filter(|at| *at > now))
+        let foreign_expires_at = self.budget.foreign_expires_at(stale_after);
+        returns_at.or(foreign_expires_at.filter(|at| *at > now))
     }
 }
--- a/crates/coordination/src/quarantine.rs
+++ b/crates/coordination/src/quarantine.rs
@@ -1,10 +1,10 @@
-//! Requests that crash the endpoints which run them.
+//! Finds requests that crash the endpoints that run them, and refuses them for a time.
 //!
-//! A crash takes a whole batch with it, so at first every request of the batch is a suspect. One
-//! that finishes later is cleared. The others run one at a time in each router, among requests that
-//! are no suspects; a crash in which a request was the foremost suspect counts against it. Routers
-//! tell each other what they saw, and a short while passes before judgement, so that two suspects
-//! of two routers in the same crash are told apart. The guilty are refused everywhere, for a time.
+//! A crash ends a whole batch, so at first every request of the batch is a suspect. A suspect that
+//! finishes later is cleared. The others run one at a time in each router, among requests that are
+//! not suspects; a crash counts against a request that was the prime suspect in it. Routers exchange
+//! their observations, and a suspect is evaluated only after a short delay, so that two suspects of
+//! two routers in the same crash are told apart. All routers refuse a request found to be poison.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -20,25 +20,25 @@
 use crate::poison_record::Crash;
 use crate::poison_record::PoisonRecord;
 
-/// Most requests that a router keeps records of.
+/// Maximum number of requests that a router keeps records of.
 pub const MAX_RECORDS: usize = 4_096;
-/// Time in which the notices of other routers about the same crash arrive.
-const JUDGE_AFTER: Duration = Duration::from_secs(1);
-/// Quarantine times for which a suspect is remembered.
-const REMEMBERED_TIMES: u32 = 2;
-/// Longest trial of a suspect; the next one may start then.
-const MAX_TRIAL: Duration = Duration::from_secs(600);
-/// Fewest crashes that prove anything: the first blames a whole batch.
+/// Time within which the notices of other routers about the same crash arrive.
+const EVALUATION_DELAY: Duration = Duration::from_secs(1);
+/// Retention time of a record, as a multiple of the quarantine time.
+const RETENTION_QUARANTINE_TIMES: u32 = 2;
+/// Longest trial of a suspect; after it the next trial may start.
+const MAX_TRIAL_DURATION: Duration = Duration::from_secs(600);
+/// Minimum number of crashes that prove anything: the first one implicates a whole batch.
 const MIN_CRASHES: u32 = 2;
-/// Quarantine times that a notice may ask for; more is absurd.
-const MAX_NOTICE_TIMES: u32 = 32;
+/// Longest quarantine that a notice may ask for, as a multiple of the quarantine time.
+const MAX_NOTICE_QUARANTINE_TIMES: u32 = 32;
 
 /// Whether a request may start on an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StartDecision {
-    /// It may.
+    /// It may start.
     Start,
-    /// It is a suspect and has to wait until another suspect's trial, or its judgement, is over.
+    /// It is a suspect and must wait for the end of another suspect's trial or of its evaluation.
     Wait,
     /// It is quarantined.
     Refuse,
@@ -68,9 +68,9 @@
 pub struct Quarantine {
     settings: HealthSettings,
     records: BTreeMap<Fingerprint, PoisonRecord>,
-    crashes: CrashDetector,
+    crash_detector: CrashDetector,
     trial: Option<Trial>,
-    accused: BTreeMap<Fingerprint, Duration>,
+    pending_evaluations: BTreeMap<Fingerprint, Duration>,
     notices: Vec<PoisonNotice>,
 }
 
@@ -86,19 +86,19 @@
         Self {
             settings,
             records: BTreeMap::new(),
-            crashes: CrashDetector::default(),
+            crash_detector: CrashDetector::default(),
             trial: None,
-            accused: BTreeMap::new(),
+            pending_evaluations: BTreeMap::new(),
             notices: Vec::new(),
         }
     }
 
-    /// Adopts changed settings; what is known stays.
+    /// Adopts changed settings and keeps all records.
     pub fn configure(&mut self, settings: HealthSettings) {
         self.settings = settings;
     }
 
-    /// Tells for how long a request is still refused, if it is.
+    /// Returns for how long a request is still refused, if it is.
     ///
     /// ```
     /// use std::time::Duration;
@@ -113,7 +113,7 @@
         self.records.get(&fingerprint)?.quarantined_for(now)
     }
 
-    /// Asks to start a request. A suspect that is let start is on trial until it ends.
+    /// Decides whether a request may start. A suspect that may start is on trial until it ends.
     ///
     /// ```
     /// use std::time::Duration;
@@ -132,8 +132,12 @@
     /// assert_eq!(quarantine.try_start(now, second), StartDecision::Wait);
     /// ```
     pub fn try_start(&mut self, now: Duration, fingerprint: Fingerprint) -> StartDecision {
-        if self.accused.get(&fingerprint).is_some_and(|at| *at <= now) {
-            self.judge(now, fingerprint);
+        if self
+            .pending_evaluations
+            .get(&fingerprint)
+            .is_some_and(|at| *at <= now)
+        {
+            self.evaluate(now, fingerprint);
         }
         let Some(record) = self.records.get(&fingerprint) else {
             return StartDecision::Start;
@@ -144,8 +148,10 @@
         if !record.is_suspect() {
             return StartDecision::Start;
         }
-        let is_on_trial = |trial: &Trial| now.saturating_sub(trial.since) < MAX_TRIAL;
-        if self.accused.contains_key(&fingerprint) || self.trial.as_ref().is_some_and(is_on_trial) {
+        let is_on_trial = |trial: &Trial| now.saturating_sub(trial.since) < MAX_TRIAL_DURATION;
+        if self.pending_evaluations.contains_key(&fingerprint)
+            || self.trial.as_ref().is_some_and(is_on_trial)
+        {
             return StartDecision::Wait;
         }
         self.trial = Some(Trial {
@@ -155,7 +161,7 @@
         StartDecision::Start
     }
 
-    /// Notes that a request ran to its end, which clears it: a poison request never does.
+    /// Records that a request finished, which clears it: a poison request never finishes.
     ///
     /// ```
     /// use std::time::Duration;
@@ -181,20 +187,20 @@
         };
         if record.is_suspect() || record.quarantined_for(now).is_some() {
             record.clear(now);
-            self.accused.remove(&fingerprint);
-            self.tell(fingerprint, PoisonEvent::Finished);
+            self.pending_evaluations.remove(&fingerprint);
+            self.queue_notice(fingerprint, PoisonEvent::Finished);
         }
     }
 
-    /// Notes that a request ended in a way that says nothing about it, such as a cancel.
+    /// Records that a request ended in a way that proves nothing, such as a cancellation.
     pub fn on_ended(&mut self, fingerprint: Fingerprint) {
         self.end_trial(fingerprint);
     }
 
-    /// Notes that the connection to `endpoint` was lost while it ran a request.
+    /// Records that the connection to `endpoint` was lost while it ran a request.
     ///
-    /// That may be the network's doing. It is held against the request only if the endpoint is then
-    /// found to be down, see [`endpoint_down`](Self::endpoint_down).
+    /// The network may be the cause. The loss counts against the request only if the endpoint is
+    /// then found to be down, see [`on_endpoint_down`](Self::on_endpoint_down).
     pub fn on_connection_lost(
         &mut self,
         now: Duration,
@@ -202,68 +208,70 @@
         endpoint: &EndpointId,
     ) {
         self.end_trial(fingerprint);
-        if let Some(crash) = self.crashes.connection_lost(now, fingerprint, endpoint) {
-            self.blame(now, fingerprint, &crash);
+        if let Some(crash) = self
+            .crash_detector
+            .on_connection_lost(now, fingerprint, endpoint)
+        {
+            self.record_crash(now, fingerprint, &crash);
         }
     }
 
-    /// Notes that `endpoint` refuses connections or says that it has restarted.
+    /// Records that `endpoint` refuses connections or reports that it has restarted.
     pub fn on_endpoint_down(&mut self, now: Duration, endpoint: &EndpointId) {
-        let Some(batch) = self.crashes.endpoint_down(now, endpoint) else {
+        let Some(batch) = self.crash_detector.on_endpoint_down(now, endpoint) else {
             return;
         };
         for fingerprint in batch.requests {
-            self.blame(now, fingerprint, &batch.crash);
+            self.record_crash(now, fingerprint, &batch.crash);
         }
     }
 
-    /// Judges the accused, and drops what is too old to matter. Called every few hundred
-    /// milliseconds.
+    /// Runs due evaluations and drops expired records. Called every few hundred milliseconds.
     pub fn tick(&mut self, now: Duration) {
         let due: Vec<_> = self
-            .accused
+            .pending_evaluations
             .iter()
-            .filter(|(_, judge_at)| **judge_at <= now)
+            .filter(|(_, evaluate_at)| **evaluate_at <= now)
             .map(|(fingerprint, _)| *fingerprint)
             .collect();
         for fingerprint in due {
-            self.judge(now, fingerprint);
+            self.evaluate(now, fingerprint);
         }
-        self.crashes.forget_old(now);
-        let remembered = self.quarantine_time() * REMEMBERED_TIMES;
+        self.crash_detector.remove_expired(now);
+        let retention = self.quarantine_time() * RETENTION_QUARANTINE_TIMES;
         self.records
-            .retain(|_, record| record.changed_at() + remembered > now);
+            .retain(|_, record| record.changed_at() + retention > now);
     }
 
-    /// Takes what another router tells. A repeated or late notice changes nothing.
+    /// Applies a notice of another router. A repeated or late notice changes nothing.
     pub fn on_notice(&mut self, now: Duration, notice: PoisonNotice) {
         let fingerprint = notice.fingerprint;
-        let most = self.most_crashes();
-        let longest = self.quarantine_time() * MAX_NOTICE_TIMES;
+        let crash_threshold = self.crash_threshold();
+        let max_remaining = self.quarantine_time() * MAX_NOTICE_QUARANTINE_TIMES;
         match notice.event {
             PoisonEvent::Crashed { endpoint, age } if age <= self.quarantine_time() => {
                 let crash = Crash {
                     endpoint,
                     at: now.saturating_sub(age),
                 };
-                let record = self.record(fingerprint);
-                if !record.was_settled_near(crash.at) && record.add(crash, most) {
-                    self.accuse(now, fingerprint);
+                let record = self.record_mut(fingerprint);
+                if !record.was_resolved_near(crash.at) && record.add_crash(crash, crash_threshold) {
+                    self.schedule_evaluation(now, fingerprint);
                 }
             }
             PoisonEvent::Crashed { .. } => {}
             PoisonEvent::Quarantined { remaining } => {
-                let until = now + remaining.min(longest);
-                self.record(fingerprint).quarantine_until(now, until);
+                let until = now + remaining.min(max_remaining);
+                self.record_mut(fingerprint).quarantine_until(now, until);
             }
             PoisonEvent::Finished => {
-                self.record(fingerprint).clear(now);
-                self.accused.remove(&fingerprint);
+                self.record_mut(fingerprint).clear(now);
+                self.pending_evaluations.remove(&fingerprint);
             }
         }
     }
 
-    /// Takes the notices to be spread to all routers.
+    /// Takes the notices to be sent to all routers.
     ///
     /// ```
     /// use std::time::Duration;
@@ -288,7 +296,7 @@
         std::mem::take(&mut self.notices)
     }
 
-    /// Returns how many requests records are kept of.
+    /// Returns the number of requests on record.
     pub fn len(&self) -> usize {
         self.records.len()
     }
@@ -298,47 +306,50 @@
         self.records.is_empty()
     }
 
-    fn blame(&mut self, now: Duration, fingerprint: Fingerprint, crash: &Crash) {
-        let most = self.most_crashes();
-        let record = self.record(fingerprint);
-        if !record.add(crash.clone(), most) {
+    fn record_crash(&mut self, now: Duration, fingerprint: Fingerprint, crash: &Crash) {
+        let crash_threshold = self.crash_threshold();
+        let record = self.record_mut(fingerprint);
+        if !record.add_crash(crash.clone(), crash_threshold) {
             return;
         }
-        self.accuse(now, fingerprint);
+        self.schedule_evaluation(now, fingerprint);
         let news = PoisonEvent::Crashed {
             endpoint: crash.endpoint.clone(),
             age: now.saturating_sub(crash.at),
         };
-        self.tell(fingerprint, news);
+        self.queue_notice(fingerprint, news);
     }
 
-    fn accuse(&mut self, now: Duration, fingerprint: Fingerprint) {
-        if self.record(fingerprint).is_accused() {
-            self.accused.insert(fingerprint, now + JUDGE_AFTER);
+    fn schedule_evaluation(&mut self, now: Duration, fingerprint: Fingerprint) {
+        if self.record_mut(fingerprint).needs_evaluation() {
+            self.pending_evaluations
+                .insert(fingerprint, now + EVALUATION_DELAY);
         }
     }
 
-    fn judge(&mut self, now: Duration, fingerprint: Fingerprint) {
-        self.accused.remove(&fingerprint);
-        let most = self.most_crashes();
-        let first = self.quarantine_time();
+    fn evaluate(&mut self, now: Duration, fingerprint: Fingerprint) {
+        self.pending_evaluations.remove(&fingerprint);
+        let crash_threshold = self.crash_threshold();
+        let base_duration = self.quarantine_time();
         let Some(record) = self.records.get(&fingerprint) else {
             return;
         };
-        let is_foremost = |crash: &Crash| self.is_foremost(fingerprint, crash);
-        if record.quarantined_for(now).is_some() || !record.is_guilty(is_foremost, most) {
+        let is_prime_suspect = |crash: &Crash| self.is_prime_suspect(fingerprint, crash);
+        if record.quarantined_for(now).is_some()
+            || !record.is_poison(is_prime_suspect, crash_threshold)
+        {
             return;
         }
-        let remaining = self.record(fingerprint).quarantine(now, first);
-        self.tell(fingerprint, PoisonEvent::Quarantined { remaining });
+        let remaining = self.record_mut(fingerprint).quarantine(now, base_duration);
+        self.queue_notice(fingerprint, PoisonEvent::Quarantined { remaining });
     }
 
-    fn is_foremost(&self, fingerprint: Fingerprint, crash: &Crash) -> bool {
-        let suspicion = |record: &PoisonRecord| record.suspicion_in(crash);
-        let own = self.records.get(&fingerprint).map_or(0, suspicion);
+    fn is_prime_suspect(&self, fingerprint: Fingerprint, crash: &Crash) -> bool {
+        let score = |record: &PoisonRecord| record.suspicion_score(crash);
+        let own = self.records.get(&fingerprint).map_or(0, score);
         self.records
             .iter()
-            .all(|(other, record)| *other == fingerprint || suspicion(record) < own)
+            .all(|(other, record)| *other == fingerprint || score(record) < own)
     }
 
     fn end_trial(&mut self, fingerprint: Fingerprint) {
@@ -351,18 +362,18 @@
         }
     }
 
-    fn tell(&mut self, fingerprint: Fingerprint, event: PoisonEvent) {
+    fn queue_notice(&mut self, fingerprint: Fingerprint, event: PoisonEvent) {
         self.notices.push(PoisonNotice { fingerprint, event });
     }
 
-    fn record(&mut self, fingerprint: Fingerprint) -> &mut PoisonRecord {
+    fn record_mut(&mut self, fingerprint: Fingerprint) -> &mut PoisonRecord {
         if self.records.len() >= MAX_RECORDS && !self.records.contains_key(&fingerprint) {
-            self.drop_oldest();
+            self.drop_oldest_record();
         }
         self.records.entry(fingerprint).or_default()
     }
 
-    fn drop_oldest(&mut self) {
+    fn drop_oldest_record(&mut self) {
         let oldest = self
             .records
             .iter()
@@ -370,13 +381,13 @@
             .map(|(fingerprint, _)| *fingerprint);
         if let Some(oldest) = oldest {
             self.records.remove(&oldest);
-            self.accused.remove(&oldest);
+            self.pending_evaluations.remove(&oldest);
         }
     }
 
-    fn most_crashes(&self) -> usize {
-        let most = self.settings.poison_after_crashes.max(MIN_CRASHES);
-        usize::try_from(most).unwrap_or(usize::MAX)
+    fn crash_threshold(&self) -> usize {
+        let crash_threshold = self.settings.poison_after_crashes.max(MIN_CRASHES);
+        usize::try_from(crash_threshold).unwrap_or(usize::MAX)
     }
 
     fn quarantine_time(&self) -> Duration {
--- a/crates/coordination/src/report_apply.rs
+++ b/crates/coordination/src/report_apply.rs
@@ -1,4 +1,4 @@
-//! How the home of a pool takes reports.
+//! Reports of entry routers at the home of a pool: checks them and applies their content.
 
 use std::time::Duration;
 
@@ -20,7 +20,7 @@
 use crate::pool_messages::Holding;
 use crate::report_check::check_counters;
 
-/// Settled service of an account that is known here.
+/// Settled service of an account that this home knows.
 #[derive(Debug)]
 pub(crate) struct ResolvedServed {
     account: usize,
@@ -42,13 +42,13 @@
             Err(refusal) => {
                 self.counters.reject(refusal.reason);
                 if refusal.ask_full {
-                    self.ask_full_from(now, &report.from, actions);
+                    self.request_full_report_from(now, &report.from, actions);
                 }
                 return;
             }
         };
         let served = self.resolve_served(report);
-        if let Err(reason) = self.check(report, &served, admission) {
+        if let Err(reason) = self.check_report(report, &served, admission) {
             return self.counters.reject(reason);
         }
         let router = match admission {
@@ -62,7 +62,12 @@
         self.resolved_served = served;
     }
 
-    fn ask_full_from(&mut self, now: Duration, from: &Member, actions: &mut Vec<HomeAction>) {
+    fn request_full_report_from(
+        &mut self,
+        now: Duration,
+        from: &Member,
+        actions: &mut Vec<HomeAction>,
+    ) {
         let known = self.entries.find(&from.host);
         match known.filter(|router| self.entries.record(*router).member == *from) {
             Some(router) => self.request_full_report(now, router, actions),
@@ -70,8 +75,8 @@
         }
     }
 
-    /// Checks all counters first, so that a refused report changes nothing.
-    fn check(
+    /// Checks all counters before any is applied, so that a rejected report changes nothing.
+    fn check_report(
         &self,
         report: &EntryReport,
         served: &[ResolvedServed],
@@ -87,16 +92,16 @@
             return Err(RejectionReason::AbsurdCounter);
         }
         let ledger = self.accounts.ledger();
-        let went_down = served
+        let has_decreased = served
             .iter()
             .any(|served| served.total_tokens < ledger.total_tokens(router, served.account));
-        if went_down {
+        if has_decreased {
             return Err(RejectionReason::ServedWentDown);
         }
         Ok(())
     }
 
-    /// Finds the accounts of settled service once, in a buffer that is used again.
+    /// Looks up the accounts of settled service once, into a reused buffer.
     fn resolve_served(&mut self, report: &EntryReport) -> Vec<ResolvedServed> {
         let mut resolved = std::mem::take(&mut self.resolved_served);
         resolved.clear();
@@ -118,7 +123,7 @@
         report: &EntryReport,
         served: &[ResolvedServed],
     ) {
-        let first = self.entries.record(router).last_sequence.is_none();
+        let is_first = self.entries.record(router).last_sequence.is_none();
         let record = self.entries.record_mut(router);
         record.last_sequence = Some(report.sequence);
         if report.full {
@@ -126,25 +131,25 @@
             record.asked_full_at = None;
             record.named_unknown = false;
         }
-        if first {
-            self.start_grants(now, router, report);
+        if is_first {
+            self.start_grant_sequence(now, router, report);
         }
         let resumed = self.demand.suspend(router, false);
         self.changed_accounts.extend(resumed);
         for id in &report.ended {
             self.end_grant(router, id);
         }
-        self.acknowledge(router, report.grants_received);
+        self.acknowledge_up_to(router, report.grants_received);
         for holding in &report.holdings {
-            self.hold(router, holding);
+            self.apply_holding(router, holding);
         }
         if report.full {
             self.end_unlisted(router, report);
         }
         for _ in served.len()..report.served.len() {
-            self.name_unknown(router, RejectionReason::UnknownAccount);
+            self.reject_unknown_item(router, RejectionReason::UnknownAccount);
         }
-        self.apply_served(router, served, first);
+        self.apply_served(router, served, is_first);
         for demand in &report.demand {
             self.apply_demand(router, demand);
         }
@@ -153,14 +158,14 @@
         }
     }
 
-    /// Starts the sequence of grants to a run above all that this home may have used before.
+    /// Starts the sequence of grants to a run above all sequences that this home may have used.
     ///
-    /// A run that left and rejoined, or a home that moved away and back, may find grants of before
-    /// still on their way. If their sequences were used again, one id would stand for two grants
-    /// and the end of one would free the slot of the other. The highest sequence of this stay covers
-    /// a run that rejoins. An earlier stay gave less than one grant a microsecond, so the clock is
-    /// ahead of its sequences.
-    fn start_grants(&mut self, now: Duration, router: usize, report: &EntryReport) {
+    /// When a run has left and rejoined, or the home has moved away and back, earlier grants may
+    /// still be in transit. If their sequences were reused, one id would stand for two grants, and
+    /// the end of one would free the slot of the other. `highest_sequence` covers a run that rejoins.
+    /// It does not cover grants from before the home moved away; these came at less than one per
+    /// microsecond, so the clock is ahead of their sequences.
+    fn start_grant_sequence(&mut self, now: Duration, router: usize, report: &EntryReport) {
         let own = report
             .holdings
             .iter()
@@ -173,7 +178,7 @@
         record.grants_received = received;
     }
 
-    fn acknowledge(&mut self, router: usize, grants_received: u64) {
+    fn acknowledge_up_to(&mut self, router: usize, grants_received: u64) {
         let record = self.entries.record_mut(router);
         if grants_received <= record.grants_received {
             return;
@@ -194,21 +199,23 @@
         let stage = std::mem::replace(&mut held.stage, GrantStage::Acknowledged);
         let held = *held;
         match stage {
-            GrantStage::Sent { .. } => self.demand.record_acknowledgement(key_of(router, &held)),
-            GrantStage::TimedOut => self.occupy_again(&held),
+            GrantStage::Sent { .. } => self
+                .demand
+                .record_acknowledgement(key_of_grant(router, &held)),
+            GrantStage::TimedOut => self.reoccupy_slot(&held),
             GrantStage::Acknowledged => {}
         }
         self.changed_accounts.push(held.account);
     }
 
-    /// Counts a grant again that arrived after its slot was returned; it may run beside another.
-    fn occupy_again(&mut self, held: &Held) {
+    /// Counts a grant again that arrived after its slot was returned; another may hold that slot too.
+    fn reoccupy_slot(&mut self, held: &Held) {
         self.counters.late_grants += 1;
         self.slots.occupy(held.endpoint);
         self.accounts.charge(held.account, held.estimate_tokens);
     }
 
-    /// Returns the slot of a grant that is not acknowledged; false if it is, or has ended.
+    /// Takes back the slot of an unacknowledged grant; returns false if it was acknowledged or ended.
     pub(crate) fn time_out_grant(&mut self, at: Duration, router: usize, sequence: u64) -> bool {
         if !self.entries.is_live(router) {
             return false;
@@ -225,7 +232,7 @@
         }
         held.stage = GrantStage::TimedOut;
         let held = *held;
-        self.free(router, &held, GrantStage::Sent { expires_at: at });
+        self.release_grant(router, &held, GrantStage::Sent { expires_at: at });
         let suspended = self.demand.suspend(router, true);
         self.changed_accounts.extend(suspended);
         true
@@ -234,12 +241,12 @@
     pub(crate) fn end_grant(&mut self, router: usize, id: &GrantId) {
         let record = self.entries.record_mut(router);
         if let Some(held) = record.remove(&self.member, id) {
-            self.free(router, &held, held.stage);
+            self.release_grant(router, &held, held.stage);
         }
     }
 
-    /// Takes back what a grant occupied in `stage`.
-    fn free(&mut self, router: usize, held: &Held, stage: GrantStage) {
+    /// Takes back the slot and the charge that a grant occupied in `stage`.
+    fn release_grant(&mut self, router: usize, held: &Held, stage: GrantStage) {
         self.changed_accounts.push(held.account);
         if stage == GrantStage::TimedOut {
             return;
@@ -247,31 +254,32 @@
         self.slots.release(held.endpoint);
         self.accounts.refund(held.account, held.estimate_tokens);
         if stage != GrantStage::Acknowledged {
-            self.demand.record_acknowledgement(key_of(router, held));
+            self.demand
+                .record_acknowledgement(key_of_grant(router, held));
         }
     }
 
-    fn hold(&mut self, router: usize, holding: &Holding) {
+    fn apply_holding(&mut self, router: usize, holding: &Holding) {
         let estimate_tokens = holding.estimate_tokens.max(MIN_CHARGE_TOKENS);
         let record = self.entries.record_mut(router);
         if let Some(held) = record.held_mut(&self.member, &holding.grant) {
-            let before_tokens = std::mem::replace(&mut held.estimate_tokens, estimate_tokens);
+            let old_estimate_tokens = std::mem::replace(&mut held.estimate_tokens, estimate_tokens);
             let account = held.account;
-            self.accounts.refund(account, before_tokens);
+            self.accounts.refund(account, old_estimate_tokens);
             self.accounts.charge(account, estimate_tokens);
             self.changed_accounts.push(account);
             return;
         }
-        self.adopt(router, holding, estimate_tokens);
+        self.adopt_grant(router, holding, estimate_tokens);
     }
 
-    /// Takes over a grant of an earlier home: it occupies its slot here until it ends.
-    fn adopt(&mut self, router: usize, holding: &Holding, estimate_tokens: u64) {
+    /// Adopts a grant of an earlier home: it occupies its slot here until it ends.
+    fn adopt_grant(&mut self, router: usize, holding: &Holding, estimate_tokens: u64) {
         let Some(account) = self.accounts.find(&holding.account) else {
-            return self.name_unknown(router, RejectionReason::UnknownAccount);
+            return self.reject_unknown_item(router, RejectionReason::UnknownAccount);
         };
         let Some(endpoint) = self.slots.find(&holding.endpoint) else {
-            return self.name_unknown(router, RejectionReason::UnknownEndpoint);
+            return self.reject_unknown_item(router, RejectionReason::UnknownEndpoint);
         };
         let held = Held {
             account,
@@ -287,10 +295,10 @@
         record.insert(&self.member, &holding.grant, held);
     }
 
-    /// Drops one item; the rest of the report counts, and a full one is asked for when the next
-    /// configuration is in force. During an import routers learn of new accounts at different
-    /// times, and refusing whole reports would stop all other work of a router meanwhile.
-    fn name_unknown(&mut self, router: usize, reason: RejectionReason) {
+    /// Rejects one item. The rest of the report counts, and a full one is requested when the next
+    /// configuration takes effect. During an import, routers learn of new accounts at different
+    /// times; rejecting whole reports would stop all other work of a router meanwhile.
+    fn reject_unknown_item(&mut self, router: usize, reason: RejectionReason) {
         self.counters.reject(reason);
         self.entries.record_mut(router).named_unknown = true;
     }
@@ -298,16 +306,16 @@
     fn end_unlisted(&mut self, router: usize, report: &EntryReport) {
         let record = self.entries.record(router);
         for id in record.grant_ids(&self.member) {
-            let unseen = id.home == self.member && id.sequence > report.grants_received;
+            let is_unseen = id.home == self.member && id.sequence > report.grants_received;
             let listed = report.holdings.iter().any(|holding| holding.grant == id);
-            if !unseen && !listed {
+            if !is_unseen && !listed {
                 self.end_grant(router, &id);
             }
         }
     }
 
-    fn apply_served(&mut self, router: usize, served: &[ResolvedServed], first: bool) {
-        if first {
+    fn apply_served(&mut self, router: usize, served: &[ResolvedServed], is_first: bool) {
+        if is_first {
             let totals = served.iter().map(|s| (s.account, s.total_tokens));
             return self.accounts.admit_run(router, totals);
         }
@@ -323,7 +331,7 @@
 
     fn apply_demand(&mut self, router: usize, demand: &Demand) {
         let Some(account) = self.accounts.find_configured(&demand.account) else {
-            return self.name_unknown(router, RejectionReason::UnknownAccount);
+            return self.reject_unknown_item(router, RejectionReason::UnknownAccount);
         };
         let key = DemandKey {
             account,
@@ -335,7 +343,7 @@
             head_cost_tokens: demand.head_cost_tokens,
             head_prefix: demand.head_prefix,
         };
-        self.demand.report(key, report);
+        self.demand.set_report(key, report);
         self.changed_accounts.push(account);
     }
 
@@ -346,23 +354,24 @@
             if listed.any(|demand| demand.class == key.class && demand.account == *account) {
                 continue;
             }
-            self.demand.report(key, DemandReport::default());
+            self.demand.set_report(key, DemandReport::default());
             self.changed_accounts.push(key.account);
         }
     }
 
-    /// Drops the demand of an account that is no longer configured. Should it come back before its
-    /// routers heard of either, they have nothing new to say: they are asked for full reports then.
+    /// Drops the demand of an account that is no longer configured. If it is configured again before
+    /// its routers learn of either change, they have nothing new to report, so full reports are
+    /// requested from them then.
     pub(crate) fn drop_demand_of(&mut self, account: usize) {
         for key in self.demand.keys_of_account(account) {
-            self.demand.report(key, DemandReport::default());
+            self.demand.set_report(key, DemandReport::default());
             self.entries.record_mut(key.router).named_unknown = true;
         }
         self.changed_accounts.push(account);
     }
 }
 
-fn key_of(router: usize, held: &Held) -> DemandKey {
+fn key_of_grant(router: usize, held: &Held) -> DemandKey {
     DemandKey {
         account: held.account,
         class: held.class,
--- a/crates/coordination/src/report_schedule.rs
+++ b/crates/coordination/src/report_schedule.rs
@@ -1,81 +1,82 @@
-//! When reports to homes on other routers go out.
+//! Schedule of reports to homes on other routers.
 
 use std::time::Duration;
 
 use crate::entry_pool::Urgency;
 
-/// Gathers news for a short pause when work may wait for it, for a longer one when none does.
+/// Collects changes for a short pause if work may wait for them, otherwise for a longer one.
 ///
 /// ```
 /// use std::time::Duration;
 /// use sedgeridge_coordination::entry_pool::Urgency;
 /// use sedgeridge_coordination::report_schedule::ReportSchedule;
 ///
-/// let (batch, interval) = (Duration::from_millis(5), Duration::from_millis(200));
-/// let mut schedule = ReportSchedule::new(batch, interval);
+/// let (batch_interval, lazy_interval) = (Duration::from_millis(5), Duration::from_millis(200));
+/// let mut schedule = ReportSchedule::new(batch_interval, lazy_interval);
 /// let start = Duration::from_secs(1);
 /// schedule.note_urgency(start, Urgency::Lazy);
 /// assert_eq!(schedule.due_urgency(start, Urgency::Lazy), None);
 /// assert_eq!(schedule.due_urgency(start, Urgency::Urgent), Some(Urgency::Urgent));
-/// assert_eq!(schedule.due_urgency(start + interval, Urgency::Lazy), Some(Urgency::Lazy));
+/// assert_eq!(schedule.due_urgency(start + lazy_interval, Urgency::Lazy), Some(Urgency::Lazy));
 /// ```
 #[derive(Debug)]
 pub struct ReportSchedule {
-    batch: Duration,
-    interval: Duration,
-    urgent_at: Duration,
-    lazy_since: Option<Duration>,
+    batch_interval: Duration,
+    lazy_interval: Duration,
+    last_sent_at: Duration,
+    pending_since: Option<Duration>,
 }
 
 impl ReportSchedule {
-    /// Creates a schedule: urgent news wait for `batch` at most, others for `interval`.
-    pub fn new(batch: Duration, interval: Duration) -> Self {
+    /// Creates a schedule: urgent changes wait for at most `batch_interval`, others for `lazy_interval`.
+    pub fn new(batch_interval: Duration, lazy_interval: Duration) -> Self {
         Self {
-            batch,
-            interval,
-            urgent_at: Duration::ZERO,
-            lazy_since: None,
+            batch_interval,
+            lazy_interval,
+            last_sent_at: Duration::ZERO,
+            pending_since: None,
         }
     }
 
     /// Adopts changed pauses.
-    pub fn configure(&mut self, batch: Duration, interval: Duration) {
-        self.batch = batch;
-        self.interval = interval;
+    pub fn configure(&mut self, batch_interval: Duration, lazy_interval: Duration) {
+        self.batch_interval = batch_interval;
+        self.lazy_interval = lazy_interval;
     }
 
-    /// Notes how urgent the news are now.
+    /// Records the present urgency of the unreported changes.
     pub fn note_urgency(&mut self, now: Duration, urgency: Urgency) {
         if urgency == Urgency::None {
-            self.lazy_since = None;
+            self.pending_since = None;
         } else {
-            self.lazy_since.get_or_insert(now);
+            self.pending_since.get_or_insert(now);
         }
     }
 
-    /// Returns the least urgency of the news that are due, if any are.
+    /// Returns the lowest urgency of the changes that are due, if any are.
     pub fn due_urgency(&self, now: Duration, urgency: Urgency) -> Option<Urgency> {
-        let lazy_at = self.lazy_since? + self.interval;
+        let lazy_at = self.pending_since? + self.lazy_interval;
         if now >= lazy_at {
             return Some(Urgency::Lazy);
         }
-        let urgent_due = urgency == Urgency::Urgent && now >= self.urgent_at + self.batch;
+        let urgent_due =
+            urgency == Urgency::Urgent && now >= self.last_sent_at + self.batch_interval;
         urgent_due.then_some(Urgency::Urgent)
     }
 
-    /// Notes that the news of this urgency and above went out.
+    /// Records that the changes of this and higher urgency were sent.
     pub fn record_sent(&mut self, now: Duration, least: Urgency) {
-        self.urgent_at = now;
+        self.last_sent_at = now;
         if least == Urgency::Lazy {
-            self.lazy_since = None;
+            self.pending_since = None;
         }
     }
 
-    /// Returns when the next news are due, if there are any.
+    /// Returns when the next changes are due, if there are any.
     pub fn next_due_at(&self, urgency: Urgency) -> Option<Duration> {
-        let lazy_at = self.lazy_since? + self.interval;
+        let lazy_at = self.pending_since? + self.lazy_interval;
         Some(match urgency {
-            Urgency::Urgent => lazy_at.min(self.urgent_at + self.batch),
+            Urgency::Urgent => lazy_at.min(self.last_sent_at + self.batch_interval),
             Urgency::None | Urgency::Lazy => lazy_at,
         })
     }
--- a/crates/coordination/src/service_ledger.rs
+++ b/crates/coordination/src/service_ledger.rs
@@ -1,12 +1,12 @@
-//! Settled service of each account: grow-only counters of router runs, merged by maximum.
+//! Settled service of each account: grow-only counters for each run of a router, merged by maximum.
 
 use std::collections::BTreeMap;
 
-/// Counters of all admitted runs and what accounts received through them.
+/// Counters of all admitted runs, and the service that accounts received through them.
 ///
-/// Merging by maximum is commutative and idempotent, so late, repeated and crossed reports count
-/// once. A run is admitted with the totals it had then: these came before this ledger and are not
-/// counted, so a run that rejoins after a partition is not counted twice.
+/// Merging by maximum is commutative and idempotent, so late, repeated and reordered reports count
+/// once. A run is admitted with its totals so far. These precede this ledger and are not counted,
+/// so the service of a run that rejoins after a partition is not counted twice.
 #[derive(Debug, Default)]
 pub struct ServiceLedger {
     /// Totals by account, for each run.
@@ -43,7 +43,7 @@
         let counter = self.run(run).entry(account).or_default();
         let growth_tokens = total_tokens.saturating_sub(*counter);
         *counter += growth_tokens;
-        self.add(account, growth_tokens);
+        self.add_received(account, growth_tokens);
         growth_tokens
     }
 
@@ -64,7 +64,7 @@
             .unwrap_or_default()
     }
 
-    /// Drops the counters of a run that ended or left; what accounts received stays.
+    /// Drops the counters of a run that ended or left; the sums of the accounts stay.
     ///
     /// ```
     /// use sedgeridge_coordination::service_ledger::ServiceLedger;
@@ -78,7 +78,7 @@
         self.run(run).clear();
     }
 
-    /// Returns what an account received through all runs since they were admitted.
+    /// Returns the service of an account through all runs since their admission.
     ///
     /// ```
     /// use sedgeridge_coordination::service_ledger::ServiceLedger;
@@ -99,7 +99,7 @@
         &mut self.runs[run]
     }
 
-    fn add(&mut self, account: usize, growth_tokens: u64) {
+    fn add_received(&mut self, account: usize, growth_tokens: u64) {
         if self.received_tokens.len() <= account {
             self.received_tokens.resize(account + 1, 0);
         }
--- a/crates/coordination/src/slot_budget.rs
+++ b/crates/coordination/src/slot_budget.rs
@@ -8,27 +8,29 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Reports in a row that must show waiting requests: one may catch a burst before it is batched.
-const REPORTS_BEFORE_DECREASE: u32 = 2;
-/// Most changes of the requests held that are kept to compare a late report with.
+/// Consecutive reports that must show waiting requests before the budget falls: a single one may
+/// catch a burst before it is batched.
+const OVERFULL_REPORTS_BEFORE_DECREASE: u32 = 2;
+/// Maximum number of changes in held requests that are kept for comparison with late reports.
 const HISTORY_LEN: usize = 128;
-/// Answers between two changes of the budget by latency.
-const LATENCY_ROUND: u32 = 8;
-/// Latency above that of an idle endpoint, by this factor, means that requests queue.
+/// Answers between two changes of the budget that are based on latency.
+const LATENCY_ROUND_ANSWERS: u32 = 8;
+/// Factor over the latency of an idle endpoint above which requests are taken to queue.
 const LATENCY_FACTOR: u32 = 2;
-/// Answers over which the latency of an idle endpoint may rise; a burst must not pass for it.
-const IDLE_LATENCY_MEMORY: u32 = 1_024;
+/// Answers over which the estimated idle latency adapts upwards; slow, so that a burst does not
+/// count as idle.
+const IDLE_LATENCY_MEMORY_ANSWERS: u32 = 1_024;
 
-/// An endpoint's load as it was some time ago.
+/// Load of an endpoint at the time of its measurement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EndpointLoad {
     /// Requests in the running batch.
     pub running: u32,
     /// Requests admitted but not yet in the batch.
     pub waiting: u32,
-    /// Largest batch.
+    /// Maximum batch size.
     pub slots: u32,
-    /// Age of these figures.
+    /// Time since the measurement.
     pub age: Duration,
     /// Whether the endpoint is leaving.
     pub leaving: bool,
@@ -62,43 +64,43 @@
 /// ```
 #[derive(Debug)]
 pub struct SlotBudget {
-    configured: u32,
-    learnt: u32,
-    foreign: u32,
+    configured_slots: u32,
+    learned_slots: u32,
+    foreign_requests: u32,
     overfull_reports: u32,
-    figures_at: Option<Duration>,
+    measured_at: Option<Duration>,
     history: VecDeque<Held>,
     recent_latency: Duration,
     idle_latency: Option<Duration>,
-    answers: u32,
+    answers_without_report: u32,
 }
 
 impl SlotBudget {
-    /// Creates the budget of an endpoint with `configured` slots, which it may use until it is
-    /// seen to run fewer.
-    pub fn new(configured: u32) -> Self {
+    /// Creates the budget of an endpoint that may use all `configured_slots` until reports or
+    /// latency show that it runs fewer.
+    pub fn new(configured_slots: u32) -> Self {
         Self {
-            configured,
-            learnt: configured,
-            foreign: 0,
+            configured_slots,
+            learned_slots: configured_slots,
+            foreign_requests: 0,
             overfull_reports: 0,
-            figures_at: None,
+            measured_at: None,
             history: VecDeque::new(),
             recent_latency: Duration::ZERO,
             idle_latency: None,
-            answers: 0,
+            answers_without_report: 0,
         }
     }
 
     /// Adopts a changed number of slots.
-    pub fn configure(&mut self, configured: u32) {
-        if configured != self.configured {
-            self.configured = configured;
-            self.learnt = configured;
+    pub fn configure(&mut self, configured_slots: u32) {
+        if configured_slots != self.configured_slots {
+            self.configured_slots = configured_slots;
+            self.learned_slots = configured_slots;
         }
     }
 
-    /// Notes how many requests the fleet holds on the endpoint from `now` on.
+    /// Records how many requests the fleet holds on the endpoint from `now` on.
     pub fn record_held(&mut self, now: Duration, requests: u32) {
         if self.history.len() == HISTORY_LEN {
             self.history.pop_front();
@@ -109,47 +111,48 @@
         });
     }
 
-    /// Learns from a load report. One no newer than the last, or too old to compare, is dropped.
+    /// Learns from a load report. Ignores one that is not newer than the last, or too old to compare.
     pub fn record_report(&mut self, now: Duration, load: EndpointLoad) {
-        let figures_at = now.saturating_sub(load.age);
-        if self.figures_at.is_some_and(|last| figures_at <= last) {
+        let measured_at = now.saturating_sub(load.age);
+        if self.measured_at.is_some_and(|last| measured_at <= last) {
             return;
         }
-        let Some(held_then) = self.held_at(figures_at) else {
+        let Some(held_at_measurement) = self.held_at(measured_at) else {
             return;
         };
-        self.figures_at = Some(figures_at);
-        // Work that this home did not grant (it restarted, or two homes disagree) fills slots too.
-        // Against what is held now, a late report would show ended requests as such work.
-        self.foreign = load
+        self.measured_at = Some(measured_at);
+        // Work that this home did not grant (it restarted, or two homes disagree) occupies slots
+        // too. Compared with the requests held now instead of at the measurement, a late report
+        // would show ended requests as such work.
+        self.foreign_requests = load
             .running
             .saturating_add(load.waiting)
-            .saturating_sub(held_then);
+            .saturating_sub(held_at_measurement);
         self.learn_from(load);
     }
 
-    /// Learns from the time to the first byte of an answer, when reports are missing.
+    /// Records the time to the first byte of an answer, and learns from it while reports are missing.
     pub fn record_first_byte(
         &mut self,
         now: Duration,
         first_byte: Duration,
         reports_stale_after: Duration,
     ) {
-        self.note_latency(first_byte);
-        if self.is_reported(now, reports_stale_after) {
-            self.answers = 0;
+        self.record_latency(first_byte);
+        if self.has_fresh_report(now, reports_stale_after) {
+            self.answers_without_report = 0;
             return;
         }
-        self.answers += 1;
-        if self.answers < LATENCY_ROUND {
+        self.answers_without_report += 1;
+        if self.answers_without_report < LATENCY_ROUND_ANSWERS {
             return;
         }
-        self.answers = 0;
+        self.answers_without_report = 0;
         let idle = self.idle_latency.unwrap_or(first_byte);
         if self.recent_latency > idle * LATENCY_FACTOR {
-            self.learnt = decreased(self.learnt);
-        } else if self.held_now() >= self.learnt {
-            self.learnt = (self.learnt + 1).min(self.configured);
+            self.learned_slots = decreased_budget(self.learned_slots);
+        } else if self.held_requests() >= self.learned_slots {
+            self.learned_slots = (self.learned_slots + 1).min(self.configured_slots);
         }
     }
 
@@ -160,7 +163,7 @@
     /// use sedgeridge_coordination::slot_budget::{EndpointLoad, SlotBudget};
     ///
     /// let mut budget = SlotBudget::new(8);
-    /// let not_ours = EndpointLoad {
+    /// let foreign_work = EndpointLoad {
     ///     running: 6,
     ///     waiting: 0,
     ///     slots: 8,
@@ -168,62 +171,65 @@
     ///     leaving: false,
     /// };
     /// let stale_after = Duration::from_secs(1);
-    /// budget.record_report(Duration::from_secs(1), not_ours);
+    /// budget.record_report(Duration::from_secs(1), foreign_work);
     /// assert_eq!(budget.usable_slots(Duration::from_secs(1), stale_after), 2);
     /// assert_eq!(budget.usable_slots(Duration::from_secs(9), stale_after), 8);
     /// ```
     pub fn usable_slots(&self, now: Duration, reports_stale_after: Duration) -> u32 {
-        let foreign = if self.is_reported(now, reports_stale_after) {
-            self.foreign
+        let foreign_requests = if self.has_fresh_report(now, reports_stale_after) {
+            self.foreign_requests
         } else {
             0
         };
-        // A wrong report must not shut an endpoint out, so one slot always stays.
-        self.learnt.saturating_sub(foreign).max(1)
+        // At least one slot stays usable, so that a wrong report cannot exclude an endpoint.
+        self.learned_slots.saturating_sub(foreign_requests).max(1)
     }
 
-    /// Returns when work of others stops to be counted unless a report tells of it again.
+    /// Returns when foreign work is no longer counted, unless another report shows it.
     pub fn foreign_expires_at(&self, reports_stale_after: Duration) -> Option<Duration> {
-        let is_counted = self.foreign > 0;
-        self.figures_at
+        let is_counted = self.foreign_requests > 0;
+        self.measured_at
             .filter(|_| is_counted)
             .map(|at| at + reports_stale_after)
     }
 
     fn learn_from(&mut self, load: EndpointLoad) {
-        let most = self.configured.min(load.slots.max(1));
+        let max_slots = self.configured_slots.min(load.slots.max(1));
         if load.waiting > 0 {
             self.overfull_reports += 1;
-            if self.overfull_reports >= REPORTS_BEFORE_DECREASE {
-                // Not below what runs: requests that were already there keep the reports overfull
-                // for a while, and each would shrink the budget again.
-                self.learnt = load.running.max(decreased(self.learnt)).min(self.learnt);
+            if self.overfull_reports >= OVERFULL_REPORTS_BEFORE_DECREASE {
+                // Not below the running requests: those already admitted keep the reports overfull
+                // for a while, and each report would shrink the budget again.
+                self.learned_slots = load
+                    .running
+                    .max(decreased_budget(self.learned_slots))
+                    .min(self.learned_slots);
             }
         } else {
             self.overfull_reports = 0;
-            if load.running >= self.learnt {
-                self.learnt += 1;
+            if load.running >= self.learned_slots {
+                self.learned_slots += 1;
             }
         }
-        self.learnt = self.learnt.clamp(1, most.max(1));
+        self.learned_slots = self.learned_slots.clamp(1, max_slots.max(1));
     }
 
-    fn note_latency(&mut self, sample: Duration) {
+    fn record_latency(&mut self, sample: Duration) {
         let idle = self.idle_latency.unwrap_or(sample);
-        let risen = idle + sample.saturating_sub(idle) / IDLE_LATENCY_MEMORY;
-        self.idle_latency = Some(risen.min(sample));
+        let raised = idle + sample.saturating_sub(idle) / IDLE_LATENCY_MEMORY_ANSWERS;
+        self.idle_latency = Some(raised.min(sample));
         self.recent_latency = (self.recent_latency * 7 + sample) / 8;
     }
 
-    fn is_reported(&self, now: Duration, stale_after: Duration) -> bool {
-        self.figures_at.is_some_and(|at| now < at + stale_after)
+    fn has_fresh_report(&self, now: Duration, stale_after: Duration) -> bool {
+        self.measured_at.is_some_and(|at| now < at + stale_after)
     }
 
-    fn held_now(&self) -> u32 {
+    fn held_requests(&self) -> u32 {
         self.history.back().map_or(0, |held| held.requests)
     }
 
-    /// Requests held at `time`; nothing when the history does not reach back so far.
+    /// Returns the requests held at `time`; `None` if the history does not reach back that far.
     fn held_at(&self, time: Duration) -> Option<u32> {
         if self.history.len() < HISTORY_LEN && self.history.front().is_none_or(|h| h.since > time) {
             return Some(0);
@@ -233,6 +239,6 @@
     }
 }
 
-fn decreased(budget: u32) -> u32 {
+fn decreased_budget(budget: u32) -> u32 {
     (budget - budget.div_ceil(4)).max(1)
 }
--- a/crates/coordination/src/slot_table.rs
+++ b/crates/coordination/src/slot_table.rs
@@ -1,4 +1,4 @@
-//! Endpoints of a pool, their slots, and the choice of a free one.
+//! Slots of a pool's endpoints, and the choice of an endpoint with a free one.
 
 use std::collections::BTreeSet;
 
@@ -20,7 +20,7 @@
     configured_slots: u32,
     usable_slots: u32,
     occupied_slots: u32,
-    /// Position in [`SlotTable::free`].
+    /// Position in [`SlotTable::free_endpoints`].
     free_position: Option<usize>,
 }
 
@@ -38,11 +38,11 @@
     endpoints: Vec<Endpoint>,
     by_id: NameIndex<EndpointId>,
     sites: NameIndex<SiteId>,
-    /// Endpoints with a free slot, in no order that matters; drawn from by the random baseline.
-    free: Vec<usize>,
+    /// Endpoints with a free slot in arbitrary order; the random baseline draws from them.
+    free_endpoints: Vec<usize>,
     /// (free slots, endpoint) of endpoints with a free slot.
-    by_free: BTreeSet<(u32, usize)>,
-    by_free_at_site: Vec<BTreeSet<(u32, usize)>>,
+    by_free_slots: BTreeSet<(u32, usize)>,
+    by_free_slots_at_site: Vec<BTreeSet<(u32, usize)>>,
     affinity: PrefixAffinity,
 }
 
@@ -54,14 +54,14 @@
             endpoints: Vec::new(),
             by_id: NameIndex::default(),
             sites: NameIndex::default(),
-            free: Vec::new(),
-            by_free: BTreeSet::new(),
-            by_free_at_site: Vec::new(),
+            free_endpoints: Vec::new(),
+            by_free_slots: BTreeSet::new(),
+            by_free_slots_at_site: Vec::new(),
             affinity: PrefixAffinity::default(),
         }
     }
 
-    /// Takes the configured endpoints; one that is left out keeps its holdings but gets no grants.
+    /// Adopts the configured endpoints; one that is missing keeps its holdings but gets no grants.
     pub(crate) fn configure(&mut self, configured: &[HomeEndpoint]) {
         let mut absent: BTreeSet<usize> = (0..self.endpoints.len()).collect();
         for endpoint in configured {
@@ -109,8 +109,8 @@
         if let Some(site) = self.sites.find(id) {
             return site;
         }
-        let site = self.by_free_at_site.len();
-        self.by_free_at_site.push(BTreeSet::new());
+        let site = self.by_free_slots_at_site.len();
+        self.by_free_slots_at_site.push(BTreeSet::new());
         self.sites.insert(id.clone(), site);
         site
     }
@@ -127,7 +127,7 @@
         self.update(endpoint, |endpoint| endpoint.usable_slots = usable_slots);
     }
 
-    /// Occupies a slot, also one that the endpoint does not have: the work is there already.
+    /// Occupies a slot even if none is free, because the work already runs on the endpoint.
     pub(crate) fn occupy(&mut self, endpoint: usize) {
         self.update(endpoint, |endpoint| endpoint.occupied_slots += 1);
     }
@@ -137,7 +137,7 @@
     }
 
     pub(crate) fn has_free_slot(&self) -> bool {
-        !self.free.is_empty()
+        !self.free_endpoints.is_empty()
     }
 
     pub(crate) fn usage(&self, endpoint: usize) -> SlotUsage {
@@ -155,8 +155,8 @@
         site: Option<usize>,
     ) -> Option<usize> {
         let endpoint = match self.choice {
-            EndpointChoice::Affinity => self.choose(prefix, site)?,
-            EndpointChoice::Random => self.draw()?,
+            EndpointChoice::Affinity => self.choose_by_affinity(prefix, site)?,
+            EndpointChoice::Random => self.draw_random()?,
         };
         self.occupy(endpoint);
         if let Some(prefix) = prefix {
@@ -165,33 +165,33 @@
         Some(endpoint)
     }
 
-    fn choose(&self, prefix: Option<PrefixHash>, site: Option<usize>) -> Option<usize> {
+    fn choose_by_affinity(&self, prefix: Option<PrefixHash>, site: Option<usize>) -> Option<usize> {
         let recent = prefix.map_or(&[][..], |prefix| self.affinity.recent(prefix));
         let warm = recent
             .iter()
             .copied()
             .find(|endpoint| self.endpoints[*endpoint].free_slots() > 0);
-        warm.or_else(|| self.most_free(site))
+        warm.or_else(|| self.most_free_endpoint(site))
     }
 
-    fn most_free(&self, site: Option<usize>) -> Option<usize> {
-        let (most, anywhere) = *self.by_free.last()?;
-        let near = site.and_then(|site| self.by_free_at_site[site].last());
+    fn most_free_endpoint(&self, site: Option<usize>) -> Option<usize> {
+        let (max_free_slots, any_site) = *self.by_free_slots.last()?;
+        let near = site.and_then(|site| self.by_free_slots_at_site[site].last());
         match near {
-            Some(&(free_slots, endpoint)) if free_slots == most => Some(endpoint),
-            _ => Some(anywhere),
+            Some(&(free_slots, endpoint)) if free_slots == max_free_slots => Some(endpoint),
+            _ => Some(any_site),
         }
     }
 
-    fn draw(&mut self) -> Option<usize> {
-        if self.free.is_empty() {
+    fn draw_random(&mut self) -> Option<usize> {
+        if self.free_endpoints.is_empty() {
             return None;
         }
-        let position = self.random.index(self.free.len());
-        Some(self.free[position])
+        let position = self.random.index(self.free_endpoints.len());
+        Some(self.free_endpoints[position])
     }
 
-    /// Changes an endpoint and keeps the indices of free slots in step.
+    /// Changes an endpoint and updates the indices of free slots.
     fn update(&mut self, index: usize, change: impl FnOnce(&mut Endpoint)) {
         let endpoint = &mut self.endpoints[index];
         let before = (endpoint.free_slots(), endpoint.site);
@@ -201,26 +201,26 @@
             return;
         }
         if before.0 > 0 {
-            self.by_free.remove(&(before.0, index));
-            self.by_free_at_site[before.1].remove(&(before.0, index));
+            self.by_free_slots.remove(&(before.0, index));
+            self.by_free_slots_at_site[before.1].remove(&(before.0, index));
         }
         if after.0 > 0 {
-            self.by_free.insert((after.0, index));
-            self.by_free_at_site[after.1].insert((after.0, index));
+            self.by_free_slots.insert((after.0, index));
+            self.by_free_slots_at_site[after.1].insert((after.0, index));
         }
-        self.list_as_free(index, after.0 > 0);
+        self.set_listed_as_free(index, after.0 > 0);
     }
 
-    fn list_as_free(&mut self, index: usize, is_free: bool) {
+    fn set_listed_as_free(&mut self, index: usize, is_free: bool) {
         match (self.endpoints[index].free_position, is_free) {
             (None, true) => {
-                self.endpoints[index].free_position = Some(self.free.len());
-                self.free.push(index);
+                self.endpoints[index].free_position = Some(self.free_endpoints.len());
+                self.free_endpoints.push(index);
             }
             (Some(position), false) => {
                 self.endpoints[index].free_position = None;
-                self.free.swap_remove(position);
-                if let Some(&moved) = self.free.get(position) {
+                self.free_endpoints.swap_remove(position);
+                if let Some(&moved) = self.free_endpoints.get(position) {
                     self.endpoints[moved].free_position = Some(position);
                 }
             }
