--- a/crates/coordination/benches/endpoint_health_slope.rs
+++ b/crates/coordination/benches/endpoint_health_slope.rs
@@ -1,4 +1,4 @@
-//! Cost of one load report of an endpoint, told slots included, against the size of its pool.
+//! Cost of one load report of an endpoint, including the slot changes, by the size of its pool.
 
 use std::hint::black_box;
 use std::time::Duration;
--- a/crates/coordination/benches/pool_home.rs
+++ b/crates/coordination/benches/pool_home.rs
@@ -1,4 +1,4 @@
-//! One report to one grant at the home of a pool, at the size designed for.
+//! Time from one report to one grant at the home of a pool, at the design size.
 
 mod saturated;
 
@@ -17,7 +17,7 @@
 const ROUTERS: usize = 400;
 /// Accounts and endpoints.
 const SIZES: [(usize, usize); 4] = [(690, 550), (6_900, 550), (6_900, 2_200), (69_000, 550)];
-/// Reports between two ticks: one tick each 5 ms.
+/// Reports between two ticks: one tick every 5 ms.
 const REPORTS_PER_TICK: u64 = 30;
 
 fn size(accounts: usize, endpoints: usize) -> Size {
--- a/crates/coordination/benches/pool_home_slopes.rs
+++ b/crates/coordination/benches/pool_home_slopes.rs
@@ -1,7 +1,7 @@
 //! Memory of the home of a pool by accounts, routers and endpoints: growth of the resident set.
 //!
-//! Every point keeps a number of equal homes alive, so that the growth is large against the pages
-//! that the allocator keeps. Names are counted once per home; a router shares them between parts.
+//! Every point keeps several equal homes alive, so that the growth is large against the pages that
+//! the allocator keeps. Names are counted once per home; a router shares them between parts.
 
 mod saturated;
 
@@ -14,11 +14,11 @@
 
 const PAGE_BYTES: u64 = 4_096;
 const HOMES_PER_POINT: usize = 16;
-/// Two seconds at the rate designed for, so that every timer has come round.
+/// Reports of two seconds at the design rate, so that every timer has expired.
 const REPORTS: usize = 12_000;
 const POINTS: [usize; 5] = [1, 2, 4, 8, 16];
 
-/// Size whose every part is small, so that the part that grows shows.
+/// Small base size, so that the growth of a single part is visible.
 const BASE: Size = Size {
     accounts: 500,
     backlogged: 50,
@@ -33,22 +33,22 @@
 }
 
 fn resident_bytes() -> u64 {
-    let statm = fs::read_to_string("/proc/self/statm").expect("Linux tells the resident set");
+    let statm = fs::read_to_string("/proc/self/statm").expect("/proc/self/statm is readable");
     let pages = statm.split_whitespace().nth(1).expect("the second field");
     pages.parse::<u64>().expect("a number of pages") * PAGE_BYTES
 }
 
-fn home_bytes(size: Size, alive: &mut Vec<PoolHome>) -> f64 {
-    // Room that was used and freed before would hide growth; the first home takes it.
-    alive.push(busy_home(size));
+fn home_bytes(size: Size, live_homes: &mut Vec<PoolHome>) -> f64 {
+    // Memory that was freed before would hide growth; the first home uses it up.
+    live_homes.push(busy_home(size));
     let before = resident_bytes();
     for _ in 0..HOMES_PER_POINT {
-        alive.push(busy_home(size));
+        live_homes.push(busy_home(size));
     }
     (resident_bytes() - before) as f64 / HOMES_PER_POINT as f64
 }
 
-/// A home that has granted for a while.
+/// Returns a home that has issued grants for a while.
 fn busy_home(size: Size) -> PoolHome {
     let mut saturated = Saturated::new(size);
     for _ in 0..REPORTS {
@@ -59,7 +59,7 @@
     saturated.home
 }
 
-/// Least squares: returns (bytes at size 0, bytes for each).
+/// Fits a line by least squares; returns (bytes at size 0, bytes per unit of size).
 fn fit(points: &[Point]) -> (f64, f64) {
     let count = points.len() as f64;
     let mean_size = points.iter().map(|point| point.size).sum::<f64>() / count;
@@ -76,14 +76,14 @@
     (mean_bytes - slope * mean_size, slope)
 }
 
-fn print_slope(name: &str, alive: &mut Vec<PoolHome>, sized: impl Fn(usize) -> (usize, Size)) {
+fn print_slope(name: &str, live_homes: &mut Vec<PoolHome>, sized: impl Fn(usize) -> (usize, Size)) {
     let points: Vec<Point> = POINTS
         .iter()
         .map(|&factor| {
             let (count, size) = sized(factor);
             Point {
                 size: count as f64,
-                bytes: home_bytes(size, alive),
+                bytes: home_bytes(size, live_homes),
             }
         })
         .collect();
@@ -99,12 +99,12 @@
 }
 
 fn main() {
-    let alive = &mut Vec::new();
-    print_slope("idle account", alive, |factor| {
+    let live_homes = &mut Vec::new();
+    print_slope("idle account", live_homes, |factor| {
         let accounts = BASE.accounts * factor;
         (accounts, Size { accounts, ..BASE })
     });
-    print_slope("backlogged account (at 4 routers)", alive, |factor| {
+    print_slope("backlogged account (at 4 routers)", live_homes, |factor| {
         let backlogged = BASE.backlogged * factor;
         let accounts = 1_000;
         (
@@ -116,11 +116,11 @@
             },
         )
     });
-    print_slope("router", alive, |factor| {
+    print_slope("router", live_homes, |factor| {
         let routers = BASE.routers * factor;
         (routers, Size { routers, ..BASE })
     });
-    print_slope("endpoint (of 4 slots in use)", alive, |factor| {
+    print_slope("endpoint (of 4 slots in use)", live_homes, |factor| {
         let endpoints = BASE.endpoints * factor;
         (endpoints, Size { endpoints, ..BASE })
     });
@@ -130,6 +130,6 @@
         routers: 400,
         endpoints: 2_200,
     };
-    let bytes = home_bytes(designed_for, alive);
+    let bytes = home_bytes(designed_for, live_homes);
     println!("size designed for, one pool of all endpoints: {bytes:.0} bytes");
 }
--- a/crates/coordination/benches/saturated/mod.rs
+++ b/crates/coordination/benches/saturated/mod.rs
@@ -25,14 +25,14 @@
 use sedgeridge_state::settings::RequestClass;
 
 const SITES: usize = 7;
-const SLOTS: u32 = 4;
-/// Requests of one backlogged account that wait at one router.
-const WAITING: u32 = 50;
+const SLOTS_PER_ENDPOINT: u32 = 4;
+/// Requests of one backlogged account at one router.
+const WAITING_REQUESTS: u32 = 50;
 const ROUTERS_PER_ACCOUNT: usize = 4;
 /// Time between two grants at 5,900 requests a second.
 const GRANT_INTERVAL: Duration = Duration::from_micros(169);
-/// Prime, so that consecutive accounts lie far apart.
-const STRIDE: usize = 7_919;
+/// Prime number, so that consecutive backlogged accounts are far apart.
+const ACCOUNT_STRIDE: usize = 7_919;
 
 /// Size of a pool.
 #[derive(Debug, Clone, Copy)]
@@ -43,7 +43,7 @@
     pub endpoints: usize,
 }
 
-/// A saturated home, and what its entry routers would say next.
+/// A saturated home, and the state of its entry routers.
 #[derive(Debug)]
 pub struct Saturated {
     pub home: PoolHome,
@@ -104,7 +104,7 @@
         let endpoints = (0..size.endpoints).map(|index| HomeEndpoint {
             id: EndpointId::from(format!("engine-{index:04}").as_str()),
             site: SiteId::from(format!("site-{}", index % SITES).as_str()),
-            slots: SLOTS,
+            slots: SLOTS_PER_ENDPOINT,
         });
         let weights = (0..size.accounts).map(|index| AccountWeight {
             account: account(index),
@@ -128,7 +128,7 @@
         }
     }
 
-    /// The report that ends the oldest grant; a new request took its place in the queue.
+    /// Returns the report that ends the oldest grant; a new request takes its place in the queue.
     pub fn next_report(&mut self) -> EntryReport {
         self.now += GRANT_INTERVAL;
         self.now += GRANT_INTERVAL;
@@ -168,7 +168,7 @@
     Demand {
         account,
         class,
-        waiting: WAITING,
+        waiting: WAITING_REQUESTS,
         head_cost_tokens: 700,
         head_prefix: Some(PrefixHash(cost_tokens % 64)),
     }
@@ -179,7 +179,7 @@
         (0..ROUTERS_PER_ACCOUNT).any(|nth| (index * 13 + nth * 101) % size.routers == router)
     });
     let demands = backlogged.map(|index| {
-        let id = account(index * STRIDE % size.accounts);
+        let id = account(index * ACCOUNT_STRIDE % size.accounts);
         demand(id, RequestClass::Interactive, index as u64)
     });
     EntryReport {
--- a/crates/coordination/src/demand_table.rs
+++ b/crates/coordination/src/demand_table.rs
@@ -32,7 +32,8 @@
     unacknowledged: u32,
     listed_turn: Option<u64>,
     turn: u64,
-    /// Arrival stamp and number of grantable requests, oldest first; maintained for FIFO order only.
+    /// Arrival stamp and number of grantable requests, oldest first; maintained for FIFO order
+    /// only.
     arrivals: VecDeque<(u64, u32)>,
 }
 
--- a/crates/coordination/src/endpoint_health.rs
+++ b/crates/coordination/src/endpoint_health.rs
@@ -92,7 +92,7 @@
                     endpoint
                 }
                 None => PooledEndpoint {
-                    slow_start_slots: joins.then_some(1),
+                    ramp_slots: joins.then_some(1),
                     ..PooledEndpoint::new(*slots)
                 },
             };
@@ -130,7 +130,7 @@
             .budget
             .record_first_byte(now, first_byte, stale_after);
         if endpoint.breaker.record_success(now, started_at) {
-            endpoint.slow_start_slots = Some(1);
+            endpoint.ramp_slots = Some(1);
         }
         endpoint.advance_slow_start(now, stale_after);
         self.note_change(now, id);
--- a/crates/coordination/src/poison_record.rs
+++ b/crates/coordination/src/poison_record.rs
@@ -11,7 +11,7 @@
 /// Maximum number of doublings of the quarantine time.
 const MAX_DOUBLINGS: u32 = 5;
 
-/// A crash of an endpoint, as observed by one request.
+/// A crash of an endpoint while it ran one request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Crash {
     /// The endpoint.
@@ -79,8 +79,8 @@
         self.crashes.iter().any(|known| known.is_same(crash))
     }
 
-    /// Evaluates the evidence. `is_prime_suspect` tells whether no other request was as suspect in a
-    /// crash.
+    /// Evaluates the evidence. `is_prime_suspect` tells whether no other request was as suspect in
+    /// a crash.
     ///
     /// The first crash counts although a whole batch was in it; a later one only if the request was
     /// the prime suspect. Otherwise innocent requests that were retried beside the poison would be
@@ -108,7 +108,8 @@
             || self.unresolved_crashes().count() >= max_kept_crashes(crash_threshold)
     }
 
-    /// Quarantines the request and returns for how long; each further quarantine lasts twice as long.
+    /// Quarantines the request and returns for how long; each further quarantine lasts twice as
+    /// long.
     pub fn quarantine(&mut self, now: Duration, base_duration: Duration) -> Duration {
         let duration = base_duration.saturating_mul(1 << self.quarantines.min(MAX_DOUBLINGS));
         self.quarantines += 1;
@@ -138,7 +139,8 @@
     }
 
     /// Tells whether the request was cleared or quarantined since `at`, or so shortly before that a
-    /// notice of an earlier crash may only have been slow: its age does not include its transit time.
+    /// notice of an earlier crash may only have been slow: its age does not include its transit
+    /// time.
     pub fn was_resolved_near(&self, at: Duration) -> bool {
         self.resolved_at
             .is_some_and(|resolved| at < resolved + SAME_CRASH_WINDOW)
--- a/crates/coordination/src/pool_messages.rs
+++ b/crates/coordination/src/pool_messages.rs
@@ -114,6 +114,7 @@
     pub account: AccountId,
     /// Class of the request.
     pub class: RequestClass,
-    /// Whether other requests wait for slots of the pool, so that leaving this one idle delays them.
+    /// Whether other requests wait for slots of the pool, so that leaving this one idle delays
+    /// them.
     pub contended: bool,
 }
--- a/crates/coordination/src/pooled_endpoint.rs
+++ b/crates/coordination/src/pooled_endpoint.rs
@@ -38,7 +38,7 @@
     pub(crate) breaker: Breaker,
     pub(crate) budget: SlotBudget,
     /// Slot limit of the slow start, while it lasts.
-    pub(crate) slow_start_slots: Option<u32>,
+    pub(crate) ramp_slots: Option<u32>,
     pub(crate) leaving: Leaving,
     pub(crate) reported_at: Option<Duration>,
     /// The last report and the time of its measurement.
@@ -52,7 +52,7 @@
         Self {
             breaker: Breaker::new(),
             budget: SlotBudget::new(slots),
-            slow_start_slots: None,
+            ramp_slots: None,
             leaving: Leaving::default(),
             reported_at: None,
             last_report: None,
@@ -74,28 +74,25 @@
             return 1;
         }
         let usable = self.budget.usable_slots(now, stale_after);
-        self.slow_start_slots
-            .map_or(usable, |slow_start_slots| slow_start_slots.min(usable))
+        self.ramp_slots.map_or(usable, |slots| slots.min(usable))
     }
 
     /// Raises the slow start by one slot for each answer. That doubles the load within the duration
     /// of one request: a cold endpoint is not flooded, and a warm one is soon back at full load.
     pub(crate) fn advance_slow_start(&mut self, now: Duration, stale_after: Duration) {
-        let Some(slow_start_slots) = self.slow_start_slots else {
-            return;
-        };
-        if slow_start_slots + 1 >= self.budget.usable_slots(now, stale_after) {
-            self.slow_start_slots = None;
+        let Some(slots) = self.ramp_slots else { return };
+        if slots + 1 >= self.budget.usable_slots(now, stale_after) {
+            self.ramp_slots = None;
             self.breaker.reset_ejections();
         } else {
-            self.slow_start_slots = Some(slow_start_slots + 1);
+            self.ramp_slots = Some(slots + 1);
         }
     }
 
     /// Readmits the endpoint although it fails, starting with one request at a time.
     pub(crate) fn throttle(&mut self, now: Duration) {
         self.breaker.force_close(now);
-        self.slow_start_slots = Some(1);
+        self.ramp_slots = Some(1);
     }
 
     /// Returns when the usable slots change next without any event.
--- a/crates/coordination/src/quarantine.rs
+++ b/crates/coordination/src/quarantine.rs
@@ -2,9 +2,10 @@
 //!
 //! A crash ends a whole batch, so at first every request of the batch is a suspect. A suspect that
 //! finishes later is cleared. The others run one at a time in each router, among requests that are
-//! not suspects; a crash counts against a request that was the prime suspect in it. Routers exchange
-//! their observations, and a suspect is evaluated only after a short delay, so that two suspects of
-//! two routers in the same crash are told apart. All routers refuse a request found to be poison.
+//! not suspects; a crash counts against a request that was the prime suspect in it. Routers
+//! exchange their observations, and a suspect is evaluated only after a short delay, so that two
+//! suspects of two routers in the same crash are told apart. All routers refuse a request found to
+//! be poison.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -30,7 +31,8 @@
 const MAX_TRIAL_DURATION: Duration = Duration::from_secs(600);
 /// Minimum number of crashes that prove anything: the first one implicates a whole batch.
 const MIN_CRASHES: u32 = 2;
-/// Longest quarantine that a notice may ask for, as a multiple of the quarantine time.
+/// Longest quarantine that a notice may ask for, as a multiple of the quarantine time;
+/// more is absurd.
 const MAX_NOTICE_QUARANTINE_TIMES: u32 = 32;
 
 /// Whether a request may start on an endpoint.
@@ -313,11 +315,11 @@
             return;
         }
         self.schedule_evaluation(now, fingerprint);
-        let news = PoisonEvent::Crashed {
+        let event = PoisonEvent::Crashed {
             endpoint: crash.endpoint.clone(),
             age: now.saturating_sub(crash.at),
         };
-        self.queue_notice(fingerprint, news);
+        self.queue_notice(fingerprint, event);
     }
 
     fn schedule_evaluation(&mut self, now: Duration, fingerprint: Fingerprint) {
--- a/crates/coordination/src/report_apply.rs
+++ b/crates/coordination/src/report_apply.rs
@@ -162,9 +162,9 @@
     ///
     /// When a run has left and rejoined, or the home has moved away and back, earlier grants may
     /// still be in transit. If their sequences were reused, one id would stand for two grants, and
-    /// the end of one would free the slot of the other. `highest_sequence` covers a run that rejoins.
-    /// It does not cover grants from before the home moved away; these came at less than one per
-    /// microsecond, so the clock is ahead of their sequences.
+    /// the end of one would free the slot of the other. `highest_sequence` covers a run that
+    /// rejoins. It does not cover grants from before the home moved away; these came at less than
+    /// one per microsecond, so the clock is ahead of their sequences.
     fn start_grant_sequence(&mut self, now: Duration, router: usize, report: &EntryReport) {
         let own = report
             .holdings
@@ -208,14 +208,16 @@
         self.changed_accounts.push(held.account);
     }
 
-    /// Counts a grant again that arrived after its slot was returned; another may hold that slot too.
+    /// Counts a grant again that arrived after its slot was returned; another may hold that slot
+    /// too.
     fn reoccupy_slot(&mut self, held: &Held) {
         self.counters.late_grants += 1;
         self.slots.occupy(held.endpoint);
         self.accounts.charge(held.account, held.estimate_tokens);
     }
 
-    /// Takes back the slot of an unacknowledged grant; returns false if it was acknowledged or ended.
+    /// Takes back the slot of an unacknowledged grant; returns false if it was acknowledged or
+    /// ended.
     pub(crate) fn time_out_grant(&mut self, at: Duration, router: usize, sequence: u64) -> bool {
         if !self.entries.is_live(router) {
             return false;
@@ -359,9 +361,9 @@
         }
     }
 
-    /// Drops the demand of an account that is no longer configured. If it is configured again before
-    /// its routers learn of either change, they have nothing new to report, so full reports are
-    /// requested from them then.
+    /// Drops the demand of an account that is no longer configured. If it is configured again
+    /// before its routers learn of either change, they have nothing new to report, so full reports
+    /// are requested from them then.
     pub(crate) fn drop_demand_of(&mut self, account: usize) {
         for key in self.demand.keys_of_account(account) {
             self.demand.set_report(key, DemandReport::default());
--- a/crates/coordination/src/report_schedule.rs
+++ b/crates/coordination/src/report_schedule.rs
@@ -28,7 +28,8 @@
 }
 
 impl ReportSchedule {
-    /// Creates a schedule: urgent changes wait for at most `batch_interval`, others for `lazy_interval`.
+    /// Creates a schedule: urgent changes wait for at most `batch_interval`, others for
+    /// `lazy_interval`.
     pub fn new(batch_interval: Duration, lazy_interval: Duration) -> Self {
         Self {
             batch_interval,
--- a/crates/coordination/src/slot_budget.rs
+++ b/crates/coordination/src/slot_budget.rs
@@ -111,7 +111,8 @@
         });
     }
 
-    /// Learns from a load report. Ignores one that is not newer than the last, or too old to compare.
+    /// Learns from a load report. Ignores one that is not newer than the last, or too old to
+    /// compare.
     pub fn record_report(&mut self, now: Duration, load: EndpointLoad) {
         let measured_at = now.saturating_sub(load.age);
         if self.measured_at.is_some_and(|last| measured_at <= last) {
@@ -131,7 +132,8 @@
         self.learn_from(load);
     }
 
-    /// Records the time to the first byte of an answer, and learns from it while reports are missing.
+    /// Records the time to the first byte of an answer, and learns from it while reports are
+    /// missing.
     pub fn record_first_byte(
         &mut self,
         now: Duration,
--- a/crates/coordination/tests/endpoint_health.rs
+++ b/crates/coordination/tests/endpoint_health.rs
@@ -101,7 +101,7 @@
 }
 
 /// A crash ends eight requests at once; three eject the endpoint, which then returns.
-/// The late ends of requests that began before must not eject it again.
+/// Late failures of requests that started before must not eject it again.
 #[test]
 fn failures_from_before_the_return_do_not_count() {
     let (mut health, ids) = pool(4);
@@ -151,8 +151,8 @@
     assert_eq!(health.usable_slots(millis(1_000), &ids[1]), SLOTS);
 }
 
-/// A middlebox forgets the open connections to a sound endpoint; new ones work.
-/// Its streams fall silent, yet its report is read over a fresh connection. It keeps its work.
+/// A middlebox forgets the open connections to a working endpoint; new ones work.
+/// Its streams fall silent, but its report is read over a new connection. It must stay in service.
 #[test]
 fn silent_connections_do_not_eject_an_endpoint_that_reports() {
     let (mut health, ids) = pool(4);
@@ -161,7 +161,8 @@
     assert_eq!(health.usable_slots(millis(5_000), &ids[0]), SLOTS);
 }
 
-/// An engine crashes and is back in a second. It reports, so it is tried before its time is up.
+/// An engine crashes and is back within a second. Since it reports, it gets a trial request before
+/// its ejection ends.
 #[test]
 fn a_restarted_endpoint_is_tried_as_soon_as_it_reports() {
     let (mut health, ids) = pool(4);
@@ -177,7 +178,7 @@
 }
 
 /// An engine says that it is leaving, and the host list still shows it live for a minute.
-/// It gets no new work from the first word on; the late list does not take that back.
+/// It gets no new work after the first notice, and the late list does not revoke that.
 #[test]
 fn any_source_stops_work_and_a_late_list_does_not_restart_it() {
     let (mut health, ids) = pool(2);
@@ -278,9 +279,9 @@
 proptest! {
     #![proptest_config(fixed_cases())]
 
-    /// Whatever happens, in whatever order: a pool with an endpoint that stays takes work, no more
-    /// than half of a pool is ejected, nothing goes to one that leaves, and the changes told add
-    /// up to the state asked for.
+    /// For any sequence of events: a pool with an endpoint that is not leaving takes work, no more
+    /// than the set share of a pool is ejected, a leaving endpoint gets nothing, and the announced
+    /// changes add up to the queried state.
     #[test]
     fn a_pool_is_never_ejected_whole(steps in steps(), max_ejected_percent in 0_u32..120) {
         let mut ids = names(6);
@@ -288,13 +289,13 @@
         let mut health = PoolHealth::new(settings);
         let endpoints: Vec<_> = ids.iter().map(|id| (id.clone(), SLOTS)).collect();
         health.configure(&endpoints);
-        let mut told = std::collections::BTreeMap::new();
+        let mut announced = std::collections::BTreeMap::new();
         let mut now = Duration::ZERO;
         for step in steps {
             now += millis(1);
             apply(&mut health, &mut ids, &mut now, step);
             for change in health.take_changes(now) {
-                told.insert(change.endpoint, change.slots);
+                announced.insert(change.endpoint, change.slots);
             }
             let slots: Vec<_> = ids.iter().map(|id| health.usable_slots(now, id)).collect();
             let staying: Vec<_> = (0..ids.len()).filter(|i| !health.is_leaving(&ids[*i])).collect();
@@ -304,7 +305,7 @@
             prop_assert!(slots.iter().all(|slots| *slots <= SLOTS));
             for (id, slots) in ids.iter().zip(&slots) {
                 prop_assert!(!health.is_leaving(id) || *slots == 0);
-                prop_assert_eq!(told.get(id), Some(slots));
+                prop_assert_eq!(announced.get(id), Some(slots));
             }
         }
     }
--- a/crates/coordination/tests/home_fuzz/gap.rs
+++ b/crates/coordination/tests/home_fuzz/gap.rs
@@ -1,4 +1,4 @@
-//! The gap in service between accounts that are backlogged together.
+//! Bound of the gap in service between accounts that are backlogged at the same time.
 
 use std::time::Duration;
 
@@ -22,57 +22,59 @@
 const LARGEST_CHARGE_TOKENS: u64 = 1_000;
 const STEPS: usize = 600;
 
-/// What one run is made of.
+/// Parameters of one run.
 #[derive(Debug, Clone)]
-struct Load {
+struct Workload {
     routers: usize,
     slots: u32,
     weights: Vec<u32>,
     /// Whether all requests of one account cost the same, so that the home knows their costs.
-    exact: bool,
+    has_exact_costs: bool,
 }
 
-fn loads() -> impl Strategy<Value = Load> {
+fn workloads() -> impl Strategy<Value = Workload> {
     let weight = prop_oneof![Just(1u32), Just(2), Just(4)];
     let weights = prop::collection::vec(weight, 2..6);
-    (1..9usize, 1..9u32, weights, any::<bool>()).prop_map(|(routers, slots, weights, exact)| Load {
-        routers,
-        slots,
-        weights,
-        exact,
-    })
+    (1..9usize, 1..9u32, weights, any::<bool>()).prop_map(
+        |(routers, slots, weights, has_exact_costs)| Workload {
+            routers,
+            slots,
+            weights,
+            has_exact_costs,
+        },
+    )
 }
 
-/// Accounts that always wait, each at a router of its own choice.
+/// A home with accounts that are always backlogged, each at one router.
 #[derive(Debug)]
-struct Race {
-    load: Load,
+struct Simulation {
+    workload: Workload,
     home: PoolHome,
     routers: Vec<Router>,
     rng: TestRng,
 }
 
-impl Race {
-    fn new(load: Load, rng: TestRng) -> Self {
+impl Simulation {
+    fn new(workload: Workload, rng: TestRng) -> Self {
         let home_member = Router::new(0, 1, super::super::home_member(1)).member;
         let settings = FairSettings::default();
         let home = PoolHome::new(home_member.clone(), PoolId::from("desk"), settings);
-        let routers = (0..load.routers).map(|index| Router::new(index, 1, home_member.clone()));
-        let mut race = Self {
+        let routers = (0..workload.routers).map(|index| Router::new(index, 1, home_member.clone()));
+        let mut simulation = Self {
             routers: routers.collect(),
             home,
             rng,
-            load,
+            workload,
         };
-        race.start();
-        race
+        simulation.start();
+        simulation
     }
 
     fn start(&mut self) {
         let members = self.routers.iter().map(|router| router.member.clone());
         let members = members.collect();
         self.event(HomeEvent::Members(members));
-        let weights = self.load.weights.iter().enumerate();
+        let weights = self.workload.weights.iter().enumerate();
         let weights = weights.map(|(index, &weight)| AccountWeight {
             account: account(index),
             weight,
@@ -86,11 +88,11 @@
             endpoints: vec![endpoint],
             weights: weights.collect(),
         });
-        for index in 0..self.load.weights.len() {
-            let router = index % self.load.routers;
+        for index in 0..self.workload.weights.len() {
+            let router = index % self.workload.routers;
             let usual_cost_tokens = self.draw(LARGEST_CHARGE_TOKENS) + 1;
             for _ in 0..STEPS {
-                let cost_tokens = match self.load.exact {
+                let cost_tokens = match self.workload.has_exact_costs {
                     true => usual_cost_tokens,
                     false => self.draw(LARGEST_CHARGE_TOKENS) + 1,
                 };
@@ -98,12 +100,12 @@
                 self.routers[router].arrive(&account(index), class, cost_tokens);
             }
         }
-        for router in 0..self.load.routers {
+        for router in 0..self.workload.routers {
             self.exchange(router);
         }
         self.event(HomeEvent::EndpointState {
             endpoint: EndpointId::from("desk-1"),
-            usable_slots: self.load.slots,
+            usable_slots: self.workload.slots,
         });
     }
 
@@ -133,13 +135,13 @@
     }
 
     fn step(&mut self) {
-        let router = self.draw(self.load.routers as u64) as usize;
+        let router = self.draw(self.workload.routers as u64) as usize;
         self.routers[router].receive();
         let running = self.routers[router].running.len() as u64;
         if running > 0 {
             let nth = self.draw(running) as usize;
             let estimate_tokens = self.routers[router].running[nth].estimate_tokens;
-            let cost_tokens = match self.load.exact {
+            let cost_tokens = match self.workload.has_exact_costs {
                 true => estimate_tokens,
                 false => self.draw(LARGEST_CHARGE_TOKENS) + 1,
             };
@@ -148,8 +150,8 @@
         self.exchange(router);
     }
 
-    fn spread(&self) -> i64 {
-        let tags = (0..self.load.weights.len()).map(|index| {
+    fn tag_gap(&self) -> i64 {
+        let tags = (0..self.workload.weights.len()).map(|index| {
             let tag = self.home.tag_of(&account(index));
             tag.expect("a configured account").tokens_per_weight()
         });
@@ -157,17 +159,18 @@
         tags.iter().max().unwrap() - tags.iter().min().unwrap()
     }
 
-    /// Largest gap while all are backlogged. Whoever is ahead was granted when it was not, so it
-    /// leads by one charge, and by what was mis-estimated of requests then in progress.
-    fn bound(&self) -> i64 {
-        let lightest = i64::from(*self.load.weights.iter().min().unwrap());
-        let one = LARGEST_CHARGE_TOKENS as i64 / lightest;
-        let mistakes = match self.load.exact {
+    /// Largest gap while all accounts are backlogged. The account with the largest tag did not have
+    /// it when it got its last grant, so it leads by at most one charge and the estimation errors
+    /// of requests then in progress.
+    fn max_tag_gap(&self) -> i64 {
+        let lightest = i64::from(*self.workload.weights.iter().min().unwrap());
+        let one_charge = LARGEST_CHARGE_TOKENS as i64 / lightest;
+        let estimation_errors = match self.workload.has_exact_costs {
             true => 0,
-            false => i64::from(self.load.slots) * one,
+            false => i64::from(self.workload.slots) * one_charge,
         };
-        // One more for tags that are rounded down.
-        one + mistakes + 1
+        // Tags are rounded down, hence one more.
+        one_charge + estimation_errors + 1
     }
 }
 
@@ -183,12 +186,17 @@
     })]
 
     #[test]
-    fn the_gap_stays_under_its_bound(load in loads(), rng in any::<[u8; 32]>()) {
+    fn the_gap_stays_under_its_bound(workload in workloads(), rng in any::<[u8; 32]>()) {
         let rng = TestRng::from_seed(prop::test_runner::RngAlgorithm::ChaCha, &rng);
-        let mut race = Race::new(load, rng);
+        let mut simulation = Simulation::new(workload, rng);
         for _ in 0..STEPS {
-            race.step();
-            prop_assert!(race.spread() <= race.bound(), "{} > {}", race.spread(), race.bound());
+            simulation.step();
+            prop_assert!(
+                simulation.tag_gap() <= simulation.max_tag_gap(),
+                "{} > {}",
+                simulation.tag_gap(),
+                simulation.max_tag_gap(),
+            );
         }
     }
 }
--- a/crates/coordination/tests/home_fuzz/oracle.rs
+++ b/crates/coordination/tests/home_fuzz/oracle.rs
@@ -1,4 +1,4 @@
-//! The home of a pool written as plainly as possible: every question is answered by a scan.
+//! Reference implementation of the home of a pool: simple, it computes everything by scans.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -18,12 +18,12 @@
 use super::record::Held;
 use super::record::Record;
 use super::record::Stage;
-use super::record::record;
+use super::record::new_record;
 
 const GRANT_TIMEOUT: Duration = Duration::from_millis(1_000);
 const GATHER_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Common multiple of the weights in use: tags are whole numbers.
+/// Common multiple of the weights in use, so that tags are whole numbers.
 pub const WEIGHT_MULTIPLE: i128 = 4;
 
 #[derive(Debug)]
@@ -35,14 +35,14 @@
     configured: BTreeSet<AccountId>,
     weights: BTreeMap<AccountId, u32>,
     slots: BTreeMap<EndpointId, u32>,
-    usable: BTreeMap<EndpointId, u32>,
+    usable_slots: BTreeMap<EndpointId, u32>,
     records: BTreeMap<HostId, Record>,
     received_tokens: BTreeMap<AccountId, i128>,
-    lifts: BTreeMap<AccountId, i128>,
+    tag_lifts: BTreeMap<AccountId, i128>,
     backlogged: BTreeSet<AccountId>,
     last_minimum: i128,
     pub timed_out: bool,
-    pub started_blind: bool,
+    pub started_without_all_reports: bool,
 }
 
 impl Oracle {
@@ -55,26 +55,27 @@
             configured: BTreeSet::new(),
             weights: BTreeMap::new(),
             slots: BTreeMap::new(),
-            usable: BTreeMap::new(),
+            usable_slots: BTreeMap::new(),
             records: BTreeMap::new(),
             received_tokens: BTreeMap::new(),
-            lifts: BTreeMap::new(),
+            tag_lifts: BTreeMap::new(),
             backlogged: BTreeSet::new(),
             last_minimum: 0,
             timed_out: false,
-            started_blind: false,
+            started_without_all_reports: false,
         }
     }
 
-    /// Follows an event and checks every grant that the home gave for it.
-    pub fn follow(&mut self, now: Duration, event: &HomeEvent, actions: &[HomeAction]) {
+    /// Applies an event and checks every grant of the home's response.
+    pub fn apply_event(&mut self, now: Duration, event: &HomeEvent, actions: &[HomeAction]) {
         self.note_minimum();
         match event {
             HomeEvent::Configured { endpoints, weights } => {
                 for endpoint in endpoints {
                     let before = self.slots.insert(endpoint.id.clone(), endpoint.slots);
                     if before != Some(endpoint.slots) {
-                        self.usable.insert(endpoint.id.clone(), endpoint.slots);
+                        self.usable_slots
+                            .insert(endpoint.id.clone(), endpoint.slots);
                     }
                 }
                 self.configure(weights);
@@ -83,15 +84,15 @@
                 endpoint,
                 usable_slots,
             } => {
-                self.usable.insert(endpoint.clone(), *usable_slots);
+                self.usable_slots.insert(endpoint.clone(), *usable_slots);
             }
             HomeEvent::Members(members) => self.set_members(members),
-            HomeEvent::Report(report) => self.take(report),
+            HomeEvent::Report(report) => self.admit_report(report),
             HomeEvent::HostSites(_) => {}
-            HomeEvent::Tick => self.time_out(now),
+            HomeEvent::Tick => self.time_out_grants(now),
         }
         self.update_backlog();
-        self.start(now);
+        self.start_granting(now);
         for action in actions {
             if let HomeAction::Grant { to, grant } = action {
                 self.check_grant(now, to, grant);
@@ -100,7 +101,7 @@
         self.check_work_conservation();
     }
 
-    /// A weight counts for service from now on: the tag stays.
+    /// Adopts weights. A changed weight applies to later service only: the tag stays.
     fn configure(&mut self, weights: &[AccountWeight]) {
         self.configured = weights.iter().map(|w| w.account.clone()).collect();
         for weight in weights {
@@ -109,7 +110,7 @@
             self.weights.insert(weight.account.clone(), weight.weight);
             let after = self.tag(&weight.account);
             let kept = before.unwrap_or(after) - after;
-            *self.lifts.entry(weight.account.clone()).or_default() += kept;
+            *self.tag_lifts.entry(weight.account.clone()).or_default() += kept;
         }
         for record in self.records.values_mut() {
             let configured = &self.configured;
@@ -124,12 +125,12 @@
         for member in members {
             let known = self.records.get(&member.host);
             if known.is_none_or(|known| known.member.incarnation < member.incarnation) {
-                self.records.insert(member.host.clone(), record(member));
+                self.records.insert(member.host.clone(), new_record(member));
             }
         }
     }
 
-    fn take(&mut self, report: &EntryReport) {
+    fn admit_report(&mut self, report: &EntryReport) {
         let Some(known) = self.records.get(&report.from.host) else {
             return;
         };
@@ -141,14 +142,14 @@
                 return;
             }
             self.records
-                .insert(report.from.host.clone(), record(&report.from));
+                .insert(report.from.host.clone(), new_record(&report.from));
         }
         let known = &self.records[&report.from.host];
-        let taken = match known.last_sequence {
+        let is_accepted = match known.last_sequence {
             None => report.full,
             Some(last) => report.sequence == last + 1 || (report.full && report.sequence > last),
         };
-        if taken {
+        if is_accepted {
             self.apply(report);
         }
     }
@@ -217,7 +218,7 @@
         }
     }
 
-    fn time_out(&mut self, now: Duration) {
+    fn time_out_grants(&mut self, now: Duration) {
         for known in self.records.values_mut() {
             for held in &mut known.held {
                 if matches!(held.stage, Stage::Sent(at) if at + GRANT_TIMEOUT <= now) {
@@ -229,26 +230,26 @@
         }
     }
 
-    fn start(&mut self, now: Duration) {
+    fn start_granting(&mut self, now: Duration) {
         if self.granting || self.weights.is_empty() {
             return;
         }
         let all = self.records.values().all(|r| r.last_sequence.is_some());
         let all = self.members_known && all;
         self.granting = all || now >= self.started_at + GATHER_TIMEOUT;
-        self.started_blind = self.granting && !all;
+        self.started_without_all_reports = self.granting && !all;
     }
 
     fn tag(&self, account: &AccountId) -> i128 {
         let held = self.records.values().flat_map(|record| &record.held);
         let in_progress: i128 = held
-            .filter(|held| held.account == *account && held.counts())
+            .filter(|held| held.account == *account && held.occupies_slot())
             .map(|held| i128::from(held.estimate_tokens))
             .sum();
         let settled = self.received_tokens.get(account).copied().unwrap_or(0);
-        let lift = self.lifts.get(account).copied().unwrap_or(0);
+        let tag_lift = self.tag_lifts.get(account).copied().unwrap_or(0);
         let weight = i128::from(self.weights[account]);
-        lift + (settled + in_progress) * WEIGHT_MULTIPLE / weight
+        tag_lift + (settled + in_progress) * WEIGHT_MULTIPLE / weight
     }
 
     fn minimum(&self) -> Option<i128> {
@@ -293,9 +294,9 @@
             .retain(|account| now_backlogged.contains(account));
         let floor = self.minimum().unwrap_or(self.last_minimum);
         for account in now_backlogged.difference(&self.backlogged) {
-            let short = floor - self.tag(account);
-            if short > 0 {
-                *self.lifts.entry(account.clone()).or_default() += short;
+            let shortfall = floor - self.tag(account);
+            if shortfall > 0 {
+                *self.tag_lifts.entry(account.clone()).or_default() += shortfall;
             }
         }
         self.backlogged = now_backlogged;
@@ -303,12 +304,12 @@
 
     pub fn occupied(&self, endpoint: &EndpointId) -> u32 {
         let held = self.records.values().flat_map(|record| &record.held);
-        held.filter(|held| held.counts() && held.endpoint == *endpoint)
+        held.filter(|held| held.occupies_slot() && held.endpoint == *endpoint)
             .count() as u32
     }
 
-    pub fn usable(&self, endpoint: &EndpointId) -> u32 {
-        self.usable[endpoint]
+    pub fn usable_slots(&self, endpoint: &EndpointId) -> u32 {
+        self.usable_slots[endpoint]
     }
 
     fn check_grant(&mut self, now: Duration, to: &Member, grant: &Grant) {
@@ -325,7 +326,10 @@
         let interactive = self.has_demand(&grant.account, RequestClass::Interactive);
         assert_eq!(grant.class == RequestClass::Interactive, interactive);
         let occupied = self.occupied(&grant.endpoint);
-        assert!(occupied < self.usable(&grant.endpoint), "no free slot");
+        assert!(
+            occupied < self.usable_slots(&grant.endpoint),
+            "no free slot"
+        );
         let known = &self.records[&to.host];
         assert_eq!(known.member, *to);
         assert!(self.grantable(known, &grant.account, grant.class) > 0);
@@ -351,9 +355,9 @@
         if !self.granting || self.backlogged.is_empty() {
             return;
         }
-        for (endpoint, usable) in &self.usable {
+        for (endpoint, usable_slots) in &self.usable_slots {
             assert!(
-                self.occupied(endpoint) >= *usable,
+                self.occupied(endpoint) >= *usable_slots,
                 "a slot of {endpoint} is idle while work waits"
             );
         }
--- a/crates/coordination/tests/home_fuzz/record.rs
+++ b/crates/coordination/tests/home_fuzz/record.rs
@@ -1,4 +1,4 @@
-//! What the oracle keeps of one entry router.
+//! The oracle's record of one entry router.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -28,7 +28,7 @@
 }
 
 impl Held {
-    pub fn counts(&self) -> bool {
+    pub fn occupies_slot(&self) -> bool {
         self.stage != Stage::TimedOut
     }
 }
@@ -45,7 +45,7 @@
     pub served_tokens: BTreeMap<AccountId, u64>,
 }
 
-pub fn record(member: &Member) -> Record {
+pub fn new_record(member: &Member) -> Record {
     Record {
         member: member.clone(),
         last_sequence: None,
--- a/crates/coordination/tests/home_fuzz/router.rs
+++ b/crates/coordination/tests/home_fuzz/router.rs
@@ -1,4 +1,4 @@
-//! A naive entry router: queues, running requests, and the messages on their way.
+//! A naive entry router: queues, running requests, and messages in transit.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -33,7 +33,7 @@
     must_send_full: bool,
     served_tokens: BTreeMap<AccountId, u64>,
     changed_queues: BTreeSet<QueueKey>,
-    next: EntryReport,
+    next_report: EntryReport,
 }
 
 impl Router {
@@ -43,7 +43,7 @@
             incarnation: Incarnation(incarnation),
         };
         Self {
-            next: empty_report(&member),
+            next_report: empty_report(&member),
             member,
             home,
             waiting: BTreeMap::new(),
@@ -65,7 +65,7 @@
         self.waiting.entry(key).or_default().push_back(cost_tokens);
     }
 
-    /// A caller gives up.
+    /// Removes the last waiting request: its caller gave up.
     pub fn withdraw(&mut self, account: &AccountId, class: RequestClass) {
         let key = (account.clone(), class);
         if let Some(queue) = self.waiting.get_mut(&key) {
@@ -86,14 +86,14 @@
     fn bind(&mut self, grant: &Grant) {
         assert!(
             grant.id.sequence > self.grants_received,
-            "a grant came twice"
+            "a grant arrived twice"
         );
         self.must_send_full |= grant.id.sequence != self.grants_received + 1;
         self.grants_received = grant.id.sequence;
         let key = (grant.account.clone(), grant.class);
         let head = self.waiting.get_mut(&key).and_then(VecDeque::pop_front);
         let Some(estimate_tokens) = head else {
-            return self.next.ended.push(grant.id.clone());
+            return self.next_report.ended.push(grant.id.clone());
         };
         self.changed_queues.insert(key);
         self.running.push(Holding {
@@ -107,7 +107,7 @@
     pub fn correct(&mut self, nth: usize, estimate_tokens: u64) {
         if let Some(holding) = self.running.get_mut(nth) {
             holding.estimate_tokens = estimate_tokens;
-            self.next.holdings.push(holding.clone());
+            self.next_report.holdings.push(holding.clone());
         }
     }
 
@@ -117,8 +117,10 @@
         }
         let holding = self.running.remove(nth);
         *self.served_tokens.entry(holding.account).or_default() += cost_tokens;
-        self.next.holdings.retain(|h| h.grant != holding.grant);
-        self.next.ended.push(holding.grant);
+        self.next_report
+            .holdings
+            .retain(|h| h.grant != holding.grant);
+        self.next_report.ended.push(holding.grant);
     }
 
     pub fn report(&mut self, full: bool) {
@@ -143,7 +145,7 @@
                 account: account.clone(),
                 total_tokens: *total_tokens,
             });
-        let mut report = std::mem::replace(&mut self.next, empty_report(&self.member));
+        let mut report = std::mem::replace(&mut self.next_report, empty_report(&self.member));
         report.sequence = self.sequence;
         report.full = full;
         report.grants_received = self.grants_received;
@@ -156,13 +158,13 @@
         self.outbox.push_back(report);
     }
 
-    /// The connection to the home breaks: what was on its way is lost, and the router knows.
+    /// Breaks the connection to the home: reports in transit are lost, and the router knows it.
     pub fn lose_reports(&mut self) {
         self.outbox.clear();
         self.must_send_full = true;
     }
 
-    /// Another router became the home: nothing of the old connection arrives any more.
+    /// Switches to a new home: messages of the old connection no longer arrive.
     pub fn rehome(&mut self, home: &Member) {
         self.home = home.clone();
         self.grants_received = 0;
@@ -171,14 +173,18 @@
         self.must_send_full = true;
     }
 
-    /// Whether a report would say anything that the one before it did not.
-    pub fn has_news(&self) -> bool {
-        let news = !self.next.ended.is_empty() || !self.next.holdings.is_empty();
+    /// Tells whether a report would contain anything that the previous one did not.
+    pub fn has_changes(&self) -> bool {
+        let has_grant_changes =
+            !self.next_report.ended.is_empty() || !self.next_report.holdings.is_empty();
         let unacknowledged = self.grants_received != self.reported_grants;
-        news || unacknowledged || self.must_send_full || !self.changed_queues.is_empty()
+        has_grant_changes
+            || unacknowledged
+            || self.must_send_full
+            || !self.changed_queues.is_empty()
     }
 
-    pub fn waits(&self) -> bool {
+    pub fn has_waiting(&self) -> bool {
         self.waiting.values().any(|queue| !queue.is_empty())
     }
 }
--- a/crates/coordination/tests/home_fuzz/steps.rs
+++ b/crates/coordination/tests/home_fuzz/steps.rs
@@ -1,4 +1,4 @@
-//! What may happen around the home of a pool.
+//! Random steps of the simulation around the home of a pool.
 
 use proptest::prelude::*;
 use proptest_state_machine::ReferenceStateMachine;
@@ -33,7 +33,7 @@
     ForgetHome,
 }
 
-/// The steps need no state to be generated from: each does nothing where it does not fit.
+/// Generates steps without a model state: a step that does not apply does nothing.
 #[derive(Debug)]
 pub struct Steps;
 
--- a/crates/coordination/tests/pool_home.rs
+++ b/crates/coordination/tests/pool_home.rs
@@ -1,4 +1,4 @@
-//! The home of a pool, event by event.
+//! Tests of the home of a pool, event by event.
 
 mod support;
 
@@ -110,9 +110,9 @@
     assert_eq!(run(), run());
 }
 
-// A caller waits though the only slot is idle. The grant for it was lost on the way to router 0,
-// which sends nothing more; the slot returns after the grant timeout and router 1 gets it. Router
-// 0 gets no second grant before it reports, else the slot would idle once more.
+// A caller waits although the only slot is idle: its grant was lost on the way to router 0, which
+// sends nothing more. The slot returns after the grant timeout and router 1 gets it. Router 0 gets
+// no second grant before it reports, otherwise the slot would idle again.
 #[test]
 fn a_lost_grant_returns_its_slot() {
     let mut fleet = Fleet::new(2, &[("desk-1", 1)], &[("a", 1), ("b", 1)]);
@@ -150,7 +150,7 @@
     assert_eq!(fleet.grants.len(), 1);
 }
 
-// All callers of a pool wait though slots are idle. One live member never sends its full report,
+// All callers of a pool wait although slots are idle. One live member never sends its full report,
 // because its connection to the new home is cut. The home starts without it after the gather time.
 #[test]
 fn a_silent_member_delays_a_new_home_only_for_the_gather_time() {
@@ -164,8 +164,8 @@
     assert_eq!(fleet.grants.len(), 1);
 }
 
-// Callers at a router that died get no answer, and its requests no longer run. Their slots must
-// serve the other routers' callers as soon as the membership says that it is gone.
+// A router died: its callers get no answer and its requests no longer run. Their slots must serve
+// the callers of other routers as soon as the membership says that it is gone.
 #[test]
 fn a_member_that_is_gone_frees_its_slots() {
     let mut fleet = Fleet::new(2, &[("desk-1", 1)], &[("a", 1)]);
@@ -178,9 +178,9 @@
     assert_eq!(fleet.grants[1].0, member(1));
 }
 
-// Callers at one router wait for good. A grant to it was lost, so it gets no other until it reports;
-// the request for a full report was lost too, and the router has nothing new to say. The home asks
-// again until the report comes.
+// Callers at one router wait forever. A grant to it was lost, so it gets no other until it reports;
+// the request for a full report was lost too, and the router has nothing new to report. The home
+// repeats its request until the report arrives.
 #[test]
 fn an_unanswered_request_for_a_full_report_is_repeated() {
     let mut fleet = Fleet::new(1, &[("desk-1", 1)], &[("a", 1)]);
@@ -196,8 +196,8 @@
     assert_eq!(fleet.tick(ms(300)), []);
 }
 
-// Callers at one router wait though a slot is idle. The report of them was lost, and none came after
-// it that would have shown a gap. The home asks every router for a full report now and then.
+// Callers at one router wait although a slot is idle. The report of them was lost, and no later one
+// showed the gap. The home regularly requests a full report from every router.
 #[test]
 fn a_router_with_nothing_new_to_say_is_asked_in_the_end() {
     let mut fleet = Fleet::new(1, &[("desk-1", 1)], &[("a", 1)]);
@@ -206,9 +206,9 @@
     assert_eq!(fleet.tick(ms(11_000)), ask);
 }
 
-// A caller's request ends though another one still runs under the same grant id, so its endpoint
-// runs one request too many. A run left and rejoined while a grant was on its way to it; the home
-// had forgotten the run and started its sequence again.
+// A request ends although another one still runs under the same grant id, so its endpoint runs one
+// request too many. A run left and rejoined while a grant to it was in transit; the home had
+// forgotten the run and restarted its sequence.
 #[test]
 fn a_run_that_rejoins_never_gets_a_grant_id_again() {
     let mut fleet = Fleet::new(2, &[("desk-1", 1)], &[("a", 1)]);
@@ -231,7 +231,7 @@
     sequence: u64,
     full: bool,
     reason: RejectionReason,
-    asks: bool,
+    is_full_report_requested: bool,
 ) {
     let mut fleet = Fleet::new(1, &[("desk-1", 1)], &[("a", 1)]);
     fleet.tick(ms(1_000));
@@ -239,7 +239,7 @@
     bad.demand.push(demand("a", 1));
     let actions = fleet.send(bad);
     let asked = actions.contains(&HomeAction::RequestFullReport { to: member(0) });
-    assert_eq!(asked, asks);
+    assert_eq!(asked, is_full_report_requested);
     assert!(fleet.grants.is_empty());
     assert_eq!(fleet.home.counters().rejections[&reason], 1);
 }
@@ -274,9 +274,9 @@
     assert_eq!(rejections[&RejectionReason::ServedWentDown], 1);
 }
 
-// Callers of an account imported a moment ago wait at a router that has the new configuration; the
-// home has it a second later. The home drops the unknown account but not the rest of the report,
-// and asks for a full report once it has the configuration, so the callers need not ask again.
+// Callers of a newly imported account wait at a router that has the new configuration; the home
+// gets it a second later. The home drops the unknown account but not the rest of the report, and
+// requests a full report once it has the configuration, so the callers need not retry.
 #[test]
 fn an_account_imported_later_is_served_once_it_is_known() {
     let mut fleet = Fleet::new(1, &[("desk-1", 4)], &[("a", 1)]);
@@ -289,10 +289,11 @@
     assert_eq!(actions, [HomeAction::RequestFullReport { to: member(0) }]);
 }
 
-// Callers of an account wait for good. An operator removed it by mistake and put it back before its
-// routers heard of either, so these have nothing new to say; the home had dropped their demand.
+// Callers of an account wait forever. An operator removed it by mistake and restored it before its
+// routers learned of either, so these have nothing new to report; the home had dropped their
+// demand.
 #[test]
-fn an_account_put_back_is_asked_for() {
+fn full_reports_are_requested_for_a_restored_account() {
     let mut fleet = Fleet::new(1, &[("desk-1", 0)], &[("a", 1)]);
     fleet.tick(ms(1_000));
     fleet.wait(0, "a", 1);
@@ -302,7 +303,7 @@
 }
 
 #[test]
-fn a_new_weight_counts_from_now_on() {
+fn a_new_weight_applies_to_later_service() {
     let mut fleet = Fleet::new(1, &[("desk-1", 1)], &[("a", 1), ("b", 1)]);
     fleet.usable("desk-1", 0);
     fleet.wait(0, "a", 60);
@@ -315,7 +316,7 @@
 }
 
 // Prompts of "a" share a prefix that desk-1 holds, and "a" was served more than "b". So "b" goes
-// first, then "a" to desk-1 while it is free, and elsewhere rather than wait for it.
+// first; then "a" goes to desk-1 while that is free, and to another endpoint rather than wait.
 #[test]
 fn affinity_chooses_the_endpoint_and_not_the_account() {
     let mut fleet = Fleet::new(1, &[("desk-1", 1), ("desk-2", 2)], &[("a", 1), ("b", 1)]);
--- a/crates/coordination/tests/pool_home_fuzz.rs
+++ b/crates/coordination/tests/pool_home_fuzz.rs
@@ -1,9 +1,9 @@
 //! Stateful fuzzing of the home of a pool, between naive routers and a naive oracle.
 //!
 //! Messages are lost, late and repeated; routers restart and leave; the home moves. After each
-//! event the oracle checks every grant (whose turn, a free slot) and that no usable slot is idle
-//! while work waits. A run ends with the faults gone: then all waiting work must be served and all
-//! slots be free again, so no grant was lost for good.
+//! event the oracle checks every grant (the account's turn, a free slot) and that no usable slot is
+//! idle while work waits. At the end of a run the faults stop: then all waiting work must be served
+//! and all slots must become free, so no grant is lost forever.
 
 mod home_fuzz {
     mod gap;
@@ -45,9 +45,9 @@
 const SEED: u64 = 20_261_202;
 
 #[derive(Debug)]
-struct World {
+struct Simulation {
     now: Duration,
-    homes: u64,
+    home_incarnation: u64,
     home: PoolHome,
     home_member: Member,
     oracle: Oracle,
@@ -56,15 +56,15 @@
     delivered: Vec<EntryReport>,
     weights: [Option<u32>; ACCOUNTS.len()],
     slots: [u32; ENDPOINTS.len()],
-    /// Whether slots may rightly be over-admitted: a grant timed out, a member left or usable
-    /// slots shrank.
-    disturbed: bool,
+    /// Whether more requests than slots may run: after a grant timed out, a member left or the
+    /// usable slots decreased.
+    may_overadmit: bool,
 }
 
-fn home_member(homes: u64) -> Member {
+fn home_member(home_incarnation: u64) -> Member {
     Member {
         host: HostId::from("home"),
-        incarnation: Incarnation(homes),
+        incarnation: Incarnation(home_incarnation),
     }
 }
 
@@ -84,13 +84,13 @@
     AccountId::from(ACCOUNTS[index].0)
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
         let member = home_member(1);
         let routers = (0..ROUTERS).map(|index| Router::new(index, 1, member.clone()));
-        let mut world = Self {
+        let mut simulation = Self {
             now: Duration::ZERO,
-            homes: 1,
+            home_incarnation: 1,
             home: new_home(&member),
             oracle: Oracle::new(member.clone(), Duration::ZERO),
             routers: routers.collect(),
@@ -99,17 +99,17 @@
             delivered: Vec::new(),
             weights: ACCOUNTS.map(|(_, weight)| Some(weight)),
             slots: ENDPOINTS.map(|(_, slots)| slots),
-            disturbed: false,
+            may_overadmit: false,
         };
-        world.start_home();
-        world
+        simulation.start_home();
+        simulation
     }
 
     fn start_home(&mut self) {
         self.weights = ACCOUNTS.map(|(_, weight)| Some(weight));
         self.slots = ENDPOINTS.map(|(_, slots)| slots);
         self.configure();
-        self.tell_members();
+        self.send_members();
     }
 
     fn configure(&mut self) {
@@ -129,7 +129,7 @@
         self.event(&HomeEvent::Configured { endpoints, weights });
     }
 
-    fn tell_members(&mut self) {
+    fn send_members(&mut self) {
         let live = (0..ROUTERS).filter(|router| self.is_member[*router]);
         let members = live.map(|router| self.routers[router].member.clone());
         let members = members.collect();
@@ -139,8 +139,8 @@
     fn event(&mut self, event: &HomeEvent) {
         let mut actions = Vec::new();
         self.home.handle(self.now, event.clone(), &mut actions);
-        self.oracle.follow(self.now, event, &actions);
-        self.disturbed |= self.oracle.timed_out || self.oracle.started_blind;
+        self.oracle.apply_event(self.now, event, &actions);
+        self.may_overadmit |= self.oracle.timed_out || self.oracle.started_without_all_reports;
         for action in actions {
             self.dispatch(action);
         }
@@ -157,7 +157,7 @@
         }
     }
 
-    /// The home's count matches the oracle's, and requests that really run never exceed the slots.
+    /// Compares the home's count with the oracle's; running requests must not exceed the slots.
     fn check_slots(&self) {
         for index in 0..ENDPOINTS.len() {
             let endpoint = endpoint(index);
@@ -167,7 +167,7 @@
             let running = running.filter(|holding| holding.endpoint == endpoint);
             let running = running.count() as u32;
             assert!(
-                self.disturbed || running <= self.oracle.usable(&endpoint),
+                self.may_overadmit || running <= self.oracle.usable_slots(&endpoint),
                 "{running} requests run on {endpoint}"
             );
         }
@@ -194,7 +194,7 @@
             Step::Finish(r, nth, cost) => self.routers[r].finish(nth, cost),
             Step::Restart(r) => self.restart(r),
             Step::Leave(r) => {
-                self.disturbed |= self.is_member[r];
+                self.may_overadmit |= self.is_member[r];
                 self.set_member(r, false);
             }
             Step::Rejoin(r) => self.set_member(r, true),
@@ -204,7 +204,7 @@
                 self.configure();
             }
             Step::Slots(index, slots) => {
-                self.disturbed |= slots < self.oracle.usable(&endpoint(index));
+                self.may_overadmit |= slots < self.oracle.usable_slots(&endpoint(index));
                 self.slots[index] = slots;
                 self.configure();
             }
@@ -231,28 +231,28 @@
 
     fn set_member(&mut self, router: usize, is_member: bool) {
         self.is_member[router] = is_member;
-        self.tell_members();
+        self.send_members();
     }
 
     fn set_usable(&mut self, index: usize, usable_slots: u32) {
-        self.disturbed |= usable_slots < self.oracle.usable(&endpoint(index));
+        self.may_overadmit |= usable_slots < self.oracle.usable_slots(&endpoint(index));
         self.event(&HomeEvent::EndpointState {
             endpoint: endpoint(index),
             usable_slots,
         });
     }
 
-    /// Routers keep what runs; grants on their way are lost with the old home's connections.
+    /// Moves the home. Routers keep their running requests; grants in transit are lost.
     fn rehome(&mut self) {
-        self.homes += 1;
-        self.home_member = home_member(self.homes);
+        self.home_incarnation += 1;
+        self.home_member = home_member(self.home_incarnation);
         for router in &mut self.routers {
             router.rehome(&self.home_member);
         }
         self.restart_home();
     }
 
-    /// The home moves away and back: the same run starts from nothing, with messages on their way.
+    /// Moves the home away and back: the same run starts without state, with messages in transit.
     fn forget_home(&mut self) {
         self.now += Duration::from_millis(1);
         self.restart_home();
@@ -262,11 +262,11 @@
         self.home = new_home(&self.home_member);
         self.oracle = Oracle::new(self.home_member.clone(), self.now);
         // The new home learns usable slots from the configuration only.
-        self.disturbed = true;
+        self.may_overadmit = true;
         self.start_home();
     }
 
-    /// With all faults gone, all work must be served and all slots become free.
+    /// Runs without faults until all work is served and all slots are free.
     fn quiesce(mut self) {
         self.is_member = [true; ROUTERS];
         self.start_home();
@@ -280,11 +280,11 @@
             self.step(Step::Tick(400));
         }
         for router in &self.routers {
-            assert!(!router.waits(), "work waits for good: {router:?}");
+            assert!(!router.has_waiting(), "work is never served: {router:?}");
         }
         for index in 0..ENDPOINTS.len() {
             let usage = self.home.slot_usage(&endpoint(index)).unwrap();
-            assert_eq!(usage.occupied, 0, "a slot is lost for good");
+            assert_eq!(usage.occupied, 0, "a slot is never freed");
         }
     }
 
@@ -293,7 +293,7 @@
         while !self.routers[router].running.is_empty() {
             self.routers[router].finish(0, 1);
         }
-        if self.routers[router].has_news() {
+        if self.routers[router].has_changes() {
             self.routers[router].report(false);
         }
         while !self.routers[router].outbox.is_empty() {
@@ -306,20 +306,20 @@
 struct HomeFuzz;
 
 impl StateMachineTest for HomeFuzz {
-    type SystemUnderTest = World;
+    type SystemUnderTest = Simulation;
     type Reference = Steps;
 
-    fn init_test((): &()) -> World {
-        World::new()
+    fn init_test((): &()) -> Simulation {
+        Simulation::new()
     }
 
-    fn apply(mut world: World, (): &(), step: Step) -> World {
-        world.step(step);
-        world
+    fn apply(mut simulation: Simulation, (): &(), step: Step) -> Simulation {
+        simulation.step(step);
+        simulation
     }
 
-    fn teardown(world: World, (): ()) {
-        world.quiesce();
+    fn teardown(simulation: Simulation, (): ()) {
+        simulation.quiesce();
     }
 }
 
--- a/crates/coordination/tests/quarantine.rs
+++ b/crates/coordination/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests that crash endpoints: found after few crashes, without refusing those beside them.
+//! Requests that crash endpoints are found after few crashes, without refusing others of the batch.
 
 use std::time::Duration;
 
@@ -34,7 +34,7 @@
 /// A poison request and an innocent one share a batch that crashes. Both are retried, one after
 /// the other. The innocent one finishes; the poison crashes a second endpoint and is refused.
 #[test]
-fn repeat_offender_is_refused_and_batch_mate_is_cleared() {
+fn poison_is_refused_and_other_request_of_its_batch_is_cleared() {
     let mut router = router();
     crash(&mut router, seconds(0), "desk-1", &[POISON, INNOCENT]);
     assert_eq!(router.try_start(seconds(1), INNOCENT), StartDecision::Start);
@@ -54,7 +54,7 @@
     assert_eq!(
         router.try_start(seconds(10), POISON),
         StartDecision::Wait,
-        "not yet judged"
+        "not yet evaluated"
     );
     router.tick(seconds(11));
     assert_eq!(router.try_start(seconds(11), POISON), StartDecision::Refuse);
@@ -72,7 +72,7 @@
 /// The network drops all connections to an endpoint that keeps running.
 /// Nothing crashed, so no request is a suspect.
 #[test]
-fn lost_connections_alone_blame_nobody() {
+fn lost_connections_alone_make_no_suspect() {
     let mut router = router();
     let desk = EndpointId::from("desk-1");
     router.on_connection_lost(seconds(0), INNOCENT, &desk);
@@ -81,7 +81,7 @@
     assert!(router.is_empty());
 }
 
-/// The endpoint is found to refuse connections before the broken stream is noticed.
+/// The endpoint is found to refuse connections before the loss of the stream is detected.
 #[test]
 fn a_loss_noticed_late_belongs_to_the_same_crash() {
     let mut router = router();
@@ -92,9 +92,9 @@
 }
 
 /// One endpoint is broken and crashes under whatever it runs.
-/// Its requests are not to blame: the set number of *distinct* endpoints is not reached.
+/// Its requests are not the cause: the set number of *distinct* endpoints is not reached.
 #[test]
-fn a_broken_endpoint_is_not_blamed_on_a_request_at_once() {
+fn a_broken_endpoint_does_not_quarantine_a_request_at_once() {
     let mut router = router();
     for s in [0, 10, 20] {
         crash(&mut router, seconds(s), "desk-1", &[INNOCENT]);
@@ -109,7 +109,7 @@
 }
 
 /// Two routers each retry a suspect on the same endpoint, which crashes again.
-/// Each router saw only its own. The notices about one crash show that either may be to blame, so
+/// Each router saw only its own. The notices about one crash show that either may be the cause, so
 /// neither is refused yet.
 #[test]
 fn two_suspects_of_two_routers_in_one_crash_are_told_apart() {
@@ -139,8 +139,8 @@
     assert_eq!(two.try_start(seconds(21), INNOCENT), StartDecision::Start);
 }
 
-/// The caller sends the poison again through another router, and again after the quarantine.
-/// Every router refuses it; after the time is up it gets one trial, then twice the time.
+/// The caller sends the poison again through another router, and again after the quarantine. Every
+/// router refuses it; after the quarantine it gets one trial, then a quarantine twice as long.
 #[test]
 fn quarantine_spreads_and_doubles() {
     let (mut one, mut two) = (router(), router());
@@ -160,8 +160,8 @@
     assert_eq!(left, Some(QUARANTINE * 2));
 }
 
-/// A router that was cut off hears only that a request is quarantined, and for how long.
-/// When the time is up, the request gets one trial; a crash beside a fresh suspect is enough.
+/// A router that was cut off learns only that a request is quarantined, and for how long.
+/// After that time the request gets one trial; one crash beside a fresh suspect is enough.
 #[test]
 fn a_quarantine_known_by_notice_alone_counts_after_its_end() {
     let mut router = router();
@@ -223,7 +223,7 @@
 }
 
 /// A flood of distinct requests is in progress on endpoints that crash.
-/// Records are bounded, old suspects go first and the quarantined stay.
+/// Records are bounded: old suspects are dropped first, and the quarantined stay.
 #[test]
 fn memory_is_bounded() {
     let mut router = router();
--- a/crates/coordination/tests/quarantine_fleet.rs
+++ b/crates/coordination/tests/quarantine_fleet.rs
@@ -1,7 +1,7 @@
 //! Stateful fuzzing of the quarantine: several routers, endpoints with batches, notices that lag,
 //! and callers that send their requests again until they get an answer.
 //!
-//! The oracle knows what the routers don't: which requests are poison.
+//! Unlike the routers, the test knows which requests are poison.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -22,13 +22,13 @@
 use sedgeridge_state::settings::HealthSettings;
 use sedgeridge_state::settings::millis;
 
-const STEP: Duration = Duration::from_millis(100);
-const RUN: Duration = Duration::from_secs(240);
-const SLOTS: usize = 8;
+const STEP_TIME: Duration = Duration::from_millis(100);
+const RUN_TIME: Duration = Duration::from_secs(240);
+const SLOTS_PER_ENDPOINT: usize = 8;
 const INNOCENTS: u64 = 40;
-/// Two crashes of a full batch at one router, whose suspects then run one after another.
-const LONGEST_TRIALS: Duration = Duration::from_secs(2 * 2 * SLOTS as u64);
-/// Many callers ask the same harmless thing at once.
+/// Longest time for the suspects of two crashes of a full batch at one router, run one by one.
+const LONGEST_TRIALS: Duration = Duration::from_secs(2 * 2 * SLOTS_PER_ENDPOINT as u64);
+/// Harmless request that many callers send at the same time.
 const POPULAR: Fingerprint = Fingerprint(1_000);
 
 #[derive(Debug, Clone, Copy)]
@@ -41,7 +41,7 @@
 #[derive(Debug, Clone, Copy)]
 struct Running {
     request: Waiting,
-    ends: Duration,
+    ends_at: Duration,
 }
 
 #[derive(Debug, Default)]
@@ -64,9 +64,15 @@
 }
 
 impl Fleet {
-    fn new(seed: u64, routers: usize, endpoints: usize, poisons: u128, lasts: Duration) -> Self {
+    fn new(
+        seed: u64,
+        routers: usize,
+        endpoints: usize,
+        poisons: u128,
+        quarantine_duration: Duration,
+    ) -> Self {
         let settings = HealthSettings {
-            poison_quarantine_ms: lasts.as_millis() as u64,
+            poison_quarantine_ms: quarantine_duration.as_millis() as u64,
             ..HealthSettings::default()
         };
         let quarantine = || Quarantine::new(settings.clone());
@@ -98,12 +104,12 @@
         fingerprint.0 < self.poisons
     }
 
-    fn pick(&mut self, count: usize) -> usize {
+    fn pick_index(&mut self, count: usize) -> usize {
         self.random.below(count as u64) as usize
     }
 
     fn send(&mut self, now: Duration, fingerprint: Fingerprint) {
-        let router = self.pick(self.routers.len());
+        let router = self.pick_index(self.routers.len());
         self.waiting.push(Waiting {
             fingerprint,
             router,
@@ -177,29 +183,31 @@
         let free: Vec<_> = self
             .endpoints
             .iter()
-            .filter(|(_, endpoint)| endpoint.down_until <= now && endpoint.batch.len() < SLOTS)
+            .filter(|(_, endpoint)| {
+                endpoint.down_until <= now && endpoint.batch.len() < SLOTS_PER_ENDPOINT
+            })
             .map(|(id, _)| id.clone())
             .collect();
-        (!free.is_empty()).then(|| free[self.pick(free.len())].clone())
+        (!free.is_empty()).then(|| free[self.pick_index(free.len())].clone())
     }
 
     fn run(&mut self, now: Duration, id: &EndpointId, request: Waiting) {
-        let ends = now + millis(200 + self.random.below(1_800));
+        let ends_at = now + millis(200 + self.random.below(1_800));
         let endpoint = self.endpoints.get_mut(id).unwrap();
-        endpoint.batch.push(Running { request, ends });
+        endpoint.batch.push(Running { request, ends_at });
     }
 
     fn run_endpoint(&mut self, now: Duration, id: &EndpointId) {
         let batch = std::mem::take(&mut self.endpoints.get_mut(id).unwrap().batch);
         let crashes = batch
             .iter()
-            .any(|running| running.ends <= now && self.is_poison(running.request.fingerprint));
+            .any(|running| running.ends_at <= now && self.is_poison(running.request.fingerprint));
         if crashes {
             self.crash(now, id, &batch);
             return;
         }
         for running in batch {
-            if running.ends > now {
+            if running.ends_at > now {
                 self.endpoints.get_mut(id).unwrap().batch.push(running);
                 continue;
             }
@@ -241,9 +249,9 @@
 
 fn run_fleet(mut fleet: Fleet) -> Fleet {
     let mut now = Duration::ZERO;
-    while now < RUN {
+    while now < RUN_TIME {
         fleet.step(now);
-        now += STEP;
+        now += STEP_TIME;
     }
     fleet
 }
@@ -251,26 +259,26 @@
 proptest! {
     #![proptest_config(fixed_cases())]
 
-    /// A poison request is sent again for ever and shares batches with innocent ones.
-    /// It may crash the set two endpoints and two more, then every router refuses it. No innocent
-    /// request is refused, and none waits long.
+    /// A poison request is resent forever and shares batches with innocent ones. It may crash two
+    /// endpoints, as set, and two more; then every router refuses it. No innocent request is
+    /// refused, and none waits long.
     #[test]
     fn one_poison_is_bounded_and_no_innocent_is_refused(
         seed in any::<u64>(),
         routers in 1_usize..9,
         endpoints in 3_usize..10,
     ) {
-        let fleet = run_fleet(Fleet::new(seed, routers, endpoints, 1, RUN * 2));
+        let fleet = run_fleet(Fleet::new(seed, routers, endpoints, 1, RUN_TIME * 2));
         for router in &fleet.routers {
-            prop_assert!(router.refused_for(RUN, Fingerprint(0)).is_some());
+            prop_assert!(router.refused_for(RUN_TIME, Fingerprint(0)).is_some());
         }
         prop_assert!(fleet.crashes <= 4, "{} crashes", fleet.crashes);
         prop_assert_eq!(&fleet.refused_innocents, &BTreeSet::new());
         prop_assert!(fleet.longest_wait < LONGEST_TRIALS, "{:?}", fleet.longest_wait);
     }
 
-    /// Two poison requests start together, so that an innocent one may be the only known suspect in
-    /// a crash that the other poison caused. It may then be refused, but not for good: after the
+    /// Two poison requests start together, so an innocent one may be the only known suspect in a
+    /// crash that the other poison caused. It may then be refused, but not permanently: after the
     /// quarantine, here of a minute, it runs and is cleared.
     #[test]
     fn two_poisons_refuse_no_innocent_for_good(
@@ -278,14 +286,21 @@
         routers in 1_usize..9,
         endpoints in 3_usize..10,
     ) {
-        let lasts = Duration::from_secs(60);
-        let fleet = run_fleet(Fleet::new(seed, routers, endpoints, 2, lasts));
+        let quarantine_duration = Duration::from_secs(60);
+        let fleet = run_fleet(Fleet::new(seed, routers, endpoints, 2, quarantine_duration));
         prop_assert!(fleet.refused_innocents.len() <= 2);
         for request in &fleet.waiting {
-            let waits = RUN - request.since;
-            prop_assert!(fleet.is_poison(request.fingerprint) || waits < lasts + LONGEST_TRIALS);
+            let waits = RUN_TIME - request.since;
+            prop_assert!(
+                fleet.is_poison(request.fingerprint)
+                    || waits < quarantine_duration + LONGEST_TRIALS
+            );
         }
-        prop_assert!(fleet.longest_wait < lasts + LONGEST_TRIALS, "{:?}", fleet.longest_wait);
+        prop_assert!(
+            fleet.longest_wait < quarantine_duration + LONGEST_TRIALS,
+            "{:?}",
+            fleet.longest_wait
+        );
         prop_assert!(fleet.crashes <= 14, "{} crashes", fleet.crashes);
     }
 }
--- a/crates/coordination/tests/service_ledger.rs
+++ b/crates/coordination/tests/service_ledger.rs
@@ -1,4 +1,4 @@
-//! The ledger gives the same sums for every order, repetition and crossing of reports.
+//! The ledger gives the same sums for any order and repetition of reports.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -58,9 +58,9 @@
         prop_assert_eq!(sums(&merged(&twice)), sums(&merged(&merges)));
     }
 
-    // An account would be charged twice for the same work. A run is cut off, serves on, and comes
-    // back with its totals; what it served before it left is in the sums already, and what it
-    // served meanwhile was ordered elsewhere. Only what comes after its return may count.
+    // An account is charged twice for the same work: a run is cut off, continues to serve, and
+    // returns with its totals. Service from before it left is already in the sums, and service
+    // meanwhile was ordered elsewhere. Only service after its return may count.
     #[test]
     fn a_run_that_rejoins_is_not_counted_twice(
         before in 0..1_000u64,
--- a/crates/coordination/tests/slot_budget.rs
+++ b/crates/coordination/tests/slot_budget.rs
@@ -1,4 +1,4 @@
-//! The learnt concurrency of an endpoint, against a pretend engine whose reports lag.
+//! The learned concurrency of an endpoint, tested with a simulated engine whose reports lag.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -60,7 +60,7 @@
     }
 }
 
-/// Mean share of the engine in use, and mean requests in its own queue.
+/// Returns the mean share of the engine in use and the mean length of the engine's own queue.
 fn run(engine: &mut Engine, budget: &mut SlotBudget, from: Duration, to: Duration) -> (f64, f64) {
     let (mut used, mut queued, mut steps) = (0, 0, 0);
     let mut now = from;
@@ -83,7 +83,7 @@
 }
 
 /// An engine set to 16 slots has memory for five requests; its reports are 300 ms old.
-/// More would wait inside it, out of the fair order. Fewer would leave it idle while work waits.
+/// More would wait inside it, outside the fair order. Fewer would leave it idle while work waits.
 #[test]
 fn learns_a_capacity_below_the_configured_one_and_follows_it_up() {
     let mut engine = Engine::new(5);
@@ -123,7 +123,7 @@
 }
 
 /// A home restarts with no memory while six requests of the old one still run on eight slots.
-/// It may add two, not eight. When they end, all slots are its own.
+/// It may add two, not eight. When the six end, it may use all slots.
 #[test]
 fn work_of_an_earlier_home_takes_up_slots() {
     let mut budget = SlotBudget::new(8);
@@ -150,7 +150,7 @@
 }
 
 /// Seven of eight requests end, and the report that comes then still shows them running.
-/// Compared with what is held now they would look like foreign work and idle the engine.
+/// Compared with the requests held now, they would look like foreign work and idle the engine.
 #[test]
 fn a_late_report_is_compared_with_what_was_held_then() {
     let mut budget = SlotBudget::new(8);
@@ -167,9 +167,9 @@
     assert_eq!(budget.usable_slots(millis(1_100), STALE_AFTER), 8);
 }
 
-/// A report claims absurd figures. The endpoint keeps one slot, and all when the report is stale.
+/// A report claims absurd values. The endpoint keeps one slot, and gets all back once it is stale.
 #[test]
-fn an_absurd_report_does_not_shut_an_endpoint_out() {
+fn an_absurd_report_does_not_exclude_an_endpoint() {
     let mut budget = SlotBudget::new(8);
     let absurd = EndpointLoad {
         running: u32::MAX,
@@ -193,9 +193,9 @@
 }
 
 /// Reports are lost for good and the engine slows down as it queues.
-/// The time to the first byte is then all there is; it brings the budget down and up again.
+/// The time to the first byte is then the only signal; it must lower the budget and raise it again.
 #[test]
-fn latency_steers_while_reports_are_missing() {
+fn latency_controls_the_budget_while_reports_are_missing() {
     let mut budget = SlotBudget::new(16);
     let mut now = Duration::ZERO;
     let mut answer = |budget: &mut SlotBudget, first_byte: Duration| {
