--- a/crates/fleet/tests/start_copies.rs
+++ b/crates/fleet/tests/start_copies.rs
@@ -2,7 +2,7 @@
 //! it.
 
 use sedgeridge_coordination::random::SeededRandom;
-use sedgeridge_fleet::copy_load::CopyLoad;
+use sedgeridge_fleet::table_copy_budget::TableCopyBudget;
 use yare::parameterized;
 
 const HOSTS: usize = 300;
@@ -33,7 +33,7 @@
 struct Fleet {
     now: u64,
     hosts: Vec<Host>,
-    loads: Vec<CopyLoad>,
+    loads: Vec<TableCopyBudget>,
     copy_bytes: u64,
     random: SeededRandom,
 }
@@ -50,7 +50,7 @@
         Self {
             now: 0,
             hosts: (0..HOSTS).map(host).collect(),
-            loads: (0..HOSTS).map(|_| CopyLoad::default()).collect(),
+            loads: (0..HOSTS).map(|_| TableCopyBudget::default()).collect(),
             copy_bytes,
             random,
         }
@@ -63,7 +63,7 @@
             match self.hosts[index] {
                 Host::Waiting { until_ms } if until_ms <= self.now => self.request_copy(index),
                 Host::Fetching { from, ends_ms, .. } if ends_ms <= self.now => {
-                    self.loads[from].on_given(self.copy_bytes);
+                    self.loads[from].finish(self.copy_bytes);
                     self.wait_for_report(index);
                 }
                 _ => {}
@@ -89,7 +89,7 @@
                 *bytes_left = bytes_left.saturating_sub(bytes_each);
                 if *bytes_left == 0 {
                     *host = Host::HasTable;
-                    self.loads[sender].on_given(self.copy_bytes);
+                    self.loads[sender].finish(self.copy_bytes);
                 }
             }
         }
@@ -99,7 +99,7 @@
         let senders = (0..HOSTS).filter(|it| self.hosts[*it] == Host::HasTable);
         let senders: Vec<_> = senders.collect();
         let from = senders[self.random.below(senders.len() as u64) as usize];
-        if self.loads[from].takes(self.copy_bytes) {
+        if self.loads[from].try_start(self.copy_bytes) {
             self.hosts[index] = Host::Fetching {
                 from,
                 bytes_left: self.copy_bytes,
