--- a/crates/coordination/tests/lease_fuzz.rs
+++ b/crates/coordination/tests/lease_fuzz.rs
@@ -1,9 +1,10 @@
-//! Three hosts with unequal clocks compete for the lease; any may be paused or killed at any step.
+//! Three hosts with clocks of different rates compete for the lease. Any of them may be paused or
+//! killed at any step.
 
 mod common;
 
 use common::lease_fleet::LeaseFleet;
-use common::store::Fate;
+use common::store::CallOutcome;
 use proptest::prelude::*;
 use proptest::test_runner::Config;
 use proptest::test_runner::RngSeed;
@@ -17,8 +18,8 @@
 #[derive(Debug, Clone)]
 enum Step {
     Advance { by_ms: u64 },
-    Deliver { host: usize, fate: Fate },
-    RunLate,
+    Deliver { host: usize, outcome: CallOutcome },
+    RunDelayedWrite,
     Pause { host: usize },
     Resume { host: usize },
     Restart { host: usize },
@@ -28,20 +29,20 @@
 }
 
 #[derive(Debug, Clone)]
-struct Oracle;
+struct NoReferenceModel;
 
-fn fate() -> impl Strategy<Value = Fate> {
+fn outcome() -> impl Strategy<Value = CallOutcome> {
     prop_oneof![
-        5 => Just(Fate::Answered),
-        2 => Just(Fate::AnswerLost),
-        1 => Just(Fate::CallLost),
-        2 => Just(Fate::RunsLate),
-        1 => Just(Fate::Refused),
-        2 => (1..4_usize).prop_map(Fate::Stale),
+        5 => Just(CallOutcome::Answered),
+        2 => Just(CallOutcome::AnswerLost),
+        1 => Just(CallOutcome::CallLost),
+        2 => Just(CallOutcome::Delayed),
+        1 => Just(CallOutcome::Refused),
+        2 => (1..4_usize).prop_map(CallOutcome::Stale),
     ]
 }
 
-impl ReferenceStateMachine for Oracle {
+impl ReferenceStateMachine for NoReferenceModel {
     type State = ();
     type Transition = Step;
 
@@ -54,8 +55,9 @@
         prop_oneof![
             6 => prop_oneof![Just(100_u64), Just(1_000), Just(3_000), Just(9_000), Just(12_000)]
                 .prop_map(|by_ms| Step::Advance { by_ms }),
-            8 => (host.clone(), fate()).prop_map(|(host, fate)| Step::Deliver { host, fate }),
-            2 => Just(Step::RunLate),
+            8 => (host.clone(), outcome())
+                .prop_map(|(host, outcome)| Step::Deliver { host, outcome }),
+            2 => Just(Step::RunDelayedWrite),
             1 => host.clone().prop_map(|host| Step::Pause { host }),
             2 => host.clone().prop_map(|host| Step::Resume { host }),
             1 => host.clone().prop_map(|host| Step::Restart { host }),
@@ -70,11 +72,11 @@
     fn apply((): (), _: &Step) {}
 }
 
-struct Fleet;
+struct FleetTest;
 
-impl StateMachineTest for Fleet {
+impl StateMachineTest for FleetTest {
     type SystemUnderTest = LeaseFleet;
-    type Reference = Oracle;
+    type Reference = NoReferenceModel;
 
     fn init_test((): &()) -> LeaseFleet {
         LeaseFleet::new(HOSTS)
@@ -83,8 +85,8 @@
     fn apply(mut fleet: LeaseFleet, (): &(), step: Step) -> LeaseFleet {
         match step {
             Step::Advance { by_ms } => fleet.advance(by_ms),
-            Step::Deliver { host, fate } => fleet.deliver(host, fate),
-            Step::RunLate => fleet.store.run_late(),
+            Step::Deliver { host, outcome } => fleet.deliver(host, outcome),
+            Step::RunDelayedWrite => fleet.store.run_delayed_write(),
             Step::Pause { host } => fleet.hosts[host].paused = true,
             Step::Resume { host } => fleet.hosts[host].paused = false,
             Step::Restart { host } => fleet.restart(host),
@@ -103,7 +105,7 @@
         fleet.check();
     }
 
-    // Once the store works and all hosts run, one of them holds the lease.
+    // When the store works and all hosts run, exactly one of them holds the lease.
     fn teardown(mut fleet: LeaseFleet, (): ()) {
         for host in 0..HOSTS {
             fleet.restart(host);
@@ -123,5 +125,5 @@
     })]
 
     #[test]
-    fn one_host_holds_the_lease(sequential 1..120 => Fleet);
+    fn one_host_holds_the_lease(sequential 1..120 => FleetTest);
 }
