--- a/crates/coordination/src/endpoint_health.rs
+++ b/crates/coordination/src/endpoint_health.rs
@@ -14,7 +14,7 @@
 use crate::breaker::AnswerCounts;
 use crate::breaker::FailureKind;
 use crate::node_view::EndpointCondition;
-use crate::node_view::ReportView;
+use crate::node_view::LoadReportView;
 use crate::pooled_endpoint::PooledEndpoint;
 use crate::slot_budget::EndpointLoad;
 
@@ -277,10 +277,10 @@
     }
 
     /// Returns the last load report of an endpoint.
-    pub(crate) fn report(&self, now: Duration, id: &EndpointId) -> Option<ReportView> {
+    pub(crate) fn report(&self, now: Duration, id: &EndpointId) -> Option<LoadReportView> {
         let (measured_at, load) = self.endpoints.get(id)?.last_report?;
         let age = now.saturating_sub(measured_at);
-        Some(ReportView { load, age })
+        Some(LoadReportView { load, age })
     }
 
     /// Ends expired ejections, and returns the endpoints whose usable slots changed since the last
