--- a/crates/coordination/src/account_table.rs
+++ b/crates/coordination/src/account_table.rs
@@ -3,7 +3,7 @@
 use sedgeridge_state::ids::AccountId;
 
 use crate::fair_order::FairOrder;
-use crate::fair_order::Place;
+use crate::fair_order::OrderKey;
 use crate::fair_order::Tag;
 use crate::name_index::NameIndex;
 use crate::pool_home::AccountWeight;
@@ -128,11 +128,11 @@
     /// A run that returns after a partition was served by another home meanwhile. Charging an hour
     /// of that service at once would starve its accounts until all others caught up.
     pub(crate) fn admit_run(&mut self, router: usize, totals: impl Iterator<Item = (usize, u64)>) {
-        self.ledger.admit(router, totals);
+        self.ledger.admit_run(router, totals);
     }
 
     pub(crate) fn close_run(&mut self, router: usize) {
-        self.ledger.close(router);
+        self.ledger.close_run(router);
     }
 
     pub(crate) fn merge_served(&mut self, router: usize, account: usize, total_tokens: u64) {
@@ -174,7 +174,7 @@
     /// the second. A tag above the minimum stays, so an account whose requests arrive one by one is
     /// charged only for these.
     pub(crate) fn refresh(&mut self, changed: &[usize], is_backlogged: impl Fn(usize) -> bool) {
-        self.order.note_minimum();
+        self.order.remember_minimum();
         let mut newly_backlogged = Vec::new();
         for &index in changed {
             let backlogged = is_backlogged(index);
@@ -214,8 +214,8 @@
     }
 }
 
-fn place(tag: Tag, rank: u32, index: usize) -> Place {
-    Place {
+fn place(tag: Tag, rank: u32, index: usize) -> OrderKey {
+    OrderKey {
         tag,
         rank,
         account: index as u32,
--- a/crates/coordination/src/entry/attempts.rs
+++ b/crates/coordination/src/entry/attempts.rs
@@ -17,7 +17,7 @@
 use crate::entry_events::StartAttempt;
 use crate::pool_messages::Grant;
 use crate::pool_messages::GrantId;
-use crate::quarantine::Permit;
+use crate::quarantine::StartDecision;
 use crate::refusal::RefusalReason;
 use crate::request_table::Attempt;
 use crate::request_table::RequestState;
@@ -81,12 +81,12 @@
             self.give_up(now, key, RefusalReason::DeadlinePassed, actions);
             return false;
         }
-        let permit = self.quarantine.start(now, fingerprint);
-        if permit == Permit::Start {
+        let decision = self.quarantine.try_start(now, fingerprint);
+        if decision == StartDecision::Start {
             return true;
         }
         self.record_left_queue(now, &pool, &account);
-        if permit == Permit::Wait {
+        if decision == StartDecision::Wait {
             self.requests.delay(key, now + QUARANTINE_RETRY_DELAY);
         } else {
             self.mark_dequeued(key);
@@ -191,11 +191,11 @@
                 self.cost_estimates
                     .learn(&arrival.account, arrival.hint_tokens, charge_of(end));
                 self.retry_budgets.on_success(now, &arrival.account);
-                self.quarantine.finished(now, arrival.fingerprint);
+                self.quarantine.on_finished(now, arrival.fingerprint);
                 self.requests.remove(ended.key);
             }
             AttemptEnd::CallerGone { .. } => {
-                self.quarantine.ended(arrival.fingerprint);
+                self.quarantine.on_ended(arrival.fingerprint);
                 self.requests.remove(ended.key);
             }
             AttemptEnd::Failed {
@@ -250,18 +250,20 @@
         match (endpoint, failure) {
             (Some(endpoint), AttemptFailure::ConnectionLost) => {
                 let fingerprint = arrival.fingerprint;
-                self.quarantine.connection_lost(now, fingerprint, endpoint);
+                self.quarantine
+                    .on_connection_lost(now, fingerprint, endpoint);
             }
             (Some(endpoint), AttemptFailure::Crashed) => {
                 let fingerprint = arrival.fingerprint;
-                self.quarantine.connection_lost(now, fingerprint, endpoint);
-                self.quarantine.endpoint_down(now, endpoint);
+                self.quarantine
+                    .on_connection_lost(now, fingerprint, endpoint);
+                self.quarantine.on_endpoint_down(now, endpoint);
             }
             (Some(endpoint), AttemptFailure::ConnectFailed) => {
-                self.quarantine.ended(arrival.fingerprint);
-                self.quarantine.endpoint_down(now, endpoint);
+                self.quarantine.on_ended(arrival.fingerprint);
+                self.quarantine.on_endpoint_down(now, endpoint);
             }
-            _ => self.quarantine.ended(arrival.fingerprint),
+            _ => self.quarantine.on_ended(arrival.fingerprint),
         }
     }
 
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -64,7 +64,7 @@
 
 mod account_table;
 mod coordinator_input;
-mod crash_watch;
+mod crash_detector;
 mod demand_table;
 mod endpoint_schedule;
 mod entry_record;
--- a/crates/coordination/tests/config_adoption.rs
+++ b/crates/coordination/tests/config_adoption.rs
@@ -23,8 +23,8 @@
     fleet
 }
 
-/// Carries out all calls of a router. Calls to the store end with `store_fate`.
-fn serve(fleet: &mut ConfigFleet, router: usize, store_fate: CallOutcome) {
+/// Carries out all calls of a router. Calls to the store end with `store_outcome`.
+fn serve(fleet: &mut ConfigFleet, router: usize, store_outcome: CallOutcome) {
     while let Some(call) = fleet.routers[router].calls.front() {
         let to_store = matches!(
             call,
@@ -33,7 +33,7 @@
         fleet.deliver(
             router,
             if to_store {
-                store_fate
+                store_outcome
             } else {
                 CallOutcome::Answered
             },
@@ -150,7 +150,7 @@
 // not start before both have answered.
 #[test]
 fn a_lagging_peer_does_not_turn_a_restarted_router_back() {
-    for store_fate in [CallOutcome::Refused, CallOutcome::CallLost] {
+    for store_outcome in [CallOutcome::Refused, CallOutcome::CallLost] {
         let mut fleet = fleet_at(1);
         fleet.accept_change();
         fleet.accept_change();
@@ -167,14 +167,14 @@
         let newer = fleet.routers[2].member.clone();
         let ask_newer = ConfigAction::AskPeer(newer);
         fleet.routers[0].calls.retain(|call| *call != ask_newer);
-        serve(&mut fleet, 0, store_fate);
+        serve(&mut fleet, 0, store_outcome);
         fleet.advance(100);
-        serve(&mut fleet, 0, store_fate);
+        serve(&mut fleet, 0, store_outcome);
         assert!(!fleet.routers[0].is_ready, "started from the lagging peer");
         fleet.routers[0].calls.push_back(ask_newer);
         for _ in 0..20 {
             fleet.advance(100);
-            serve(&mut fleet, 0, store_fate);
+            serve(&mut fleet, 0, store_outcome);
         }
         assert_eq!(fleet.routers[0].document, fleet.accepted_changes);
     }
