--- a/crates/coordination/src/account_table.rs
+++ b/crates/coordination/src/account_table.rs
@@ -100,7 +100,7 @@
             let account = &mut self.accounts[index];
             account.rank = rank as u32;
             if let Some(tag) = account.listed_tag {
-                self.order.insert(place(tag, account.rank, index));
+                self.order.insert(order_key(tag, account.rank, index));
             }
         }
     }
@@ -201,10 +201,10 @@
             return;
         }
         if let Some(listed) = listed {
-            self.order.remove(place(listed, account.rank, index));
+            self.order.remove(order_key(listed, account.rank, index));
         }
         if let Some(tag) = tag {
-            self.order.insert(place(tag, account.rank, index));
+            self.order.insert(order_key(tag, account.rank, index));
         }
     }
 
@@ -214,7 +214,7 @@
     }
 }
 
-fn place(tag: Tag, rank: u32, index: usize) -> OrderKey {
+fn order_key(tag: Tag, rank: u32, index: usize) -> OrderKey {
     OrderKey {
         tag,
         rank,
