--- a/crates/coordination/src/account_ceilings.rs
+++ b/crates/coordination/src/account_ceilings.rs
@@ -1,9 +1,10 @@
-//! Ceilings of client accounts: requests started a second, and requests in progress at once.
+//! Limits of client accounts: requests started per second, and requests in progress.
 //!
-//! The same part stands at two places. An entry router asks it on arrival, with its own requests
-//! in progress: what one router alone is over, the fleet is over, so the refusal is right and comes
-//! at once. The home of a pool asks it before a grant, with the account's holdings in the whole
-//! fleet: so the sum holds wherever the account's traffic arrives, without a message of its own.
+//! The limits are checked at two places. An entry router checks them on arrival against its own
+//! requests in progress: if one router alone exceeds a limit, so does the fleet, and the refusal is
+//! correct and immediate. The home of a pool checks them before a grant against the holdings of the
+//! account in the whole fleet. So the limits hold at whichever routers the traffic of the account
+//! arrives, without extra messages.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,15 +14,15 @@
 
 use crate::refusal::RefusalReason;
 
-/// Millionths of a start: the unit of the rate budget.
-const MICRO_STARTS: u64 = 1_000_000;
+/// The rate budget is kept in millionths of a start.
+const MICRO_STARTS_PER_START: u64 = 1_000_000;
 
-/// A ceiling that an account has reached.
+/// A limit that an account has reached.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CeilingReached {
-    /// Which ceiling: `RateLimited` or `ConcurrencyLimited`.
+    /// The limit: `RateLimited` or `ConcurrencyLimited`.
     pub reason: RefusalReason,
-    /// When the next start is allowed; nothing when that takes the end of another request.
+    /// Time until the next start is allowed; `None` when it depends on the end of another request.
     pub next_start_in: Option<Duration>,
 }
 
@@ -38,18 +39,21 @@
         Self {
             max_in_progress: account.max_in_progress,
             max_requests_per_s: account.max_requests_per_s,
-            micro_starts: burst(account.max_requests_per_s),
+            micro_starts: burst_micro_starts(account.max_requests_per_s),
             refilled_at: now,
         }
     }
 
-    // The unit makes the refill exact: one start a second is one millionth in each microsecond.
+    // The unit makes the refill exact: one start per second is one millionth per microsecond.
     fn refill(&mut self, now: Duration) {
         let elapsed_us = now.saturating_sub(self.refilled_at).as_micros();
         let earned = elapsed_us * u128::from(self.max_requests_per_s);
         let earned = u64::try_from(earned).unwrap_or(u64::MAX);
-        let full = burst(self.max_requests_per_s);
-        self.micro_starts = self.micro_starts.saturating_add(earned).min(full);
+        let max_micro_starts = burst_micro_starts(self.max_requests_per_s);
+        self.micro_starts = self
+            .micro_starts
+            .saturating_add(earned)
+            .min(max_micro_starts);
         self.refilled_at = self.refilled_at.max(now);
     }
 
@@ -64,11 +68,11 @@
             return Ok(());
         }
         self.refill(now);
-        if self.micro_starts >= MICRO_STARTS {
+        if self.micro_starts >= MICRO_STARTS_PER_START {
             return Ok(());
         }
-        let missing = MICRO_STARTS - self.micro_starts;
-        let wait_us = missing.div_ceil(u64::from(self.max_requests_per_s));
+        let missing_micro_starts = MICRO_STARTS_PER_START - self.micro_starts;
+        let wait_us = missing_micro_starts.div_ceil(u64::from(self.max_requests_per_s));
         Err(CeilingReached {
             reason: RefusalReason::RateLimited,
             next_start_in: Some(Duration::from_micros(wait_us)),
@@ -76,12 +80,12 @@
     }
 }
 
-/// Starts that may be saved up: those of one second.
-fn burst(max_requests_per_s: u32) -> u64 {
-    u64::from(max_requests_per_s) * MICRO_STARTS
+/// Maximum rate budget: the starts of one second.
+fn burst_micro_starts(max_requests_per_s: u32) -> u64 {
+    u64::from(max_requests_per_s) * MICRO_STARTS_PER_START
 }
 
-/// Ceilings of all client accounts that have one.
+/// Limits of all client accounts that have any.
 ///
 /// ```
 /// use std::time::Duration;
@@ -110,7 +114,7 @@
 }
 
 impl AccountCeilings {
-    /// Adopts the accounts of a configuration; unchanged ceilings keep what they have counted.
+    /// Applies the accounts of a configuration; accounts that had limits before get no new budget.
     pub fn configure(&mut self, now: Duration, accounts: &[AccountSettings]) {
         let mut previous = std::mem::take(&mut self.ceilings);
         for account in accounts {
@@ -118,9 +122,9 @@
                 continue;
             }
             let mut ceiling = Ceiling::new(account, now);
-            if let Some(old) = previous.remove(&account.id) {
-                ceiling.micro_starts = ceiling.micro_starts.min(old.micro_starts);
-                ceiling.refilled_at = old.refilled_at;
+            if let Some(previous) = previous.remove(&account.id) {
+                ceiling.micro_starts = ceiling.micro_starts.min(previous.micro_starts);
+                ceiling.refilled_at = previous.refilled_at;
             }
             self.ceilings.insert(account.id.clone(), ceiling);
         }
@@ -149,19 +153,19 @@
         }
     }
 
-    /// Counts a start that was allowed.
+    /// Records a start that was allowed.
     ///
     /// ```
     /// use std::time::Duration;
     /// use sedgeridge_coordination::account_ceilings::AccountCeilings;
     /// use sedgeridge_state::ids::AccountId;
     ///
-    /// AccountCeilings::default().started(Duration::ZERO, &AccountId::from("no-ceiling"));
+    /// AccountCeilings::default().record_start(Duration::ZERO, &AccountId::from("no-ceiling"));
     /// ```
-    pub fn started(&mut self, now: Duration, account: &AccountId) {
+    pub fn record_start(&mut self, now: Duration, account: &AccountId) {
         if let Some(ceiling) = self.ceilings.get_mut(account) {
             ceiling.refill(now);
-            ceiling.micro_starts = ceiling.micro_starts.saturating_sub(MICRO_STARTS);
+            ceiling.micro_starts = ceiling.micro_starts.saturating_sub(MICRO_STARTS_PER_START);
         }
     }
 }
--- a/crates/coordination/src/account_table.rs
+++ b/crates/coordination/src/account_table.rs
@@ -1,4 +1,4 @@
-//! Accounts as the home of a pool sees them: weight, service, tag, and their place in the order.
+//! Accounts at the home of a pool: weight, service, tag, and their position in the fair order.
 
 use sedgeridge_state::ids::AccountId;
 
@@ -14,14 +14,14 @@
     id: AccountId,
     weight: u32,
     configured: bool,
-    /// Position among all accounts by name: breaks ties between equal tags.
+    /// Position among all accounts by name; breaks ties between equal tags.
     rank: u32,
     base_tag: Tag,
-    /// Service at which the tag was `base_tag`.
+    /// Service of the account when its tag was `base_tag`.
     base_service_tokens: i64,
-    /// Estimates of grants and holdings that are not settled.
+    /// Estimated cost of grants and holdings that have not ended.
     in_progress_tokens: u64,
-    /// Tag under which the account stands in the order, while it is backlogged.
+    /// Tag of the account in the fair order; `None` while it is not backlogged.
     listed_tag: Option<Tag>,
 }
 
@@ -35,7 +35,7 @@
 }
 
 impl AccountTable {
-    /// Takes the configured weights and returns the accounts that are no longer configured.
+    /// Applies the configured weights and returns the accounts that are no longer configured.
     pub(crate) fn configure(&mut self, weights: &[AccountWeight]) -> Vec<usize> {
         let was_configured = self.take_configured();
         for configured in weights {
@@ -43,7 +43,7 @@
             self.set_weight(index, configured.weight);
             self.accounts[index].configured = true;
         }
-        self.rank();
+        self.update_ranks();
         was_configured
             .into_iter()
             .filter(|index| !self.accounts[*index].configured)
@@ -78,10 +78,10 @@
         index
     }
 
-    /// Changes a weight for service from now on.
+    /// Changes a weight for future service.
     ///
-    /// Dividing all past service by a new weight would move the tag by years of service at once:
-    /// a doubled weight would shut everybody else out until they had caught up.
+    /// Dividing all past service by a new weight would move the tag by years of service at once: an
+    /// account whose weight is doubled would block all others until its tag caught up.
     fn set_weight(&mut self, index: usize, weight: u32) {
         if self.accounts[index].weight == weight {
             return;
@@ -91,7 +91,7 @@
         self.accounts[index].weight = weight;
     }
 
-    fn rank(&mut self) {
+    fn update_ranks(&mut self) {
         self.order.clear();
         let mut by_rank: Vec<usize> = (0..self.accounts.len()).collect();
         let accounts = &self.accounts;
@@ -100,12 +100,12 @@
             let account = &mut self.accounts[index];
             account.rank = rank as u32;
             if let Some(tag) = account.listed_tag {
-                self.order.insert(place(tag, account.rank, index));
+                self.order.insert(order_key(tag, account.rank, index));
             }
         }
     }
 
-    /// Finds an account, also one that is no longer configured.
+    /// Finds an account, even one that is no longer configured.
     pub(crate) fn find(&self, id: &AccountId) -> Option<usize> {
         self.by_id.find(id)
     }
@@ -123,10 +123,10 @@
         &self.ledger
     }
 
-    /// Starts the counters of a router run; what it served before is history and moves no tag.
+    /// Starts the counters of a router run; service that it reports from before moves no tag.
     ///
-    /// A run that comes back after a partition was served by another home meanwhile. Charging an
-    /// hour of that service at once would starve its accounts until all others had caught up.
+    /// A run that returns after a partition was served by another home meanwhile. Charging an hour
+    /// of that service at once would starve its accounts until all others caught up.
     pub(crate) fn admit_run(&mut self, router: usize, totals: impl Iterator<Item = (usize, u64)>) {
         self.ledger.admit_run(router, totals);
     }
@@ -144,7 +144,7 @@
         self.accounts[account].in_progress_tokens += estimate_tokens;
     }
 
-    /// Takes an estimate back, because it changed or because the grant ended.
+    /// Removes an estimate that changed or whose grant ended.
     pub(crate) fn refund(&mut self, account: usize, estimate_tokens: u64) {
         self.accounts[account].in_progress_tokens -= estimate_tokens;
     }
@@ -166,54 +166,55 @@
         self.accounts[index].base_tag = tag;
     }
 
-    /// Brings the places of `changed` accounts in the order up to date.
+    /// Updates the positions of `changed` accounts in the order.
     ///
-    /// Newly backlogged accounts are lifted to the minimum of those that were backlogged before,
-    /// so that idle time gives no credit. All of one event start from the same minimum: one after
-    /// the other, the first one's tag would lift the second one's. The lift never adds to a tag
-    /// above the minimum, so an account whose requests come one by one is charged for these only.
+    /// The tags of newly backlogged accounts are raised to the minimum of those that were
+    /// backlogged before, so that idle time gives no credit. All accounts of one event start from
+    /// the same minimum; if they were added one by one, the tag of the first would raise that of
+    /// the second. A tag above the minimum stays, so an account whose requests arrive one by one is
+    /// charged only for these.
     pub(crate) fn refresh(&mut self, changed: &[usize], is_backlogged: impl Fn(usize) -> bool) {
         self.order.remember_minimum();
-        let mut joined = Vec::new();
+        let mut newly_backlogged = Vec::new();
         for &index in changed {
             let backlogged = is_backlogged(index);
             if backlogged && self.accounts[index].listed_tag.is_none() {
-                joined.push(index);
+                newly_backlogged.push(index);
                 continue;
             }
-            self.list(index, backlogged.then(|| self.tag(index)));
+            self.set_listed_tag(index, backlogged.then(|| self.tag(index)));
         }
         let floor = self.order.floor();
-        for index in joined {
+        for index in newly_backlogged {
             let tag = self.tag(index);
             if tag < floor {
                 self.rebase(index, floor);
             }
-            self.list(index, Some(tag.max(floor)));
+            self.set_listed_tag(index, Some(tag.max(floor)));
         }
     }
 
-    fn list(&mut self, index: usize, tag: Option<Tag>) {
+    fn set_listed_tag(&mut self, index: usize, tag: Option<Tag>) {
         let account = &mut self.accounts[index];
         let listed = std::mem::replace(&mut account.listed_tag, tag);
         if listed == tag {
             return;
         }
         if let Some(listed) = listed {
-            self.order.remove(place(listed, account.rank, index));
+            self.order.remove(order_key(listed, account.rank, index));
         }
         if let Some(tag) = tag {
-            self.order.insert(place(tag, account.rank, index));
+            self.order.insert(order_key(tag, account.rank, index));
         }
     }
 
-    /// Returns the backlogged account with the least tag.
+    /// Returns the backlogged account with the lowest tag.
     pub(crate) fn next(&self) -> Option<usize> {
         self.order.first().map(|account| account as usize)
     }
 }
 
-fn place(tag: Tag, rank: u32, index: usize) -> OrderKey {
+fn order_key(tag: Tag, rank: u32, index: usize) -> OrderKey {
     OrderKey {
         tag,
         rank,
--- a/crates/coordination/src/coordinator.rs
+++ b/crates/coordination/src/coordinator.rs
@@ -20,6 +20,7 @@
 use crate::coordinator_input::PartEvents;
 use crate::coordinator_input::configured_event;
 use crate::coordinator_input::route;
+use crate::endpoint_schedule::EndpointSchedule;
 use crate::lease::Lease;
 use crate::lease_events::HeldLease;
 use crate::lease_events::LeaseAction;
@@ -30,7 +31,6 @@
 use crate::order_events::OrderEvent;
 use crate::orders::OpenOrder;
 use crate::orders::Orders;
-use crate::repeats::Repeats;
 use crate::store_call::StoreAction;
 
 /// Decision logic of one coordinator.
@@ -56,10 +56,10 @@
     lease: Lease,
     orders: Orders,
     sweep: ClaimSweep,
-    drain_announcements: Repeats,
+    drain_announcements: EndpointSchedule,
     /// Fencing number of the lease that the orders and the sweep were told of.
     known_epoch: Option<FencingNumber>,
-    load_reads: Repeats,
+    load_reads: EndpointSchedule,
     /// Follows the accepted configuration; none if the settings files stay in force.
     config: Option<NodeConfig>,
 }
@@ -89,9 +89,9 @@
             lease: Lease::new(member, settings.lease.clone(), seed),
             orders,
             sweep: ClaimSweep::new(settings.sweep.clone(), started_unix_ms, sweep_seed),
-            drain_announcements: Repeats::default(),
+            drain_announcements: EndpointSchedule::default(),
             known_epoch: None,
-            load_reads: Repeats::default(),
+            load_reads: EndpointSchedule::default(),
             config,
             settings,
         }
@@ -280,7 +280,7 @@
     /// not take the endpoint out of service for good, and no message is needed to end a drain.
     fn announce_drains(&mut self, now: Duration, actions: &mut Vec<CoordinatorAction>) {
         self.drain_announcements
-            .keep(now, self.orders.drained_endpoints());
+            .sync_endpoints(now, self.orders.drained_endpoints());
         let interval = millis(self.settings.drain_announce_interval_ms);
         for endpoint in self.drain_announcements.take_due(now, interval) {
             actions.push(CoordinatorAction::AnnounceDrain { endpoint });
@@ -293,7 +293,10 @@
     /// count as serving when the next order comes hours later, and the pool could fall below its
     /// floor.
     fn read_watched_loads(&mut self, now: Duration, actions: &mut Vec<CoordinatorAction>) {
-        for endpoint in self.load_reads.keep(now, &self.orders.watched_endpoints()) {
+        for endpoint in self
+            .load_reads
+            .sync_endpoints(now, &self.orders.watched_endpoints())
+        {
             self.handle_order_event(now, OrderEvent::EndpointUnknown { endpoint }, actions);
         }
         let interval = millis(self.settings.report_interval_ms);
--- a/crates/coordination/src/entry/attempts.rs
+++ b/crates/coordination/src/entry/attempts.rs
@@ -1,4 +1,4 @@
-//! Grants, the attempts that use them, and what follows when one ends.
+//! Use of grants: starting attempts, and handling their end.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 use sedgeridge_state::ids::PoolId;
 
 use crate::entry::Entry;
-use crate::entry::TRIAL_PAUSE;
+use crate::entry::QUARANTINE_RETRY_DELAY;
 use crate::entry::charge_of;
 use crate::entry_events::Arrival;
 use crate::entry_events::AttemptEnd;
@@ -20,50 +20,55 @@
 use crate::quarantine::StartDecision;
 use crate::refusal::RefusalReason;
 use crate::request_table::Attempt;
-use crate::request_table::Place;
+use crate::request_table::RequestState;
 use crate::retry_budget::FailedAttempt;
 use crate::retry_budget::RetryDecision;
 
 impl Entry {
-    pub(super) fn granted(&mut self, now: Duration, grant: &Grant, actions: &mut Vec<EntryAction>) {
+    pub(super) fn on_grant(
+        &mut self,
+        now: Duration,
+        grant: &Grant,
+        actions: &mut Vec<EntryAction>,
+    ) {
         if !self.pool(&grant.pool).accept(grant) {
             return;
         }
-        while let Some(key) = self.pool(&grant.pool).pop_for(grant) {
+        while let Some(key) = self.pool(&grant.pool).pop_for_grant(grant) {
             if self.may_start(now, key, actions) {
-                let cost_tokens = self.cost_of(key);
+                let cost_tokens = self.estimate_cost(key);
                 self.pool(&grant.pool).hold(now, grant, cost_tokens);
-                return self.start(now, key, &grant.id, &grant.endpoint, actions);
+                return self.start_attempt(now, key, &grant.id, &grant.endpoint, actions);
             }
         }
-        self.pool(&grant.pool).give_back(grant);
+        self.pool(&grant.pool).return_unused(grant);
     }
 
-    /// Uses a grant again for the next request that it covers, or ends it.
-    fn go_on(
+    /// Starts the next request that a grant covers, or releases the grant.
+    fn start_next_or_release(
         &mut self,
         now: Duration,
         pool: &PoolId,
         grant: &GrantId,
         actions: &mut Vec<EntryAction>,
     ) {
-        while let Some((key, endpoint)) = self.pool(pool).next_of_grant(now, grant) {
+        while let Some((key, endpoint)) = self.pool(pool).next_request_of(now, grant) {
             if self.may_start(now, key, actions) {
-                return self.start(now, key, grant, &endpoint, actions);
+                return self.start_attempt(now, key, grant, &endpoint, actions);
             }
         }
         self.pool(pool).release(now, grant);
     }
 
-    /// Decides about a request that was taken from its queue; one that may not start now is put off
-    /// or given up.
+    /// Tells whether a request that was taken from its queue may start. If not, delays it or gives
+    /// it up.
     fn may_start(
         &mut self,
         now: Duration,
         key: RequestKey,
         actions: &mut Vec<EntryAction>,
     ) -> bool {
-        self.waiting -= 1;
+        self.waiting_requests -= 1;
         let Some(request) = self.requests.get(key) else {
             return false;
         };
@@ -71,29 +76,29 @@
         let account = request.arrival.account.clone();
         let fingerprint = request.arrival.fingerprint;
         if self.is_too_late(now, key) {
-            self.note_left(now, &pool, &account);
-            self.forget_place(key);
+            self.record_left_queue(now, &pool, &account);
+            self.mark_dequeued(key);
             self.give_up(now, key, RefusalReason::DeadlinePassed, actions);
             return false;
         }
-        let permit = self.quarantine.try_start(now, fingerprint);
-        if permit == StartDecision::Start {
+        let decision = self.quarantine.try_start(now, fingerprint);
+        if decision == StartDecision::Start {
             return true;
         }
-        self.note_left(now, &pool, &account);
-        if permit == StartDecision::Wait {
-            self.requests.put_off(key, now + TRIAL_PAUSE);
+        self.record_left_queue(now, &pool, &account);
+        if decision == StartDecision::Wait {
+            self.requests.delay(key, now + QUARANTINE_RETRY_DELAY);
         } else {
-            self.forget_place(key);
+            self.mark_dequeued(key);
             self.give_up(now, key, RefusalReason::Quarantined, actions);
         }
         false
     }
 
-    /// Tells whether hardly a request like this one, not attempted yet, ends before its deadline.
+    /// Tells whether a request that was not attempted yet is unlikely to end before its deadline.
     ///
-    /// Started all the same, it would break off at the deadline: its caller gets half an answer, or
-    /// is told that it may have run, in place of "not run", and the slot's work is for nothing.
+    /// If it started, it would be cut off at the deadline. Its caller would get half an answer, or
+    /// the outcome "unknown" in place of "not run", and the work of the slot would be wasted.
     fn is_too_late(&mut self, now: Duration, key: RequestKey) -> bool {
         let Some(request) = self.requests.get(key) else {
             return false;
@@ -104,25 +109,25 @@
         let deadline = request.arrival.deadline;
         let account = request.arrival.account.clone();
         let pool = request.arrival.pool.clone();
-        now + self.pool(&pool).least_run(&account) > deadline
+        now + self.pool(&pool).min_run_time(&account) > deadline
     }
 
-    /// Marks a request that is in no queue any more.
-    fn forget_place(&mut self, key: RequestKey) {
+    /// Marks a request as no longer queued.
+    fn mark_dequeued(&mut self, key: RequestKey) {
         if let Some(request) = self.requests.get_mut(key) {
-            request.place = Place::Running;
+            request.state = RequestState::Running;
         }
     }
 
-    fn cost_of(&self, key: RequestKey) -> u64 {
+    fn estimate_cost(&self, key: RequestKey) -> u64 {
         self.requests.get(key).map_or(1, |request| {
             let arrival = &request.arrival;
-            self.estimates
+            self.cost_estimates
                 .estimate(&arrival.account, arrival.hint_tokens)
         })
     }
 
-    fn start(
+    fn start_attempt(
         &mut self,
         now: Duration,
         key: RequestKey,
@@ -136,7 +141,7 @@
             return;
         };
         request.attempts += 1;
-        request.place = Place::Running;
+        request.state = RequestState::Running;
         let account = request.arrival.account.clone();
         let pool = request.arrival.pool.clone();
         actions.push(EntryAction::Start(StartAttempt {
@@ -149,12 +154,12 @@
         }));
         let view = self.pool(&pool);
         let waiting_of_pool = view.waiting();
-        let waiting_of_account = view.waiting_of(&account);
+        let waiting_of_account = view.waiting_of_account(&account);
         self.admission
-            .started(now, &pool, &account, waiting_of_pool, waiting_of_account);
+            .record_started(now, &pool, &account, waiting_of_pool, waiting_of_account);
     }
 
-    pub(super) fn progressed(&mut self, attempt: AttemptKey, charged_tokens: u64) {
+    pub(super) fn on_progress(&mut self, attempt: AttemptKey, charged_tokens: u64) {
         let Some(Attempt { key, grant, .. }) = self.requests.attempt(attempt) else {
             return;
         };
@@ -166,7 +171,7 @@
         self.pool(&pool).raise_estimate(&grant, charged_tokens);
     }
 
-    pub(super) fn attempt_ended(
+    pub(super) fn on_attempt_ended(
         &mut self,
         now: Duration,
         attempt: AttemptKey,
@@ -183,9 +188,9 @@
         let endpoint = self.settle(now, &ended, &arrival, end, actions);
         match end {
             AttemptEnd::Finished { .. } => {
-                self.estimates
+                self.cost_estimates
                     .learn(&arrival.account, arrival.hint_tokens, charge_of(end));
-                self.retries.on_success(now, &arrival.account);
+                self.retry_budgets.on_success(now, &arrival.account);
                 self.quarantine.on_finished(now, arrival.fingerprint);
                 self.requests.remove(ended.key);
             }
@@ -199,18 +204,19 @@
                 head_sent,
                 ..
             } => {
-                self.blame(now, &arrival, endpoint.as_ref(), failure);
+                self.record_failure_for_quarantine(now, &arrival, endpoint.as_ref(), failure);
                 if let Some(request) = self.requests.get_mut(ended.key) {
                     request.sent_tokens = request.sent_tokens.max(sent_tokens);
                     request.may_have_run |= failure.may_have_run();
                     request.head_sent |= head_sent;
                 }
-                self.after_failure(now, ended.key, failure, actions);
+                self.retry_or_give_up(now, ended.key, failure, actions);
             }
         }
     }
 
-    /// Charges what an attempt received, and uses its grant again or ends it. Returns the endpoint.
+    /// Charges the service of an ended attempt to its account, and reuses or releases its grant.
+    /// Returns the endpoint.
     fn settle(
         &mut self,
         now: Duration,
@@ -223,18 +229,18 @@
         let pool = self.pool(&arrival.pool);
         let endpoint = pool.settle(&ended.grant, &arrival.account, charge_of(end));
         if let Some(endpoint) = &endpoint {
-            pool.note_result(endpoint, ran, end);
+            pool.record_result(endpoint, ran, end);
         }
         if matches!(end, AttemptEnd::Finished { .. }) {
-            pool.learn_run_time(&arrival.account, ran);
-            self.go_on(now, &arrival.pool, &ended.grant, actions);
+            pool.record_run_time(&arrival.account, ran);
+            self.start_next_or_release(now, &arrival.pool, &ended.grant, actions);
         } else {
             pool.release(now, &ended.grant);
         }
         endpoint
     }
 
-    fn blame(
+    fn record_failure_for_quarantine(
         &mut self,
         now: Duration,
         arrival: &Arrival,
@@ -261,7 +267,7 @@
         }
     }
 
-    fn after_failure(
+    fn retry_or_give_up(
         &mut self,
         now: Duration,
         key: RequestKey,
@@ -274,9 +280,9 @@
         let Some(reason) = failure.retry_reason() else {
             return self.give_up(now, key, RefusalReason::DeadlinePassedRunning, actions);
         };
-        // A request that may not be repeated and may have run is never sent again: the caller
-        // would see its effect twice. One that certainly did not start may go to another endpoint.
-        let decision = self.retries.may_retry(
+        // A non-repeatable request that may have run is never sent again, as its effect could occur
+        // twice. One that certainly did not start may go to another endpoint.
+        let decision = self.retry_budgets.decide_retry(
             now,
             FailedAttempt {
                 account: &request.arrival.account,
@@ -289,7 +295,7 @@
         match decision {
             RetryDecision::Retry { backoff } => {
                 actions.push(EntryAction::Retried { key, reason });
-                self.requests.put_off(key, now + backoff);
+                self.requests.delay(key, now + backoff);
             }
             RetryDecision::Denied(_) => {
                 let reason = match failure {
--- a/crates/coordination/src/entry_table.rs
+++ b/crates/coordination/src/entry_table.rs
@@ -1,4 +1,4 @@
-//! Entry routers known to the home of a pool, and which of their reports may be taken.
+//! Entry routers known to the home of a pool, and the check whether a report is accepted.
 
 use sedgeridge_state::ids::HostId;
 use sedgeridge_state::ids::Member;
@@ -8,29 +8,29 @@
 use crate::name_index::NameIndex;
 use crate::pool_messages::EntryReport;
 
-/// A report that is not taken.
+/// Rejection of a report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct Refusal {
+pub(crate) struct ReportRejection {
     pub(crate) reason: RejectionReason,
-    /// Whether a full report would help.
-    pub(crate) ask_full: bool,
+    /// Whether a full report would be accepted instead.
+    pub(crate) needs_full_report: bool,
 }
 
-/// A report that may be taken.
+/// Acceptance of a report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Admission {
+pub(crate) enum ReportAdmission {
     /// From the run that is known at this index.
     Known(usize),
     /// From a later run of the host at this index.
     Restarted(usize),
 }
 
-/// Entry routers by index; the index of a host that left is used again.
+/// Entry routers by index; the index of a host that left is reused.
 #[derive(Debug, Default)]
 pub(crate) struct EntryTable {
     records: Vec<Option<EntryRecord>>,
     by_host: NameIndex<HostId>,
-    vacant: Vec<usize>,
+    free_indices: Vec<usize>,
 }
 
 impl EntryTable {
@@ -62,7 +62,7 @@
 
     pub(crate) fn add(&mut self, member: &Member, site: Option<usize>) -> usize {
         let record = EntryRecord::new(member.clone(), site);
-        let router = self.vacant.pop().unwrap_or_else(|| {
+        let router = self.free_indices.pop().unwrap_or_else(|| {
             self.records.push(None);
             self.records.len() - 1
         });
@@ -74,52 +74,55 @@
     pub(crate) fn remove(&mut self, router: usize) {
         if let Some(record) = self.records[router].take() {
             self.by_host.remove(&record.member.host);
-            self.vacant.push(router);
+            self.free_indices.push(router);
         }
     }
 
-    /// Whether every known router has sent a full report.
+    /// Tells whether every known router has sent a full report.
     pub(crate) fn all_reported(&self) -> bool {
         let mut live = self.records.iter().flatten();
         live.all(|record| record.last_sequence.is_some())
     }
 
-    /// Decides by sender and sequence whether a report is taken.
-    pub(crate) fn admit(&self, report: &EntryReport) -> Result<Admission, Refusal> {
+    /// Decides by sender and sequence whether a report is accepted.
+    pub(crate) fn admit(&self, report: &EntryReport) -> Result<ReportAdmission, ReportRejection> {
         let Some(router) = self.find(&report.from.host) else {
-            return Err(refusal(RejectionReason::NotAMember, !report.full));
+            return Err(rejection(RejectionReason::NotAMember, !report.full));
         };
         let record = self.record(router);
-        let known = record.member.incarnation;
-        if report.from.incarnation < known {
-            return Err(refusal(RejectionReason::OlderIncarnation, false));
+        let known_incarnation = record.member.incarnation;
+        if report.from.incarnation < known_incarnation {
+            return Err(rejection(RejectionReason::OlderIncarnation, false));
         }
-        if report.from.incarnation > known {
+        if report.from.incarnation > known_incarnation {
             return match report.full {
-                true => Ok(Admission::Restarted(router)),
-                false => Err(refusal(RejectionReason::UnknownRun, true)),
+                true => Ok(ReportAdmission::Restarted(router)),
+                false => Err(rejection(RejectionReason::UnknownRun, true)),
             };
         }
-        check_sequence(record, report).map(|()| Admission::Known(router))
+        check_sequence(record, report).map(|()| ReportAdmission::Known(router))
     }
 }
 
-fn check_sequence(record: &EntryRecord, report: &EntryReport) -> Result<(), Refusal> {
+fn check_sequence(record: &EntryRecord, report: &EntryReport) -> Result<(), ReportRejection> {
     let Some(last) = record.last_sequence else {
         return match report.full {
             true => Ok(()),
-            false => Err(refusal(RejectionReason::UnknownRun, true)),
+            false => Err(rejection(RejectionReason::UnknownRun, true)),
         };
     };
     if report.sequence <= last {
-        return Err(refusal(RejectionReason::RepeatedSequence, false));
+        return Err(rejection(RejectionReason::RepeatedSequence, false));
     }
     if !report.full && report.sequence != last + 1 {
-        return Err(refusal(RejectionReason::SequenceGap, true));
+        return Err(rejection(RejectionReason::SequenceGap, true));
     }
     Ok(())
 }
 
-fn refusal(reason: RejectionReason, ask_full: bool) -> Refusal {
-    Refusal { reason, ask_full }
+fn rejection(reason: RejectionReason, needs_full_report: bool) -> ReportRejection {
+    ReportRejection {
+        reason,
+        needs_full_report,
+    }
 }
--- a/crates/coordination/src/prefix_affinity.rs
+++ b/crates/coordination/src/prefix_affinity.rs
@@ -1,23 +1,23 @@
-//! Remembers which endpoints served a prompt prefix lately, in bounded memory.
+//! Records in bounded memory which endpoints recently served a prompt prefix.
 
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
 
 use crate::pool_messages::PrefixHash;
 
-/// Prefixes remembered by one home.
+/// Maximum number of prefixes recorded by one home.
 const MAX_PREFIXES: usize = 8_192;
-/// Endpoints remembered for one prefix.
+/// Maximum number of endpoints recorded for one prefix.
 const MAX_ENDPOINTS: usize = 4;
 
 #[derive(Debug, Default)]
 pub(crate) struct PrefixAffinity {
     endpoints: BTreeMap<PrefixHash, Vec<usize>>,
-    oldest: VecDeque<PrefixHash>,
+    insertion_order: VecDeque<PrefixHash>,
 }
 
 impl PrefixAffinity {
-    /// Returns the endpoints that served `prefix` lately, the latest first.
+    /// Returns the endpoints that recently served `prefix`, the latest first.
     pub(crate) fn recent(&self, prefix: PrefixHash) -> &[usize] {
         self.endpoints.get(&prefix).map_or(&[], Vec::as_slice)
     }
@@ -29,12 +29,12 @@
             recent.truncate(MAX_ENDPOINTS);
             return;
         }
-        if self.oldest.len() == MAX_PREFIXES
-            && let Some(evicted) = self.oldest.pop_front()
+        if self.insertion_order.len() == MAX_PREFIXES
+            && let Some(evicted) = self.insertion_order.pop_front()
         {
             self.endpoints.remove(&evicted);
         }
-        self.oldest.push_back(prefix);
+        self.insertion_order.push_back(prefix);
         self.endpoints.insert(prefix, vec![endpoint]);
     }
 }
