--- a/crates/coordination/src/attempt_results.rs
+++ b/crates/coordination/src/attempt_results.rs
@@ -1,4 +1,4 @@
-//! What attempts told about their endpoints, gathered for the home of the pool.
+//! Results of attempts by endpoint, collected for the report to the home of the pool.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,70 +7,70 @@
 
 use crate::breaker::FailureKind;
 
-/// What the attempts of one entry router told about one endpoint since its last report.
+/// Results of the attempts of one entry router on one endpoint since its last report.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EndpointResult {
     /// The endpoint.
     pub endpoint: EndpointId,
-    /// Whole answers.
+    /// Number of whole answers.
     pub answered: u32,
-    /// Mean time until they began.
+    /// Mean time until their first byte.
     pub first_byte_ms: u32,
-    /// Longest time since the attempt of one of them began: an answer to an attempt from before an
-    /// ejection says nothing about the endpoint's health after it.
+    /// Longest time since one of their attempts started. An answer to an attempt that started
+    /// before an ejection says nothing about the health of the endpoint after it.
     pub started_ago_ms: u32,
-    /// Failures, each with the time since its attempt began.
-    pub failures: Vec<AttemptFailed>,
+    /// Failures, each with the time since its attempt started.
+    pub failures: Vec<ReportedFailure>,
 }
 
 /// A failed attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct AttemptFailed {
-    /// How it failed.
+pub struct ReportedFailure {
+    /// Kind of the failure.
     pub kind: FailureKind,
-    /// Time since it began.
+    /// Time since the attempt started.
     pub started_ago_ms: u32,
 }
 
-/// Most failures of one endpoint that one report carries; more say nothing new.
+/// Maximum number of failures of one endpoint in one report; more add no information.
 const MAX_FAILURES: usize = 8;
 
-/// Results not yet reported.
+/// Results of attempts that are not reported yet.
 #[derive(Debug, Default)]
 pub(crate) struct AttemptResults {
-    endpoints: BTreeMap<EndpointId, Gathered>,
+    endpoints: BTreeMap<EndpointId, EndpointTally>,
 }
 
 #[derive(Debug, Default)]
-struct Gathered {
+struct EndpointTally {
     answered: u32,
     first_byte_sum: Duration,
-    started_ago: Duration,
-    failures: Vec<AttemptFailed>,
+    max_started_ago: Duration,
+    failures: Vec<ReportedFailure>,
 }
 
 impl AttemptResults {
-    pub(crate) fn answered(
+    pub(crate) fn record_answer(
         &mut self,
         endpoint: &EndpointId,
         first_byte: Duration,
         started_ago: Duration,
     ) {
-        let gathered = self.endpoints.entry(endpoint.clone()).or_default();
-        gathered.answered += 1;
-        gathered.first_byte_sum += first_byte;
-        gathered.started_ago = gathered.started_ago.max(started_ago);
+        let tally = self.endpoints.entry(endpoint.clone()).or_default();
+        tally.answered += 1;
+        tally.first_byte_sum += first_byte;
+        tally.max_started_ago = tally.max_started_ago.max(started_ago);
     }
 
-    pub(crate) fn failed(
+    pub(crate) fn record_failure(
         &mut self,
         endpoint: &EndpointId,
         kind: FailureKind,
         started_ago: Duration,
     ) {
-        let gathered = self.endpoints.entry(endpoint.clone()).or_default();
-        if gathered.failures.len() < MAX_FAILURES {
-            gathered.failures.push(AttemptFailed {
+        let tally = self.endpoints.entry(endpoint.clone()).or_default();
+        if tally.failures.len() < MAX_FAILURES {
+            tally.failures.push(ReportedFailure {
                 kind,
                 started_ago_ms: millis_u32(started_ago),
             });
@@ -82,19 +82,21 @@
     }
 
     pub(crate) fn has_failures(&self) -> bool {
-        self.endpoints.values().any(|g| !g.failures.is_empty())
+        self.endpoints
+            .values()
+            .any(|tally| !tally.failures.is_empty())
     }
 
     pub(crate) fn take(&mut self) -> Vec<EndpointResult> {
-        let gathered = std::mem::take(&mut self.endpoints);
-        let results = gathered.into_iter().map(|(endpoint, gathered)| {
-            let first_byte = gathered.first_byte_sum / gathered.answered.max(1);
+        let endpoints = std::mem::take(&mut self.endpoints);
+        let results = endpoints.into_iter().map(|(endpoint, tally)| {
+            let first_byte = tally.first_byte_sum / tally.answered.max(1);
             EndpointResult {
                 endpoint,
-                answered: gathered.answered,
+                answered: tally.answered,
                 first_byte_ms: millis_u32(first_byte),
-                started_ago_ms: millis_u32(gathered.started_ago),
-                failures: gathered.failures,
+                started_ago_ms: millis_u32(tally.max_started_ago),
+                failures: tally.failures,
             }
         });
         results.collect()
--- a/crates/coordination/src/entry_pool.rs
+++ b/crates/coordination/src/entry_pool.rs
@@ -1,5 +1,5 @@
-//! What an entry router knows of one pool: its waiting requests, the grants it holds and what the
-//! pool's home has not been told yet.
+//! State of one pool at an entry router: its waiting requests, the grants it holds, and the changes
+//! not yet reported to the home of the pool.
 
 mod grants;
 mod reports;
@@ -26,41 +26,43 @@
 use crate::pool_messages::PrefixHash;
 use crate::run_times::RunTimes;
 
-/// Classes in the order in which a grant is used.
-const CLASSES: [RequestClass; 2] = [RequestClass::Interactive, RequestClass::Deferred];
-/// Most missing grants that are named one by one; after more, a full report says what is held.
+/// Request classes in the order in which a grant in use serves them.
+const CLASSES_BY_PRIORITY: [RequestClass; 2] = [RequestClass::Interactive, RequestClass::Deferred];
+/// Maximum number of missing grants listed one by one; if more are missing, a full report lists
+/// the grants in use instead.
 const MAX_MISSING_GRANTS: u64 = 256;
-/// Time in use from which on the end of a grant may be told late, as a small part of it.
-const LONG_GRANT: Duration = Duration::from_secs(2);
-/// Part of a cost by which it may be off without the home being told.
+/// Time in use from which on the end of a grant may be reported late: the delay is then only a
+/// small part of the time.
+const LONG_GRANT_DURATION: Duration = Duration::from_secs(2);
+/// Divisor of a cost that gives the error tolerated without a report to the home.
 const COST_TOLERANCE_DIVISOR: u64 = 8;
 
-/// How soon the home has to be told what is new.
+/// How soon changes must be reported to the home.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Urgency {
-    /// Nothing is new.
+    /// Nothing changed.
     None,
-    /// A slot or a waiting request is not touched by it: with the next urgent news, or after the
-    /// report interval.
+    /// No slot or waiting request depends on the changes: they are reported with the next urgent
+    /// change, or after the report interval.
     Lazy,
-    /// Work may wait, or a slot idle, until the home knows.
+    /// Work may wait, or a slot may idle, until the home is informed.
     Urgent,
 }
 
-/// What the home was last told of a lane, and the grants for it that came since.
+/// Last reported demand of a lane, and the number of grants received for it since.
 #[derive(Debug, Clone, Copy, Default)]
-struct Told {
+struct ReportedLane {
     waiting: u32,
     granted: u32,
     cost_tokens: u64,
 }
 
-/// Cost and prefix of a waiting request.
+/// Cost and prefix of the first waiting request of a lane.
 #[derive(Debug, Clone, Copy)]
-pub struct HeadFacts {
-    /// What it is expected to cost.
+pub struct LaneHead {
+    /// Expected cost.
     pub cost_tokens: u64,
-    /// Prefix of its prompt.
+    /// Prefix of the prompt.
     pub prefix: Option<PrefixHash>,
 }
 
@@ -70,101 +72,101 @@
     id: PoolId,
     home: Option<Member>,
     queue: EntryQueue,
-    held: HeldGrants,
-    served: BTreeMap<AccountId, u64>,
+    held_grants: HeldGrants,
+    served_tokens: BTreeMap<AccountId, u64>,
     run_times: RunTimes,
     grant_span: Duration,
     grants_received: u64,
-    sequence: u64,
-    full_wanted: bool,
-    urgent: bool,
-    contended: bool,
-    told: BTreeMap<Lane, Told>,
+    report_sequence: u64,
+    full_report_requested: bool,
+    has_urgent_changes: bool,
+    slots_contended: bool,
+    reported_lanes: BTreeMap<Lane, ReportedLane>,
     changed_lanes: BTreeSet<Lane>,
-    changed_served: BTreeSet<AccountId>,
-    ended: Vec<GrantId>,
-    unacknowledged: bool,
-    results: AttemptResults,
+    changed_served_accounts: BTreeSet<AccountId>,
+    ended_grants: Vec<GrantId>,
+    acknowledgement_due: bool,
+    attempt_results: AttemptResults,
 }
 
 impl EntryPool {
-    /// Creates the view of a pool that has no home yet. A grant covers what runs within
-    /// `grant_span`, and one request at least.
+    /// Creates the view of a pool that has no home yet. A grant covers the requests that run within
+    /// `grant_span`, and at least one request.
     pub fn new(id: PoolId, grant_span: Duration) -> Self {
         Self {
             id,
             home: None,
             queue: EntryQueue::default(),
-            held: HeldGrants::default(),
-            served: BTreeMap::new(),
+            held_grants: HeldGrants::default(),
+            served_tokens: BTreeMap::new(),
             run_times: RunTimes::default(),
             grant_span,
             grants_received: 0,
-            sequence: 0,
-            full_wanted: false,
-            urgent: false,
-            contended: false,
-            told: BTreeMap::new(),
+            report_sequence: 0,
+            full_report_requested: false,
+            has_urgent_changes: false,
+            slots_contended: false,
+            reported_lanes: BTreeMap::new(),
             changed_lanes: BTreeSet::new(),
-            changed_served: BTreeSet::new(),
-            ended: Vec::new(),
-            unacknowledged: false,
-            results: AttemptResults::default(),
+            changed_served_accounts: BTreeSet::new(),
+            ended_grants: Vec::new(),
+            acknowledgement_due: false,
+            attempt_results: AttemptResults::default(),
         }
     }
 
-    /// Adopts a changed span of a grant.
+    /// Applies a changed time span of a grant.
     pub fn set_grant_span(&mut self, grant_span: Duration) {
         self.grant_span = grant_span;
     }
 
-    /// Names the pool's home; another one than before is told everything.
+    /// Sets the home of the pool; a different home than before gets a full report.
     ///
-    /// The sequence of reports goes on: this view of the members may have changed and changed back
-    /// while the home never knew. It would drop all reports up to its last sequence, and the callers
-    /// here would wait for as long.
+    /// The report sequence continues. The members seen here may have changed and changed back
+    /// without the home knowing. If the sequence restarted, the home would drop all reports up to
+    /// the last sequence it knows, and the callers here would wait that long.
     pub fn set_home(&mut self, home: Option<Member>) {
         if self.home != home {
             self.home = home;
             self.grants_received = 0;
-            self.full_wanted = true;
+            self.full_report_requested = true;
         }
     }
 
     /// Makes the next report a full one.
-    pub fn want_full(&mut self) {
-        self.full_wanted = true;
+    pub fn request_full_report(&mut self) {
+        self.full_report_requested = true;
     }
 
-    /// Tells whether the pool's home stands on a host.
+    /// Tells whether the home of the pool runs on a host.
     pub fn is_homed_on(&self, host: &HostId) -> bool {
         self.home.as_ref().is_some_and(|home| home.host == *host)
     }
 
-    /// Returns the pool's home.
+    /// Returns the home of the pool.
     pub fn home(&self) -> Option<&Member> {
         self.home.as_ref()
     }
 
-    /// Returns a time in which hardly a request of the account runs.
-    pub fn least_run(&self, account: &AccountId) -> Duration {
-        self.run_times.least(account)
+    /// Returns a run time that few requests of the account stay below; zero while none is known.
+    pub fn min_run_time(&self, account: &AccountId) -> Duration {
+        self.run_times.min_run_time(account)
     }
 
-    /// Counts all waiting requests.
+    /// Returns the number of waiting requests.
     pub fn waiting(&self) -> u32 {
         self.queue.waiting()
     }
 
-    /// Counts the waiting requests of an account that go before a new one of this class.
-    pub fn ahead(&self, account: &AccountId, class: RequestClass) -> u32 {
-        let before = CLASSES.iter().filter(|other| **other <= class);
+    /// Returns the number of waiting requests of an account that run before a new one of `class`.
+    pub fn requests_ahead(&self, account: &AccountId, class: RequestClass) -> u32 {
+        let before = CLASSES_BY_PRIORITY.iter().filter(|other| **other <= class);
         before
             .map(|other| self.queue.lane_len(&lane(account, *other)))
             .sum()
     }
 
-    /// Counts the accounts that wait here, `account` included.
+    /// Returns the number of accounts with waiting requests here, counting `account` in any case.
     pub fn backlogged_accounts_with(&self, account: &AccountId) -> u32 {
         let others: BTreeSet<&AccountId> = self
             .queue
@@ -175,35 +177,35 @@
         others.len() as u32 + 1
     }
 
-    /// Counts the waiting requests of an account.
-    pub fn waiting_of(&self, account: &AccountId) -> u32 {
-        CLASSES
+    /// Returns the number of waiting requests of an account.
+    pub fn waiting_of_account(&self, account: &AccountId) -> u32 {
+        CLASSES_BY_PRIORITY
             .iter()
             .map(|class| self.queue.lane_len(&lane(account, *class)))
             .sum()
     }
 
-    /// Returns the pool.
+    /// Returns the id of the pool.
     pub(crate) fn id(&self) -> &PoolId {
         &self.id
     }
 
-    /// Lists the accounts that wait, run or were served.
+    /// Returns the accounts that have waiting or running requests, or received service.
     pub(crate) fn account_views(&self) -> Vec<AccountView> {
         let mut views = BTreeMap::new();
         for lane in self.queue.lanes() {
-            self.view_of(&mut views, &lane.account).waiting_requests += self.queue.lane_len(lane);
+            self.view_mut(&mut views, &lane.account).waiting_requests += self.queue.lane_len(lane);
         }
-        for holding in self.held.holdings() {
-            self.view_of(&mut views, &holding.account).running_requests += 1;
+        for holding in self.held_grants.holdings() {
+            self.view_mut(&mut views, &holding.account).running_requests += 1;
         }
-        for (account, served_tokens) in &self.served {
-            self.view_of(&mut views, account).served_tokens = *served_tokens;
+        for (account, served_tokens) in &self.served_tokens {
+            self.view_mut(&mut views, account).served_tokens = *served_tokens;
         }
         views.into_values().collect()
     }
 
-    fn view_of<'a>(
+    fn view_mut<'a>(
         &self,
         views: &'a mut BTreeMap<AccountId, AccountView>,
         account: &AccountId,
@@ -217,43 +219,45 @@
         })
     }
 
-    /// Adds a waiting request, as the first of its lane when it was served in part before.
-    pub fn enqueue(&mut self, lane: Lane, key: RequestKey, first: bool) {
-        if first {
+    /// Adds a waiting request; `at_front` puts a request that was delayed first in its lane.
+    pub fn enqueue(&mut self, lane: Lane, key: RequestKey, at_front: bool) {
+        if at_front {
             self.queue.push_front(lane.clone(), key);
         } else {
             self.queue.push_back(lane.clone(), key);
         }
-        self.lane_changed(lane);
+        self.mark_lane_changed(lane);
     }
 
-    /// Takes a waiting request out.
+    /// Removes a waiting request; false when it is not in the lane.
     pub fn remove_waiting(&mut self, lane: &Lane, key: RequestKey) -> bool {
         let removed = self.queue.remove(lane, key);
         if removed {
-            self.lane_changed(lane.clone());
+            self.mark_lane_changed(lane.clone());
         }
         removed
     }
 
-    /// Notes what an attempt told about its endpoint.
-    pub fn note_result(&mut self, endpoint: &EndpointId, started_ago: Duration, end: AttemptEnd) {
+    /// Records what the end of an attempt says about the health of its endpoint.
+    pub fn record_result(&mut self, endpoint: &EndpointId, started_ago: Duration, end: AttemptEnd) {
         match end {
             AttemptEnd::Finished { first_byte, .. } => {
-                self.results.answered(endpoint, first_byte, started_ago);
+                self.attempt_results
+                    .record_answer(endpoint, first_byte, started_ago);
             }
             AttemptEnd::Failed { failure, .. } => {
                 if let Some(kind) = failure.endpoint_failure() {
-                    self.results.failed(endpoint, kind, started_ago);
-                    self.urgent = true;
+                    self.attempt_results
+                        .record_failure(endpoint, kind, started_ago);
+                    self.has_urgent_changes = true;
                 }
             }
             AttemptEnd::CallerGone { .. } => {}
         }
     }
 
-    /// Learns how long a request of an account ran.
-    pub fn learn_run_time(&mut self, account: &AccountId, run: Duration) {
+    /// Records how long a request of an account ran.
+    pub fn record_run_time(&mut self, account: &AccountId, run: Duration) {
         self.run_times.learn(account, run);
     }
 }
--- a/crates/coordination/src/request_table.rs
+++ b/crates/coordination/src/request_table.rs
@@ -1,4 +1,4 @@
-//! The requests that an entry router has in hand, and where each of them stands.
+//! Requests of the callers of an entry router that have no final answer yet, and their attempts.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -12,7 +12,7 @@
 use crate::entry_queue::Lane;
 use crate::pool_messages::GrantId;
 
-/// A request in hand.
+/// A request without a final answer.
 #[derive(Debug)]
 pub(crate) struct Request {
     pub(crate) arrival: Arrival,
@@ -20,17 +20,17 @@
     pub(crate) sent_tokens: u64,
     pub(crate) may_have_run: bool,
     pub(crate) head_sent: bool,
-    pub(crate) place: Place,
+    pub(crate) state: RequestState,
 }
 
-/// Where a request stands.
+/// State of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Place {
+pub(crate) enum RequestState {
     /// In the queue of its pool.
     Queued,
-    /// Put off until this time.
-    PutOff(Duration),
-    /// On an endpoint.
+    /// Queued again at this time.
+    Delayed(Duration),
+    /// Running on an endpoint.
     Running,
 }
 
@@ -42,7 +42,7 @@
             sent_tokens: 0,
             may_have_run: false,
             head_sent: false,
-            place: Place::Queued,
+            state: RequestState::Queued,
         }
     }
 
@@ -54,7 +54,7 @@
     }
 }
 
-/// An attempt under way.
+/// A running attempt.
 #[derive(Debug)]
 pub(crate) struct Attempt {
     pub(crate) key: RequestKey,
@@ -62,13 +62,13 @@
     pub(crate) started_at: Duration,
 }
 
-/// Requests in hand, by key, by deadline and by the time until which they are put off.
+/// Requests by key, by deadline and by the time until which they are delayed.
 #[derive(Debug, Default)]
 pub(crate) struct RequestTable {
     requests: BTreeMap<RequestKey, Request>,
     attempts: BTreeMap<AttemptKey, Attempt>,
     deadlines: BTreeSet<(Duration, RequestKey)>,
-    put_off: BTreeSet<(Duration, RequestKey)>,
+    delayed: BTreeSet<(Duration, RequestKey)>,
     in_progress: BTreeMap<AccountId, u32>,
     next_attempt: u64,
 }
@@ -93,8 +93,8 @@
     pub(crate) fn remove(&mut self, key: RequestKey) -> Option<Request> {
         let request = self.requests.remove(&key)?;
         self.deadlines.remove(&(request.arrival.deadline, key));
-        if let Place::PutOff(until) = request.place {
-            self.put_off.remove(&(until, key));
+        if let RequestState::Delayed(until) = request.state {
+            self.delayed.remove(&(until, key));
         }
         let account = &request.arrival.account;
         if let Some(count) = self.in_progress.get_mut(account) {
@@ -106,37 +106,37 @@
         Some(request)
     }
 
-    /// Counts an account's requests in hand.
-    pub(crate) fn in_progress(&self, account: &AccountId) -> u32 {
+    /// Returns the number of requests of an account that are queued, delayed or running.
+    pub(crate) fn in_progress_of_account(&self, account: &AccountId) -> u32 {
         self.in_progress.get(account).copied().unwrap_or(0)
     }
 
-    pub(crate) fn put_off(&mut self, key: RequestKey, until: Duration) {
+    pub(crate) fn delay(&mut self, key: RequestKey, until: Duration) {
         if let Some(request) = self.requests.get_mut(&key) {
-            request.place = Place::PutOff(until);
-            self.put_off.insert((until, key));
+            request.state = RequestState::Delayed(until);
+            self.delayed.insert((until, key));
         }
     }
 
-    /// Takes a request whose time to be queued again has come.
+    /// Takes a delayed request that is due to be queued again.
     pub(crate) fn take_due(&mut self, now: Duration) -> Option<RequestKey> {
-        let (until, key) = *self.put_off.first()?;
+        let (until, key) = *self.delayed.first()?;
         if until > now {
             return None;
         }
-        self.put_off.pop_first();
+        self.delayed.pop_first();
         Some(key)
     }
 
     /// Returns a waiting request whose deadline has passed.
     ///
-    /// A running one is ended by its attempt, which knows what already went to the caller.
-    pub(crate) fn overdue(&mut self, now: Duration) -> Option<RequestKey> {
+    /// A running request is ended by its attempt, which knows what was already sent to the caller.
+    pub(crate) fn next_expired(&mut self, now: Duration) -> Option<RequestKey> {
         while let Some((deadline, key)) = self.deadlines.first().copied() {
             if deadline > now {
                 return None;
             }
-            if self.requests[&key].place != Place::Running {
+            if self.requests[&key].state != RequestState::Running {
                 return Some(key);
             }
             self.deadlines.pop_first();
@@ -144,15 +144,15 @@
         None
     }
 
-    /// Returns when the next put-off request is due.
-    pub(crate) fn next_due(&self) -> Option<Duration> {
-        self.put_off.first().map(|(until, _)| *until)
+    /// Returns the time at which the next delayed request is due.
+    pub(crate) fn next_due_at(&self) -> Option<Duration> {
+        self.delayed.first().map(|(until, _)| *until)
     }
 
-    /// Lists the requests that were never attempted.
-    pub(crate) fn untried(&self) -> Vec<RequestKey> {
-        let untried = self.requests.values().filter(|r| r.attempts == 0);
-        untried.map(|request| request.arrival.key).collect()
+    /// Returns the requests that were never attempted.
+    pub(crate) fn never_attempted(&self) -> Vec<RequestKey> {
+        let never_attempted = self.requests.values().filter(|r| r.attempts == 0);
+        never_attempted.map(|request| request.arrival.key).collect()
     }
 
     pub(crate) fn start_attempt(
--- a/crates/coordination/tests/common/config_fleet.rs
+++ b/crates/coordination/tests/common/config_fleet.rs
@@ -151,16 +151,16 @@
     }
 
     /// Carries out the oldest call of a router.
-    pub fn deliver(&mut self, index: usize, fate: CallOutcome) {
+    pub fn deliver(&mut self, index: usize, outcome: CallOutcome) {
         let Some(call) = self.routers[index].calls.pop_front() else {
             return;
         };
-        let lag = match fate {
+        let lag = match outcome {
             CallOutcome::Stale(lag_generations) => lag_generations,
             _ => 0,
         };
-        let is_refused = fate == CallOutcome::Refused;
-        let is_silent = fate == CallOutcome::CallLost;
+        let is_refused = outcome == CallOutcome::Refused;
+        let is_silent = outcome == CallOutcome::CallLost;
         match call {
             _ if is_silent => {}
             ConfigAction::ReadHead { call, .. } if is_refused => {
@@ -185,7 +185,7 @@
                     .saturating_sub(lag)
                     .min(up_to.0 as usize);
                 let mut items = self.stored_items(after, newest);
-                if fate == CallOutcome::AnswerLost && items.len() > 1 {
+                if outcome == CallOutcome::AnswerLost && items.len() > 1 {
                     items.remove(items.len() / 2);
                 }
                 items.reverse();
