--- a/crates/cli/src/account_csv.rs
+++ b/crates/cli/src/account_csv.rs
@@ -1,4 +1,4 @@
-//! Reads new client accounts from CSV: `name,weight,key_sha256`, one a line.
+//! Reads new client accounts from CSV: `name,weight,key_sha256`, one per line.
 //!
 //! None of the three may hold a comma or a quote, so a line is split at its commas. A first line
 //! that names the columns is skipped, as are blank lines.
@@ -14,22 +14,22 @@
 use sedgeridge_state::settings::check_name;
 use sedgeridge_state::settings::check_setting;
 
-/// The columns, in order.
+/// Column names, in order.
 const HEADER: &str = "name,weight,key_sha256";
-/// Key of the digest, which must be unique.
+/// Setting that holds the key digest, which must be unique.
 const DIGEST_KEY: &str = "key_sha256";
 
-/// Findings by line, and who holds each name and key hash so far.
+/// State of an import: sections read so far, owners of key digests, and findings.
 #[derive(Debug)]
 struct Import<'a> {
     file: Arc<str>,
-    owners: HashMap<Arc<str>, Arc<str>>,
+    digest_owners: HashMap<Arc<str>, Arc<str>>,
     accepted: &'a Layer,
     sections: Layer,
     errors: Vec<SettingsError>,
 }
 
-/// Reads the sections of new accounts, or every finding. `accepted` is the base in force.
+/// Returns the sections of the new accounts, or all findings. `accepted` is the accepted base layer.
 ///
 /// ```
 /// use sedgeridge_cli::account_csv::read_accounts;
@@ -48,7 +48,7 @@
     });
     let mut import = Import {
         file: file.into(),
-        owners: digests.collect(),
+        digest_owners: digests.collect(),
         accepted,
         sections: Layer::new(),
         errors: Vec::new(),
@@ -103,7 +103,7 @@
         if self.accepted.contains_key(section) || self.sections.contains_key(section) {
             return self.report(line, section, "name", duplicate("account", section));
         }
-        let owner = self.owners.insert(digest.into(), section.clone());
+        let owner = self.digest_owners.insert(digest.into(), section.clone());
         if let Some(owner) = owner {
             self.report(line, section, DIGEST_KEY, duplicate("key hash", &owner));
         }
--- a/crates/cli/src/accounts_import.rs
+++ b/crates/cli/src/accounts_import.rs
@@ -1,4 +1,4 @@
-//! `accounts add` and `accounts import`: new client accounts as one change, all or nothing.
+//! `accounts add` and `accounts import`: add client accounts in one change, all or none.
 
 use std::fs;
 
@@ -8,20 +8,20 @@
 use sedgeridge_transport::settings_files::ReadSettingsError;
 
 use crate::account_csv::read_accounts;
-use crate::arguments::finish;
+use crate::arguments::reject_unused;
 use crate::arguments::take_file;
 use crate::arguments::take_table;
 use crate::change::Change;
 use crate::change::ChangeArguments;
 use crate::change::submit;
-use crate::config_store::Accepted;
+use crate::config_store::AcceptedConfig;
 use crate::config_store::read_accepted;
 use crate::context::Context;
 use crate::error::CommandError;
 
-/// File name under which findings in the arguments of `accounts add` are reported.
-const ARGUMENTS: &str = "(arguments)";
-/// Weight of an added account unless the command line says otherwise.
+/// File name in findings about the arguments of `accounts add`.
+const ARGUMENTS_SOURCE: &str = "(arguments)";
+/// Default weight of an added account.
 const DEFAULT_WEIGHT: &str = "1";
 
 /// Runs `accounts import FILE`.
@@ -29,14 +29,14 @@
     let table = take_table(arguments)?;
     let options = ChangeArguments::take(arguments, context)?;
     let file = take_file(arguments)?;
-    finish(arguments)?;
+    reject_unused(arguments)?;
     let text = fs::read_to_string(&file).map_err(|cause| ReadSettingsError::Unreadable {
         path: file.clone(),
         cause,
     })?;
     let accepted = read_accepted(context, table)?;
     let name = file.display().to_string();
-    let change = addition(&accepted, &text, &name)?;
+    let change = accounts_change(&accepted, &text, &name)?;
     submit(context, table, &accepted, change, &options)
 }
 
@@ -47,14 +47,22 @@
     let digest: String = arguments.value_from_str("--key-sha256")?;
     let weight: Option<String> = arguments.opt_value_from_str("--weight")?;
     let name: String = arguments.free_from_str()?;
-    finish(arguments)?;
+    reject_unused(arguments)?;
     let weight = weight.as_deref().unwrap_or(DEFAULT_WEIGHT);
     let accepted = read_accepted(context, table)?;
-    let change = addition(&accepted, &format!("{name},{weight},{digest}"), ARGUMENTS)?;
+    let change = accounts_change(
+        &accepted,
+        &format!("{name},{weight},{digest}"),
+        ARGUMENTS_SOURCE,
+    )?;
     submit(context, table, &accepted, change, &options)
 }
 
-fn addition(accepted: &Accepted, text: &str, name: &str) -> Result<Change, CommandError> {
+fn accounts_change(
+    accepted: &AcceptedConfig,
+    text: &str,
+    name: &str,
+) -> Result<Change, CommandError> {
     if accepted.head.is_none() {
         return Err(CommandError::Failed(
             "no configuration was accepted yet; begin with config apply".to_owned(),
--- a/crates/cli/src/accounts_list.rs
+++ b/crates/cli/src/accounts_list.rs
@@ -1,11 +1,11 @@
-//! `accounts list`: lists client accounts, from settings files or as one router sees them.
+//! `accounts list`: lists client accounts, from settings files or from the state of one router.
 
 use pico_args::Arguments;
 use sedgeridge_state::settings::AccountSettings;
 use serde::Serialize;
 
 use crate::arguments::SettingsArguments;
-use crate::arguments::finish;
+use crate::arguments::reject_unused;
 use crate::arguments::to_json;
 use crate::columns::align;
 use crate::context::Context;
@@ -27,7 +27,7 @@
     }
     let json = arguments.contains("--json");
     let files = SettingsArguments::take(arguments)?;
-    finish(arguments)?;
+    reject_unused(arguments)?;
     let settings = files.load()?;
     let rows: Vec<AccountRow<'_>> = settings.accounts.iter().map(account_row).collect();
     if json {
--- a/crates/cli/src/arguments.rs
+++ b/crates/cli/src/arguments.rs
@@ -1,4 +1,4 @@
-//! Arguments that several commands take.
+//! Parsing of arguments that several commands share.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -17,7 +17,7 @@
 pub struct SettingsArguments {
     /// Base file.
     pub base: PathBuf,
-    /// Overlay, given or found by the site.
+    /// Overlay, given by `--overlay` or derived from `--site`.
     pub overlay: Option<PathBuf>,
     /// Overrides, in the order given.
     pub overrides: Vec<Override>,
@@ -25,7 +25,7 @@
 }
 
 impl SettingsArguments {
-    /// Takes the arguments; the base file must be the last free one.
+    /// Takes the arguments; the base file must be the last positional argument.
     pub fn take(arguments: &mut Arguments) -> Result<Self, CommandError> {
         let site: Option<String> = arguments.opt_value_from_str("--site")?;
         let overlay: Option<PathBuf> = arguments.opt_value_from_str("--overlay")?;
@@ -54,7 +54,7 @@
         Ok(SettingsTexts::read(&self.base, self.overlay.as_deref())?)
     }
 
-    /// Reads, loads and checks the files, also that the site exists.
+    /// Reads, loads and checks the files, and checks that the site exists.
     pub fn load(&self) -> Result<Settings, CommandError> {
         let settings = self.read()?.load(&self.overrides)?;
         self.check_site(&settings)?;
@@ -75,7 +75,7 @@
         )))
     }
 
-    /// Names the files for a message.
+    /// Returns the file names as text for a message.
     pub fn describe(&self) -> String {
         match &self.overlay {
             Some(overlay) => format!("{} with {}", self.base.display(), overlay.display()),
@@ -84,7 +84,7 @@
     }
 }
 
-/// Takes a file name.
+/// Takes a file name from the positional arguments.
 pub fn take_file(arguments: &mut Arguments) -> Result<PathBuf, CommandError> {
     let file = arguments.free_from_os_str(|text| Ok::<_, Infallible>(PathBuf::from(text)));
     match file {
@@ -101,8 +101,8 @@
     Ok(arguments.value_from_str("--table")?)
 }
 
-/// Finds the table service: as given, or by the settings.
-pub fn table_of(
+/// Returns the address of the table service: the one given, otherwise the one in the settings.
+pub fn table_address(
     given: Option<SocketAddr>,
     settings: &Settings,
 ) -> Result<SocketAddr, CommandError> {
@@ -113,8 +113,8 @@
     })
 }
 
-/// Refuses whatever no one has taken.
-pub fn finish(arguments: &mut Arguments) -> Result<(), CommandError> {
+/// Returns an error if any argument was not taken.
+pub fn reject_unused(arguments: &mut Arguments) -> Result<(), CommandError> {
     let rest = std::mem::replace(arguments, Arguments::from_vec(Vec::new())).finish();
     match rest.first() {
         None => Ok(()),
@@ -125,7 +125,7 @@
     }
 }
 
-/// Writes a value as JSON with a line end.
+/// Serialises a value as indented JSON that ends with a newline.
 pub fn to_json(value: &impl serde::Serialize) -> String {
     let json = serde_json::to_string_pretty(value);
     let mut text = json.expect("rows are plain data with text keys");
--- a/crates/cli/src/change.rs
+++ b/crates/cli/src/change.rs
@@ -1,4 +1,4 @@
-//! Submits a change of the configuration and words its outcome.
+//! Submits a change of the configuration and formats its outcome.
 
 use std::net::SocketAddr;
 
@@ -11,7 +11,7 @@
 use crate::arguments::to_json;
 use crate::config_commit::Proposal;
 use crate::config_commit::commit;
-use crate::config_store::Accepted;
+use crate::config_store::AcceptedConfig;
 use crate::context::Context;
 use crate::error::CommandError;
 
@@ -27,7 +27,7 @@
 pub struct Change {
     /// The whole new configuration.
     pub document: ConfigDocument,
-    /// What it changes, in a line.
+    /// One-line summary of the change.
     pub summary: String,
 }
 
@@ -50,18 +50,18 @@
     }
 }
 
-/// Checks the new configuration at every site and commits it.
+/// Checks the new configuration for every site and commits it.
 pub fn submit(
     context: &impl Context,
     table: SocketAddr,
-    accepted: &Accepted,
+    accepted: &AcceptedConfig,
     change: Change,
     options: &ChangeArguments,
 ) -> Result<String, CommandError> {
     if change.document == accepted.document {
-        return Ok(unchanged(accepted, options));
+        return Ok(unchanged_text(accepted, options));
     }
-    check_everywhere(&change.document).map_err(ReadSettingsError::Refused)?;
+    check_for_every_site(&change.document).map_err(ReadSettingsError::Refused)?;
     let proposal = Proposal {
         document: change.document,
         author: options.author.clone(),
@@ -83,7 +83,7 @@
     ))
 }
 
-fn unchanged(accepted: &Accepted, options: &ChangeArguments) -> String {
+fn unchanged_text(accepted: &AcceptedConfig, options: &ChangeArguments) -> String {
     let change_id = accepted.head.as_ref().map_or("", |head| &head.change_id);
     let outcome = Outcome {
         generation: accepted.generation(),
@@ -100,8 +100,8 @@
     )
 }
 
-/// Loads the settings of every site; an accepted configuration must load wherever it is read.
-fn check_everywhere(document: &ConfigDocument) -> Result<(), Vec<SettingsError>> {
+/// Loads the settings of every site, as an accepted configuration must load at each of them.
+fn check_for_every_site(document: &ConfigDocument) -> Result<(), Vec<SettingsError>> {
     let settings = document.settings("")?;
     for site in settings.sites {
         document.settings(site.id.as_str())?;
--- a/crates/cli/src/columns.rs
+++ b/crates/cli/src/columns.rs
@@ -1,4 +1,4 @@
-//! Lays out rows as aligned columns.
+//! Formats rows as aligned columns.
 
 /// Aligns rows below a header; columns are two spaces apart.
 pub fn align(header: &[&str], rows: &[Vec<String>]) -> String {
@@ -8,14 +8,14 @@
             *width = cell.len().max(*width);
         }
     }
-    let mut text = line(header.iter().copied(), &widths);
+    let mut text = format_line(header.iter().copied(), &widths);
     for row in rows {
-        text.push_str(&line(row.iter().map(String::as_str), &widths));
+        text.push_str(&format_line(row.iter().map(String::as_str), &widths));
     }
     text
 }
 
-fn line<'a>(cells: impl Iterator<Item = &'a str>, widths: &[usize]) -> String {
+fn format_line<'a>(cells: impl Iterator<Item = &'a str>, widths: &[usize]) -> String {
     let padded = cells
         .zip(widths)
         .map(|(cell, width)| format!("{cell:<width$}"));
--- a/crates/cli/src/config_apply.rs
+++ b/crates/cli/src/config_apply.rs
@@ -14,8 +14,8 @@
 use sedgeridge_transport::settings_files::SettingsTexts;
 use sedgeridge_transport::settings_files::overlay_path;
 
-use crate::arguments::finish;
-use crate::arguments::table_of;
+use crate::arguments::reject_unused;
+use crate::arguments::table_address;
 use crate::arguments::take_file;
 use crate::change::Change;
 use crate::change::ChangeArguments;
@@ -24,8 +24,8 @@
 use crate::context::Context;
 use crate::error::CommandError;
 
-/// Most removed sections that a refusal names.
-const MAX_NAMED: usize = 5;
+/// Maximum number of removed sections that the error names.
+const MAX_NAMED_SECTIONS: usize = 5;
 
 /// Runs the command.
 pub fn run(arguments: &mut Arguments, context: &impl Context) -> Result<String, CommandError> {
@@ -33,10 +33,10 @@
     let remove = arguments.contains("--remove");
     let options = ChangeArguments::take(arguments, context)?;
     let base = take_file(arguments)?;
-    finish(arguments)?;
+    reject_unused(arguments)?;
     let settings = SettingsTexts::read(&base, None)?.load(&[])?;
     let document = read_document(&base, &settings)?;
-    let table = table_of(table, &settings)?;
+    let table = table_address(table, &settings)?;
     let accepted = read_accepted(context, table)?;
     let edits = accepted.document.edits_to(&document);
     if !remove {
@@ -73,7 +73,8 @@
     ))
 }
 
-/// Refuses overlays of sites that do not exist: a misspelt file name would be left out unnoticed.
+/// Refuses overlays of sites that do not exist; otherwise an overlay with a misspelt file name would
+/// be silently ignored.
 fn refuse_stray_overlays(base: &Path, settings: &Settings) -> Result<(), CommandError> {
     let directory = match base.parent() {
         Some(parent) if parent != Path::new("") => parent,
@@ -102,7 +103,7 @@
     Ok(())
 }
 
-/// Refuses to remove what the files lack: accounts added by command are in no file.
+/// Refuses to remove sections that the files lack: accounts added by command are in no file.
 fn refuse_removals(edits: &[SectionEdit]) -> Result<(), CommandError> {
     let removed: Vec<&Arc<str>> = edits
         .iter()
@@ -114,10 +115,10 @@
     }
     let named: Vec<String> = removed
         .iter()
-        .take(MAX_NAMED)
+        .take(MAX_NAMED_SECTIONS)
         .map(|s| format!("[{s}]"))
         .collect();
-    let more = match removed.len().saturating_sub(MAX_NAMED) {
+    let more = match removed.len().saturating_sub(MAX_NAMED_SECTIONS) {
         0 => String::new(),
         more => format!(" and {more} more"),
     };
@@ -130,6 +131,6 @@
 
 fn summary(edits: &[SectionEdit]) -> String {
     let removed = edits.iter().filter(|edit| edit.pairs.is_none()).count();
-    let put = edits.len() - removed;
-    format!("{put} sections set, {removed} removed")
+    let set = edits.len() - removed;
+    format!("{set} sections set, {removed} removed")
 }
--- a/crates/cli/src/config_check.rs
+++ b/crates/cli/src/config_check.rs
@@ -1,10 +1,10 @@
-//! `config check`: checks settings and starts nothing.
+//! `config check`: checks settings files without starting anything.
 
 use pico_args::Arguments;
 use sedgeridge_state::settings::Settings;
 
 use crate::arguments::SettingsArguments;
-use crate::arguments::finish;
+use crate::arguments::reject_unused;
 use crate::context::Context;
 use crate::error::CommandError;
 use crate::findings::acceptance_json;
@@ -13,7 +13,7 @@
 pub fn run(arguments: &mut Arguments, _context: &impl Context) -> Result<String, CommandError> {
     let json = arguments.contains("--json");
     let files = SettingsArguments::take(arguments)?;
-    finish(arguments)?;
+    reject_unused(arguments)?;
     let loaded = files.load();
     if json {
         return loaded
--- a/crates/cli/src/config_commit.rs
+++ b/crates/cli/src/config_commit.rs
@@ -1,4 +1,5 @@
-//! Commits a new configuration: one conditional transaction, settled also when its answer is lost.
+//! Commits a new configuration in one conditional transaction, and finds out its outcome if the
+//! answer is lost.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,48 +19,48 @@
 use serde::Serialize;
 use thiserror::Error;
 
-use crate::config_store::Accepted;
+use crate::config_store::AcceptedConfig;
 use crate::config_store::read_change;
 use crate::context::Context;
 use crate::context::TableError;
 
-/// Most sends of one transaction.
+/// Maximum number of times one transaction is sent.
 pub const MAX_ATTEMPTS: u32 = 6;
-/// Pause after the first attempt; it doubles with each further one.
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
+/// Pause after the first attempt; it doubles after each further one.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
 
 /// A new configuration, not yet accepted.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Proposal {
     /// The whole new configuration.
     pub document: ConfigDocument,
-    /// Who asks for it.
+    /// Name of the operator who proposes it.
     pub author: String,
-    /// What it changes, in a line.
+    /// One-line summary of the change.
     pub summary: String,
 }
 
-/// Why a proposal is not known to be accepted.
+/// Error of a commit that was not accepted, or whose outcome is unknown.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum CommitError {
-    /// Another change took the generation.
+    /// Another change was accepted as this generation.
     #[error("conflict: generation {generation} is change {change_id} by {author} ({summary})")]
     Conflict {
-        /// Generation that both wanted.
+        /// Generation that both changes were for.
         generation: u64,
-        /// The winner's change.
+        /// Id of the accepted change.
         change_id: String,
-        /// The winner.
+        /// Author of the accepted change.
         author: String,
-        /// What the winner changed.
+        /// Summary of the accepted change.
         summary: String,
     },
-    /// Another change took the generation, and which one could not be read.
+    /// Another change was accepted as this generation, and it could not be read.
     #[error("conflict: generation {generation} was taken by another change ({cause})")]
     UnnamedConflict {
-        /// Generation that both wanted.
+        /// Generation that both changes were for.
         generation: u64,
-        /// Why the winner could not be read.
+        /// Reason why the accepted change could not be read.
         cause: String,
     },
     /// Nothing was written.
@@ -67,12 +68,12 @@
     NotWritten(TableError),
     /// The write may have taken effect.
     #[error("unknown whether change {change_id} was accepted as generation {generation}: {cause}")]
-    Unknown {
-        /// Generation that the change wanted.
+    OutcomeUnknown {
+        /// Generation that the change was for.
         generation: u64,
-        /// The change.
+        /// Id of the change.
         change_id: String,
-        /// What reading back gave.
+        /// Result of reading the generation back.
         cause: String,
     },
 }
@@ -80,9 +81,9 @@
 /// Commits a proposal as the generation after the one that was read.
 ///
 /// The transaction is conditional on the head's version, so sending it again is safe: it takes
-/// effect at most once. A conflict after a lost answer may be our own earlier send; the change id
-/// found at the generation tells. Without that check an operator would be told of a conflict with
-/// a change that is in force, and would apply it twice.
+/// effect at most once. A conflict after a lost answer may come from an earlier attempt of the same
+/// commit; the change id found at the generation shows whether it does. Without that check, an
+/// operator would see a conflict with their own accepted change and would apply it twice.
 ///
 /// ```no_run
 /// use sedgeridge_cli::config_commit::Proposal;
@@ -102,23 +103,23 @@
 pub fn commit(
     context: &impl Context,
     table: SocketAddr,
-    accepted: &Accepted,
+    accepted: &AcceptedConfig,
     proposal: &Proposal,
 ) -> Result<ConfigChange, CommitError> {
-    let change = change_of(context.new_change_id(), accepted, proposal);
-    let transact = transaction(accepted, &change);
-    let mut in_doubt = false;
-    let mut pause = FIRST_PAUSE;
+    let change = new_change(context.new_change_id(), accepted, proposal);
+    let transact = commit_request(accepted, &change);
+    let mut maybe_written = false;
+    let mut pause = INITIAL_BACKOFF;
     let mut attempt = 1;
     let last_error = loop {
         let error = match context.transact(table, &transact) {
             Ok(TransactAnswer::Committed { .. }) => return Ok(change),
             Ok(TransactAnswer::Conflict { .. }) => {
-                return settle(context, table, change, in_doubt);
+                return resolve_outcome(context, table, change, maybe_written);
             }
             Err(error) => error,
         };
-        in_doubt |= matches!(error, TableError::Unknown(_));
+        maybe_written |= matches!(error, TableError::OutcomeUnknown(_));
         if attempt == MAX_ATTEMPTS {
             break error;
         }
@@ -126,18 +127,18 @@
         context.pause(pause);
         pause *= 2;
     };
-    if !in_doubt {
+    if !maybe_written {
         return Err(CommitError::NotWritten(last_error));
     }
-    settle(context, table, change, in_doubt)
+    resolve_outcome(context, table, change, maybe_written)
 }
 
-/// Settles by reading who holds the generation.
-fn settle(
+/// Determines the outcome by reading which change was accepted as the generation.
+fn resolve_outcome(
     context: &impl Context,
     table: SocketAddr,
     change: ConfigChange,
-    in_doubt: bool,
+    maybe_written: bool,
 ) -> Result<ConfigChange, CommitError> {
     let generation = change.generation;
     let found = read_change(context, table, generation);
@@ -154,17 +155,17 @@
         Ok(None) => format!("no change found at generation {generation}"),
         Err(error) => error.to_string(),
     };
-    if !in_doubt {
+    if !maybe_written {
         return Err(CommitError::UnnamedConflict { generation, cause });
     }
-    Err(CommitError::Unknown {
+    Err(CommitError::OutcomeUnknown {
         generation,
         change_id: change.change_id,
         cause,
     })
 }
 
-fn change_of(change_id: String, accepted: &Accepted, proposal: &Proposal) -> ConfigChange {
+fn new_change(change_id: String, accepted: &AcceptedConfig, proposal: &Proposal) -> ConfigChange {
     let generation = accepted.generation() + 1;
     let content = if snapshot_generation(generation) == generation {
         ConfigContent::Snapshot(proposal.document.clone())
@@ -180,7 +181,7 @@
     }
 }
 
-fn transaction(accepted: &Accepted, change: &ConfigChange) -> TransactRequest {
+fn commit_request(accepted: &AcceptedConfig, change: &ConfigChange) -> TransactRequest {
     let head = ConfigHead {
         generation: change.generation,
         change_id: change.change_id.clone(),
@@ -188,10 +189,10 @@
     };
     let change_key = config_change_key(change.generation);
     let mut writes = vec![
-        put(CONFIG_HEAD_KEY.to_owned(), &head),
-        put(change_key.clone(), change),
+        write_record(CONFIG_HEAD_KEY.to_owned(), &head),
+        write_record(change_key.clone(), change),
     ];
-    writes.extend(outdated_keys(change.generation).map(|key| RowWrite { key, value: None }));
+    writes.extend(outdated_change_keys(change.generation).map(|key| RowWrite { key, value: None }));
     TransactRequest {
         checks: vec![
             VersionCheck {
@@ -207,7 +208,7 @@
     }
 }
 
-fn put(key: String, record: &impl Serialize) -> RowWrite {
+fn write_record(key: String, record: &impl Serialize) -> RowWrite {
     let value = serde_json::to_string(record).expect("a record is plain data with text keys");
     RowWrite {
         key,
@@ -215,9 +216,9 @@
     }
 }
 
-/// Names the rows that a snapshot makes outdated: those older than the snapshot before it. The
-/// rows between stay, so a reader that holds an older head can still follow it.
-fn outdated_keys(generation: u64) -> impl Iterator<Item = String> {
+/// Returns the keys of the rows that a snapshot makes obsolete: those older than the snapshot before
+/// it. The rows between the two stay, so that a reader with an older head can still read its changes.
+fn outdated_change_keys(generation: u64) -> impl Iterator<Item = String> {
     let is_snapshot = snapshot_generation(generation) == generation;
     let end = generation.saturating_sub(GENERATIONS_PER_SNAPSHOT);
     let start = if is_snapshot {
--- a/crates/cli/src/config_head.rs
+++ b/crates/cli/src/config_head.rs
@@ -1,9 +1,9 @@
-//! `config head`: shows the accepted generation and the change that made it.
+//! `config head`: shows the accepted generation and the change that created it.
 
 use pico_args::Arguments;
 use serde::Serialize;
 
-use crate::arguments::finish;
+use crate::arguments::reject_unused;
 use crate::arguments::take_table;
 use crate::arguments::to_json;
 use crate::config_store::read_accepted;
@@ -23,7 +23,7 @@
 pub fn run(arguments: &mut Arguments, context: &impl Context) -> Result<String, CommandError> {
     let json = arguments.contains("--json");
     let table = take_table(arguments)?;
-    finish(arguments)?;
+    reject_unused(arguments)?;
     let generation = read_accepted(context, table)?.generation();
     let Some(change) = read_change(context, table, generation)? else {
         return Err(CommandError::Failed(
--- a/crates/cli/src/config_show.rs
+++ b/crates/cli/src/config_show.rs
@@ -1,9 +1,9 @@
-//! `config show --effective`: prints every setting in force and where it comes from.
+//! `config show --effective`: prints every effective setting and its origin.
 
 use pico_args::Arguments;
 
 use crate::arguments::SettingsArguments;
-use crate::arguments::finish;
+use crate::arguments::reject_unused;
 use crate::arguments::to_json;
 use crate::context::Context;
 use crate::error::CommandError;
@@ -15,7 +15,7 @@
         return Err(CommandError::Usage("config show takes --effective".into()));
     }
     let files = SettingsArguments::take(arguments)?;
-    finish(arguments)?;
+    reject_unused(arguments)?;
     files.load()?;
     let effective = files.read()?.effective(&files.overrides)?;
     if json {
--- a/crates/cli/src/config_store.rs
+++ b/crates/cli/src/config_store.rs
@@ -15,41 +15,41 @@
 use crate::context::TableClient;
 use crate::context::TableError;
 
-/// The accepted configuration as read.
+/// The accepted configuration as read from the table service.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Accepted {
-    /// The head; none when no configuration was ever accepted.
+pub struct AcceptedConfig {
+    /// Head record; `None` if no configuration was ever accepted.
     pub head: Option<ConfigHead>,
-    /// Version of the head's row, 0 when there is none.
+    /// Version of the head's row; 0 if there is none.
     pub head_version: u64,
     /// The whole configuration.
     pub document: ConfigDocument,
 }
 
-impl Accepted {
-    /// Generation in force, 0 when none is.
+impl AcceptedConfig {
+    /// Accepted generation; 0 if there is none.
     pub(crate) fn generation(&self) -> u64 {
         self.head.as_ref().map_or(0, |head| head.generation)
     }
 }
 
-/// Why the accepted configuration could not be read.
+/// Error of reading the accepted configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum StoreError {
-    /// The table service gave no answer.
+    /// The call of the table service failed.
     #[error(transparent)]
     Table(#[from] TableError),
-    /// A row is missing or holds something else.
+    /// A row is missing or can't be parsed.
     #[error("row {key} of the table service: {problem}")]
     Row {
         /// Key of the row.
         key: String,
-        /// What is wrong with it.
+        /// Description of the problem.
         problem: String,
     },
 }
 
-/// Reads the accepted configuration.
+/// Reads the accepted configuration: the last snapshot and the changes after it.
 ///
 /// ```no_run
 /// use sedgeridge_cli::config_store::read_accepted;
@@ -57,12 +57,15 @@
 /// let table = "127.0.0.2:7000".parse().unwrap();
 /// let accepted = read_accepted(&SystemContext::default(), table).unwrap();
 /// ```
-pub fn read_accepted(client: &impl TableClient, table: SocketAddr) -> Result<Accepted, StoreError> {
+pub fn read_accepted(
+    client: &impl TableClient,
+    table: SocketAddr,
+) -> Result<AcceptedConfig, StoreError> {
     let rows = read_keys(client, table, vec![CONFIG_HEAD_KEY.to_owned()])?;
     let Some(row) = rows.iter().find(|row| row.value.is_some()) else {
-        return Ok(Accepted::default());
+        return Ok(AcceptedConfig::default());
     };
-    let head: ConfigHead = parse(row)?;
+    let head: ConfigHead = parse_row(row)?;
     let generations = head.snapshot_generation..=head.generation;
     let keys = generations.clone().map(config_change_key).collect();
     let changes = read_keys(client, table, keys)?;
@@ -70,19 +73,19 @@
     for generation in generations {
         let key = config_change_key(generation);
         let change: ConfigChange = match changes.iter().find(|row| row.key == key) {
-            Some(row) => parse(row)?,
-            None => return Err(missing(key)),
+            Some(row) => parse_row(row)?,
+            None => return Err(missing_row(key)),
         };
         document = change.content.apply_to(document);
     }
-    Ok(Accepted {
+    Ok(AcceptedConfig {
         head_version: row.version,
         head: Some(head),
         document,
     })
 }
 
-/// Reads the change that made a generation, if there is one.
+/// Reads the change that created a generation; `None` if its row does not exist.
 ///
 /// ```no_run
 /// use sedgeridge_cli::config_store::read_change;
@@ -97,7 +100,7 @@
 ) -> Result<Option<ConfigChange>, StoreError> {
     let rows = read_keys(client, table, vec![config_change_key(generation)])?;
     let present = rows.iter().find(|row| row.value.is_some());
-    present.map(parse).transpose()
+    present.map(parse_row).transpose()
 }
 
 fn read_keys(
@@ -112,9 +115,9 @@
     client.read(table, &read).map(|answer| answer.rows)
 }
 
-fn parse<T: DeserializeOwned>(row: &Row) -> Result<T, StoreError> {
+fn parse_row<T: DeserializeOwned>(row: &Row) -> Result<T, StoreError> {
     let Some(value) = &row.value else {
-        return Err(missing(row.key.clone()));
+        return Err(missing_row(row.key.clone()));
     };
     serde_json::from_str(value).map_err(|error| StoreError::Row {
         key: row.key.clone(),
@@ -122,7 +125,7 @@
     })
 }
 
-fn missing(key: String) -> StoreError {
+fn missing_row(key: String) -> StoreError {
     StoreError::Row {
         key,
         problem: "missing; read again, a newer snapshot may have replaced it".to_owned(),
--- a/crates/cli/src/config_wait.rs
+++ b/crates/cli/src/config_wait.rs
@@ -11,7 +11,7 @@
 use serde::Serialize;
 
 use crate::arguments::SettingsArguments;
-use crate::arguments::finish;
+use crate::arguments::reject_unused;
 use crate::arguments::to_json;
 use crate::columns::align;
 use crate::config_store::read_accepted;
@@ -19,10 +19,10 @@
 use crate::error::CommandError;
 use crate::online::fetch_page;
 
-/// Time to wait unless the command line says otherwise.
+/// Default time to wait.
 const DEFAULT_TIMEOUT_MS: u64 = 10_000;
-/// Time between two rounds of questions.
-const ROUND_PAUSE: Duration = Duration::from_millis(200);
+/// Pause between two rounds of queries.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 #[derive(Debug, Serialize)]
 struct HostRow {
@@ -39,7 +39,7 @@
     let table: Option<SocketAddr> = arguments.opt_value_from_str("--table")?;
     let timeout_ms: Option<u64> = arguments.opt_value_from_str("--timeout-ms")?;
     let files = SettingsArguments::take(arguments)?;
-    finish(arguments)?;
+    reject_unused(arguments)?;
     let settings = files.load()?;
     let table = table.or(settings.platform.table_address);
     let generation = match (generation, table) {
@@ -52,43 +52,47 @@
         }
     };
     let timeout = millis(timeout_ms.unwrap_or(DEFAULT_TIMEOUT_MS));
-    let rows = wait(context, &settings.hosts, generation, timeout);
+    let rows = wait_for_hosts(context, &settings.hosts, generation, timeout);
     let text = match json {
         true => to_json(&rows),
-        false => table_of(&rows),
+        false => rows_as_columns(&rows),
     };
     match rows.iter().filter(|row| !row.in_force).count() {
         0 => Ok(text),
-        late => Err(CommandError::Late {
-            rows: text,
+        lagging_hosts => Err(CommandError::NotInForce {
+            report: text,
             generation,
-            late,
+            lagging_hosts,
         }),
     }
 }
 
-/// Asks again those that are late. Pauses alone are counted, so a slow round ends no later by it.
-fn wait(
+/// Queries all hosts, then again those without the generation. Only the pauses count towards the
+/// timeout, not the time that the queries take.
+fn wait_for_hosts(
     context: &impl Context,
     hosts: &[HostSettings],
     generation: u64,
     timeout: Duration,
 ) -> Vec<HostRow> {
     let mut waited = Duration::ZERO;
-    let mut rows: Vec<HostRow> = hosts.iter().map(|h| ask(context, h, generation)).collect();
+    let mut rows: Vec<HostRow> = hosts
+        .iter()
+        .map(|h| query_host(context, h, generation))
+        .collect();
     while waited < timeout && rows.iter().any(|row| !row.in_force) {
-        context.pause(ROUND_PAUSE);
-        waited += ROUND_PAUSE;
+        context.pause(POLL_INTERVAL);
+        waited += POLL_INTERVAL;
         for (row, host) in rows.iter_mut().zip(hosts) {
             if !row.in_force {
-                *row = ask(context, host, generation);
+                *row = query_host(context, host, generation);
             }
         }
     }
     rows
 }
 
-fn ask(context: &impl Context, host: &HostSettings, generation: u64) -> HostRow {
+fn query_host(context: &impl Context, host: &HostSettings, generation: u64) -> HostRow {
     let status = fetch_page::<RouterStatus>(context, host.operator_address, STATUS_PATH);
     let (found, problem) = match status {
         Ok(status) => (Some(status.config_generation), None),
@@ -102,7 +106,7 @@
     }
 }
 
-fn table_of(rows: &[HostRow]) -> String {
+fn rows_as_columns(rows: &[HostRow]) -> String {
     let cells: Vec<Vec<String>> = rows
         .iter()
         .map(|row| {
--- a/crates/cli/src/context.rs
+++ b/crates/cli/src/context.rs
@@ -1,4 +1,4 @@
-//! What a command needs of the outside, as traits, so that tests replace it.
+//! Traits for the external services that commands use, so that tests can replace them.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,19 +9,19 @@
 use sedgeridge_protocol::table::TransactRequest;
 use thiserror::Error;
 
-/// The outside of a command.
+/// External services and system functions that a command uses.
 pub trait Context: TableClient + OperatorPages {
-    /// Makes a name for a change that no other change has.
+    /// Returns a new unique id for a change.
     fn new_change_id(&self) -> String;
 
-    /// Waits.
+    /// Sleeps for the duration.
     fn pause(&self, duration: Duration);
 
-    /// Names who runs the command.
+    /// Returns the name of the user who runs the command.
     fn author(&self) -> String;
 }
 
-/// Calls of the platform's table service.
+/// Client of the platform's table service.
 pub trait TableClient {
     /// Runs a transaction.
     fn transact(
@@ -34,16 +34,16 @@
     fn read(&self, table: SocketAddr, read: &ReadRequest) -> Result<ReadAnswer, TableError>;
 }
 
-/// Pages that routers serve to operators.
+/// Client of the pages that routers serve to operators.
 pub trait OperatorPages {
-    /// Fetches a page of JSON.
-    fn fetch(&self, router: SocketAddr, path: &str) -> Result<String, FetchError>;
+    /// Fetches a JSON page.
+    fn fetch(&self, router: SocketAddr, path: &str) -> Result<String, PageError>;
 
     /// Sends JSON to a page.
-    fn post(&self, router: SocketAddr, path: &str, body: &str) -> Result<(), FetchError>;
+    fn post(&self, router: SocketAddr, path: &str, body: &str) -> Result<(), PageError>;
 }
 
-/// A call of the table service that gave no result.
+/// Error of a call of the table service.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum TableError {
     /// The service did not run the call.
@@ -51,10 +51,10 @@
     Refused(String),
     /// The answer is missing; a write may have taken effect.
     #[error("the table service gave no answer: {0}")]
-    Unknown(String),
+    OutcomeUnknown(String),
 }
 
-/// A page that could not be fetched.
+/// Error of a request to an operator page.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("{0}")]
-pub struct FetchError(pub String);
+pub struct PageError(pub String);
--- a/crates/cli/src/dispatch.rs
+++ b/crates/cli/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! Picks the command.
+//! Selects the command that the arguments name.
 
 use pico_args::Arguments;
 
@@ -21,7 +21,7 @@
 use crate::orders_list;
 use crate::sites;
 
-/// Runs the command that the arguments name and gives the text to print.
+/// Runs the command that the arguments name and returns the text to print.
 ///
 /// ```
 /// use pico_args::Arguments;
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -1,4 +1,4 @@
-//! How a command fails, and the exit code that says so.
+//! Errors of commands and their exit codes.
 
 use std::process::ExitCode;
 
@@ -7,7 +7,7 @@
 
 use crate::config_commit::CommitError;
 use crate::config_store::StoreError;
-use crate::context::FetchError;
+use crate::context::PageError;
 use crate::findings::refusal_json;
 
 /// Exit code: the operation was tried and failed.
@@ -18,40 +18,40 @@
 /// A failed command.
 #[derive(Debug, Error)]
 pub enum CommandError {
-    /// The arguments make no command.
+    /// The arguments are not a valid command.
     #[error("error: {0}\n  hint: sedgeridge --help lists the commands")]
     Usage(String),
     /// The input was refused.
     #[error("{0}")]
     BadInput(String),
     /// The settings were refused.
-    #[error("{cause}\n\n{}", counted(cause.count()))]
+    #[error("{cause}\n\n{}", error_count_text(cause.count()))]
     Settings {
-        /// Every finding.
+        /// All findings.
         cause: ReadSettingsError,
-        /// Whether the findings are also wanted as JSON on standard output.
+        /// Whether to print the findings as JSON on standard output too.
         json: bool,
     },
     /// The operation was tried and failed.
     #[error("error: {0}")]
     Failed(String),
-    /// A change of the configuration was not accepted, or is not known to be.
+    /// A change of the configuration was not accepted, or its outcome is unknown.
     #[error("error: {0}")]
     Commit(#[from] CommitError),
-    /// Some hosts do not have a generation in force in time.
-    #[error("error: generation {generation} is not in force on {late} hosts")]
-    Late {
-        /// Every host, for standard output.
-        rows: String,
-        /// The generation.
+    /// A generation was not in force on some hosts before the timeout.
+    #[error("error: generation {generation} is not in force on {lagging_hosts} hosts")]
+    NotInForce {
+        /// State of all hosts, for standard output.
+        report: String,
+        /// Expected generation.
         generation: u64,
-        /// Hosts without it.
-        late: usize,
+        /// Number of hosts on which it is not in force.
+        lagging_hosts: usize,
     },
 }
 
 impl CommandError {
-    /// Asks for the findings of refused settings as JSON too.
+    /// Makes [`Self::stdout`] return the findings of refused settings as JSON.
     pub(crate) fn with_json(self) -> Self {
         match self {
             Self::Settings { cause, .. } => Self::Settings { cause, json: true },
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Gives the exit code.
+    /// Returns the exit code.
     ///
     /// ```
     /// use std::process::ExitCode;
@@ -72,11 +72,13 @@
             Self::Usage(_) | Self::BadInput(_) | Self::Settings { .. } => {
                 ExitCode::from(EXIT_BAD_INPUT)
             }
-            Self::Failed(_) | Self::Commit(_) | Self::Late { .. } => ExitCode::from(EXIT_FAILED),
+            Self::Failed(_) | Self::Commit(_) | Self::NotInForce { .. } => {
+                ExitCode::from(EXIT_FAILED)
+            }
         }
     }
 
-    /// Gives what goes to standard output in spite of the failure.
+    /// Returns the text that is printed to standard output despite the failure.
     ///
     /// ```
     /// use sedgeridge_cli::error::CommandError;
@@ -88,7 +90,7 @@
                 cause: ReadSettingsError::Refused(findings),
                 json: true,
             } => refusal_json(findings),
-            Self::Late { rows, .. } => rows.clone(),
+            Self::NotInForce { report, .. } => report.clone(),
             _ => String::new(),
         }
     }
@@ -112,13 +114,13 @@
     }
 }
 
-impl From<FetchError> for CommandError {
-    fn from(error: FetchError) -> Self {
+impl From<PageError> for CommandError {
+    fn from(error: PageError) -> Self {
         Self::Failed(error.to_string())
     }
 }
 
-fn counted(count: usize) -> String {
+fn error_count_text(count: usize) -> String {
     match count {
         1 => "1 error".to_owned(),
         count => format!("{count} errors"),
--- a/crates/cli/src/explain.rs
+++ b/crates/cli/src/explain.rs
@@ -1,4 +1,5 @@
-//! `explain ID FILE...`: a request's way through the logs of several hosts, and what explains its end.
+//! `explain ID FILE...`: collects the log lines of one request from several hosts and describes the
+//! cause of its end.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -12,21 +13,21 @@
 use crate::arguments::to_json;
 use crate::error::CommandError;
 
-/// Difference between two readings of one host's time of day beyond which the clock was moved.
-const MOVED_MS: i64 = 100;
-/// Time before a request's last line in which what its host lost or regained may matter.
-const CONTEXT_MS: i64 = 5_000;
+/// Change of a host's computed start time, `at_ms - up_ms`, above which its clock counts as moved.
+const CLOCK_MOVE_THRESHOLD_MS: i64 = 100;
+/// Time before a request's end in which events about the host's dependencies are reported with it.
+const CONTEXT_WINDOW_MS: i64 = 5_000;
 /// Events that end a request.
-const ENDS: [&str; 5] = ["E3301", "E3302", "E3304", "E3305", "E3307"];
-/// Events about what a host depends on.
-const SURROUNDINGS: [&str; 10] = [
+const END_EVENTS: [&str; 5] = ["E3301", "E3302", "E3304", "E3305", "E3307"];
+/// Events about services that a host depends on.
+const DEPENDENCY_EVENTS: [&str; 10] = [
     "E3002", "E3006", "E3102", "E3105", "E3106", "E3107", "E3201", "E3202", "E3203", "E3204",
 ];
 
-/// The event of a host's start.
-const STARTED: &str = "E3001";
+/// Event of a host's start.
+const START_EVENT: &str = "E3001";
 
-/// Times of day at the starts of each host, by its own clock.
+/// Wall-clock times of the starts of each host, in milliseconds by its own clock.
 type StartTimes = BTreeMap<String, Vec<i64>>;
 
 /// One line of a host's log.
@@ -49,7 +50,7 @@
 
 #[derive(Debug, Serialize)]
 struct ExplainedLine {
-    /// Time of day by the clock that the host had at its start.
+    /// Wall-clock time by the clock that the host had at its start.
     at_ms: i64,
     /// How far the host's clock has been moved since its start.
     clock_moved_ms: i64,
@@ -83,11 +84,11 @@
     }
     Ok(match json {
         true => to_json(&explanation),
-        false => as_text(&explanation),
+        false => to_text(&explanation),
     })
 }
 
-/// Reads a line of JSON, whatever a collector put before it.
+/// Parses a line of JSON; skips any prefix that a log collector added.
 fn read_line(line: &str) -> Option<LogLine> {
     let start = line.find('{')?;
     let fields: Map<String, Value> = serde_json::from_str(&line[start..]).ok()?;
@@ -108,10 +109,10 @@
     let mut explained: Vec<_> = lines
         .iter()
         .filter(|line| line.request.as_deref() == Some(request))
-        .map(|line| explained(line, &started))
+        .map(|line| explain_line(line, &started))
         .collect();
     explained.sort_by_key(|line| line.at_ms);
-    let cause = cause_of(&explained, lines, &started);
+    let cause = describe_cause(&explained, lines, &started);
     Explanation {
         request: request.to_owned(),
         cause,
@@ -119,26 +120,26 @@
     }
 }
 
-/// Returns the time of day at each start of each host, by its own clock.
+/// Returns the wall-clock time of each start of each host, by its own clock.
 fn start_times(lines: &[LogLine]) -> StartTimes {
     let mut started = StartTimes::new();
     for line in lines {
-        let of_host = started.entry(line.host.clone()).or_default();
-        if of_host.is_empty() || line.event == STARTED {
-            of_host.push(line.at_ms - line.up_ms);
+        let host_starts = started.entry(line.host.clone()).or_default();
+        if host_starts.is_empty() || line.event == START_EVENT {
+            host_starts.push(line.at_ms - line.up_ms);
         }
     }
     started
 }
 
-fn explained(line: &LogLine, started: &StartTimes) -> ExplainedLine {
-    // Of several runs of a host, the line belongs to the one whose start fits best.
+fn explain_line(line: &LogLine, started: &StartTimes) -> ExplainedLine {
+    // If the host ran several times, the line belongs to the run with the nearest start.
     let start = line.at_ms - line.up_ms;
     let runs = started.get(&line.host).into_iter().flatten();
     let nearest = runs.min_by_key(|at| (**at - start).abs());
     let base = nearest.copied().unwrap_or(start);
     let moved = start - base;
-    let clock_moved_ms = match moved.abs() > MOVED_MS {
+    let clock_moved_ms = match moved.abs() > CLOCK_MOVE_THRESHOLD_MS {
         true => moved,
         false => 0,
     };
@@ -151,12 +152,16 @@
     }
 }
 
-/// Words the first line that explains the end.
-fn cause_of(way: &[ExplainedLine], lines: &[LogLine], started: &StartTimes) -> Option<String> {
-    let end = way
+/// Describes the end of the request, its failed attempts and recent events on its host.
+fn describe_cause(
+    request_lines: &[ExplainedLine],
+    lines: &[LogLine],
+    started: &StartTimes,
+) -> Option<String> {
+    let end = request_lines
         .iter()
         .rev()
-        .find(|line| ENDS.contains(&line.event.as_str()))?;
+        .find(|line| END_EVENTS.contains(&line.event.as_str()))?;
     let word = |line: &ExplainedLine, name: &str| match line.fields.get(name) {
         Some(Value::String(text)) => text.clone(),
         Some(value) => value.to_string(),
@@ -178,7 +183,7 @@
         "E3305" => format!("its caller left {}", end.host),
         _ => format!("turned away by {}: {}", end.host, word(end, "reason")),
     };
-    for attempt in way.iter().filter(|line| line.event == "E3303") {
+    for attempt in request_lines.iter().filter(|line| line.event == "E3303") {
         let part = format!(
             "; attempt at {} ended as {}",
             word(attempt, "endpoint"),
@@ -186,7 +191,7 @@
         );
         cause.push_str(&part);
     }
-    for line in surroundings(end, lines, started) {
+    for line in recent_dependency_events(end, lines, started) {
         let about = line.fields.get("name").and_then(Value::as_str);
         let part = format!(
             "; {} ms before, {}",
@@ -198,24 +203,24 @@
     Some(cause)
 }
 
-/// Returns what the host lost or regained shortly before a request's end.
-fn surroundings(
+/// Returns the events about the host's dependencies shortly before a request's end.
+fn recent_dependency_events(
     end: &ExplainedLine,
     lines: &[LogLine],
     started: &StartTimes,
 ) -> Vec<ExplainedLine> {
-    let of_host = lines
+    let host_events = lines
         .iter()
-        .filter(|line| line.host == end.host && SURROUNDINGS.contains(&line.event.as_str()));
-    let mut found: Vec<_> = of_host
-        .map(|line| explained(line, started))
-        .filter(|line| (0..CONTEXT_MS).contains(&(end.at_ms - line.at_ms)))
+        .filter(|line| line.host == end.host && DEPENDENCY_EVENTS.contains(&line.event.as_str()));
+    let mut found: Vec<_> = host_events
+        .map(|line| explain_line(line, started))
+        .filter(|line| (0..CONTEXT_WINDOW_MS).contains(&(end.at_ms - line.at_ms)))
         .collect();
     found.sort_by_key(|line| line.at_ms);
     found
 }
 
-fn as_text(explanation: &Explanation) -> String {
+fn to_text(explanation: &Explanation) -> String {
     let mut text = format!("request {}\n", explanation.request);
     for line in &explanation.lines {
         let moved = match line.clock_moved_ms {
--- a/crates/cli/src/findings.rs
+++ b/crates/cli/src/findings.rs
@@ -1,4 +1,4 @@
-//! Findings in settings as JSON.
+//! Formats findings in settings as JSON.
 
 use sedgeridge_state::settings::SettingsError;
 use serde::Serialize;
@@ -21,7 +21,7 @@
     hint: Option<&'a str>,
 }
 
-/// Reports settings that were accepted.
+/// Returns the report for valid settings.
 pub(crate) fn acceptance_json() -> String {
     to_json(&Report {
         ok: true,
@@ -29,7 +29,7 @@
     })
 }
 
-/// Reports every finding in refused settings.
+/// Returns the report with all findings in refused settings.
 pub(crate) fn refusal_json(findings: &[SettingsError]) -> String {
     let errors = findings.iter().map(|finding| Finding {
         file: &finding.file,
--- a/crates/cli/src/help.rs
+++ b/crates/cli/src/help.rs
@@ -1,6 +1,6 @@
 //! The text of `--help`.
 
-/// Lists every command.
+/// Usage of all commands.
 pub const HELP: &str = "\
 sedgeridge: the operators' command line
 
--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -1,10 +1,10 @@
 //! The operators' command line.
 //!
-//! Each command has a file, all with the same entry form:
+//! Most commands have a file of their own with the same entry point:
 //! `run(&mut Arguments, &impl Context) -> Result<String, CommandError>`.
 //!
-//! Commands return the text to print. What they need of the outside comes by the
-//! [`context::Context`], so that tests replace it.
+//! Commands return the text to print. They use external services only through
+//! [`context::Context`], so that tests can replace them.
 
 pub mod account_csv;
 mod accounts_import;
@@ -39,7 +39,7 @@
 use crate::dispatch::dispatch;
 use crate::system::SystemContext;
 
-/// Runs the command that the process was started with, and prints what it gives.
+/// Runs the command given by the process arguments and prints its output.
 ///
 /// ```no_run
 /// let code = sedgeridge_cli::run_from_system();
@@ -59,7 +59,8 @@
     }
 }
 
-/// Prints to standard output. A reader that went away, such as `head`, is no error.
+/// Prints to standard output. Write errors are ignored, as a reader such as `head` may have closed the
+/// pipe.
 fn print(text: &str) {
     use std::io::Write;
     let _ = std::io::stdout().write_all(text.as_bytes());
--- a/crates/cli/src/online.rs
+++ b/crates/cli/src/online.rs
@@ -1,4 +1,5 @@
-//! Commands that ask one router: `status`, `endpoints list`, `accounts list --router`.
+//! Commands that query one router: `status`, `endpoints list`, `endpoints drain`,
+//! `accounts list --router`.
 
 use std::net::SocketAddr;
 
@@ -17,11 +18,11 @@
 use sedgeridge_protocol::operator::STATUS_PATH;
 use serde::de::DeserializeOwned;
 
-use crate::arguments::finish;
+use crate::arguments::reject_unused;
 use crate::arguments::to_json;
 use crate::columns::align;
-use crate::context::FetchError;
 use crate::context::OperatorPages;
+use crate::context::PageError;
 use crate::error::CommandError;
 
 /// Runs `status`.
@@ -29,7 +30,7 @@
     arguments: &mut Arguments,
     pages: &impl OperatorPages,
 ) -> Result<String, CommandError> {
-    let (router, json) = take(arguments)?;
+    let (router, json) = take_router_and_json(arguments)?;
     let status: RouterStatus = fetch_page(pages, router, STATUS_PATH)?;
     Ok(if json {
         to_json(&status)
@@ -43,7 +44,7 @@
     arguments: &mut Arguments,
     pages: &impl OperatorPages,
 ) -> Result<String, CommandError> {
-    let (router, json) = take(arguments)?;
+    let (router, json) = take_router_and_json(arguments)?;
     let page: EndpointsPage = fetch_page(pages, router, ENDPOINTS_PATH)?;
     if json {
         return Ok(to_json(&page.endpoints));
@@ -66,7 +67,7 @@
         pico_args::Error::MissingArgument => CommandError::Usage("expected an endpoint".into()),
         other => other.into(),
     })?;
-    finish(arguments)?;
+    reject_unused(arguments)?;
     let request = DrainRequest { endpoint };
     let body = serde_json::to_string(&request).expect("a request is plain data");
     pages.post(router, DRAIN_PATH, &body)?;
@@ -81,7 +82,7 @@
     arguments: &mut Arguments,
     pages: &impl OperatorPages,
 ) -> Result<String, CommandError> {
-    let (router, json) = take(arguments)?;
+    let (router, json) = take_router_and_json(arguments)?;
     let page: AccountsPage = fetch_page(pages, router, ACCOUNTS_PATH)?;
     if json {
         return Ok(to_json(&page.accounts));
@@ -103,27 +104,27 @@
     pages: &impl OperatorPages,
     router: SocketAddr,
     path: &str,
-) -> Result<T, FetchError> {
+) -> Result<T, PageError> {
     let text = pages.fetch(router, path)?;
     let parsed = serde_json::from_str(&text);
-    parsed.map_err(|error| FetchError(format!("http://{router}{path}: unexpected page: {error}")))
+    parsed.map_err(|error| PageError(format!("http://{router}{path}: unexpected page: {error}")))
 }
 
-fn take(arguments: &mut Arguments) -> Result<(SocketAddr, bool), CommandError> {
+fn take_router_and_json(arguments: &mut Arguments) -> Result<(SocketAddr, bool), CommandError> {
     let json = arguments.contains("--json");
     let router = arguments.value_from_str("--router")?;
-    finish(arguments)?;
+    reject_unused(arguments)?;
     Ok((router, json))
 }
 
 fn status_text(status: &RouterStatus) -> String {
-    let word = |flag| if flag { "yes" } else { "no" }.to_owned();
+    let yes_or_no = |flag| if flag { "yes" } else { "no" }.to_owned();
     let rows = [
         ("host", status.host.clone()),
         ("site", status.site.clone()),
         ("incarnation", status.incarnation.to_string()),
-        ("ready", word(status.ready)),
-        ("stopping", word(status.stopping)),
+        ("ready", yes_or_no(status.ready)),
+        ("stopping", yes_or_no(status.stopping)),
         ("waiting", status.waiting.to_string()),
         ("running", status.running.to_string()),
         ("homes", status.homes.to_string()),
--- a/crates/cli/src/orders_add.rs
+++ b/crates/cli/src/orders_add.rs
@@ -1,4 +1,4 @@
-//! `orders add`: writes an order to an engine, for the coordinator that holds the lease.
+//! `orders add`: records an order to an engine, for the coordinator that holds the lease.
 
 use std::net::SocketAddr;
 
@@ -17,15 +17,15 @@
 use sedgeridge_state::settings::Settings;
 
 use crate::arguments::SettingsArguments;
-use crate::arguments::finish;
-use crate::arguments::table_of;
+use crate::arguments::reject_unused;
+use crate::arguments::table_address;
 use crate::context::Context;
 use crate::context::TableError;
 use crate::error::CommandError;
 use crate::orders_list::read_rows;
 
-/// Most times a write is sent whose answer is lost.
-const MAX_TRIES: u32 = 3;
+/// Maximum number of times a write is sent.
+const MAX_ATTEMPTS: u32 = 3;
 
 /// Runs the command.
 pub fn run(arguments: &mut Arguments, context: &impl Context) -> Result<String, CommandError> {
@@ -34,19 +34,19 @@
     let kind: String = arguments.value_from_str("--kind")?;
     let subject: String = arguments.value_from_str("--subject")?;
     let files = SettingsArguments::take(arguments)?;
-    finish(arguments)?;
+    reject_unused(arguments)?;
     let settings = files.load()?;
-    let table = table_of(table, &settings)?;
-    let order = check(&settings, &endpoint, &kind, &subject)?;
+    let table = table_address(table, &settings)?;
+    let order = check_order(&settings, &endpoint, &kind, &subject)?;
     let (record, version) = next_record(context, table, endpoint.as_str().into(), order)?;
-    write(context, table, &record, version)?;
+    write_order(context, table, &record, version)?;
     Ok(format!(
         "order {} to {endpoint} is accepted\n",
         record.number
     ))
 }
 
-fn check(
+fn check_order(
     settings: &Settings,
     endpoint: &str,
     kind: &str,
@@ -69,7 +69,7 @@
     }
 }
 
-/// Makes the record of the next order, and the version that its row must have.
+/// Returns the record of the next order and the version that its row must have.
 fn next_record(
     context: &impl Context,
     table: SocketAddr,
@@ -95,12 +95,12 @@
     Ok((record, row.map_or(0, |row| row.version)))
 }
 
-/// Writes the record on condition that no other order came in between.
+/// Writes the record if no other order was written since the row was read.
 ///
-/// A write whose answer is lost is sent again with the same condition. If the first took effect the
-/// second finds this very order in the row; taken for a conflict, the operator would be told that
-/// an order failed which an engine then obeys.
-fn write(
+/// A write whose answer is lost is sent again with the same condition. If the first one took effect,
+/// the second one finds this order in the row. If that were reported as a conflict, the operator
+/// would see a failure for an order that an engine then executes.
+fn write_order(
     context: &impl Context,
     table: SocketAddr,
     record: &OrderRecord,
@@ -117,13 +117,13 @@
             value: Some(record.encode()),
         }],
     };
-    let mut is_unknown = false;
-    for _ in 0..MAX_TRIES {
+    let mut maybe_written = false;
+    for _ in 0..MAX_ATTEMPTS {
         match context.transact(table, &transact) {
             Ok(TransactAnswer::Committed { .. }) => return Ok(()),
-            Ok(TransactAnswer::Conflict { rows }) => return settle(record, &rows),
-            Err(TableError::Unknown(_)) => is_unknown = true,
-            Err(error) if !is_unknown => return Err(CommandError::Failed(error.to_string())),
+            Ok(TransactAnswer::Conflict { rows }) => return resolve_conflict(record, &rows),
+            Err(TableError::OutcomeUnknown(_)) => maybe_written = true,
+            Err(error) if !maybe_written => return Err(CommandError::Failed(error.to_string())),
             Err(_) => {}
         }
     }
@@ -133,10 +133,10 @@
     ))
 }
 
-fn settle(record: &OrderRecord, rows: &[Row]) -> Result<(), CommandError> {
+fn resolve_conflict(record: &OrderRecord, rows: &[Row]) -> Result<(), CommandError> {
     let found = rows.first().and_then(decode);
-    let is_ours = |f: &OrderRecord| f.number == record.number && f.order == record.order;
-    if found.as_ref().is_some_and(is_ours) {
+    let is_this_order = |f: &OrderRecord| f.number == record.number && f.order == record.order;
+    if found.as_ref().is_some_and(is_this_order) {
         return Ok(());
     }
     let winner = found.map_or("another change".to_owned(), |found| {
--- a/crates/cli/src/orders_list.rs
+++ b/crates/cli/src/orders_list.rs
@@ -9,7 +9,7 @@
 use sedgeridge_state::order_record::OrderRecord;
 use serde::Serialize;
 
-use crate::arguments::finish;
+use crate::arguments::reject_unused;
 use crate::arguments::take_table;
 use crate::arguments::to_json;
 use crate::columns::align;
@@ -31,12 +31,12 @@
 pub fn run(arguments: &mut Arguments, context: &impl Context) -> Result<String, CommandError> {
     let json = arguments.contains("--json");
     let table = take_table(arguments)?;
-    finish(arguments)?;
+    reject_unused(arguments)?;
     let read = ReadRequest {
         prefix: Some(ORDER_PREFIX.to_owned()),
         ..ReadRequest::default()
     };
-    let rows: Vec<OrderRow> = fetch(context, table, &read)?
+    let rows: Vec<OrderRow> = read_table(context, table, &read)?
         .iter()
         .filter_map(|row| OrderRecord::decode(row.value.as_deref()?))
         .map(|record| order_row(&record))
@@ -45,7 +45,7 @@
         return Ok(to_json(&rows));
     }
     let header = ["endpoint", "number", "kind", "subject", "state", "fencing"];
-    let cells: Vec<Vec<String>> = rows.into_iter().map(cells).collect();
+    let cells: Vec<Vec<String>> = rows.into_iter().map(order_cells).collect();
     Ok(align(&header, &cells))
 }
 
@@ -59,10 +59,10 @@
         keys,
         ..ReadRequest::default()
     };
-    fetch(client, table, &read)
+    read_table(client, table, &read)
 }
 
-fn fetch(
+fn read_table(
     client: &impl TableClient,
     table: SocketAddr,
     read: &ReadRequest,
@@ -84,7 +84,7 @@
     }
 }
 
-fn cells(row: OrderRow) -> Vec<String> {
+fn order_cells(row: OrderRow) -> Vec<String> {
     vec![
         row.endpoint,
         row.number.to_string(),
--- a/crates/cli/src/sites.rs
+++ b/crates/cli/src/sites.rs
@@ -6,7 +6,7 @@
 use serde::Serialize;
 
 use crate::arguments::SettingsArguments;
-use crate::arguments::finish;
+use crate::arguments::reject_unused;
 use crate::arguments::to_json;
 use crate::columns::align;
 use crate::context::Context;
@@ -24,7 +24,7 @@
 pub fn run(arguments: &mut Arguments, _context: &impl Context) -> Result<String, CommandError> {
     let json = arguments.contains("--json");
     let files = SettingsArguments::take(arguments)?;
-    finish(arguments)?;
+    reject_unused(arguments)?;
     let settings = files.load()?;
     let sites = settings.sites.iter();
     let rows: Vec<SiteRow<'_>> = sites.map(|site| site_row(&settings, site)).collect();
--- a/crates/cli/src/system.rs
+++ b/crates/cli/src/system.rs
@@ -1,4 +1,4 @@
-//! The context of a real run: HTTP by ureq, sleep by the system.
+//! The context outside tests: HTTP by ureq, sleep by the operating system.
 
 use std::collections::hash_map::RandomState;
 use std::env;
@@ -19,21 +19,21 @@
 use ureq::Timeout;
 
 use crate::context::Context;
-use crate::context::FetchError;
 use crate::context::OperatorPages;
+use crate::context::PageError;
 use crate::context::TableClient;
 use crate::context::TableError;
 
-/// Time allowed for opening a connection.
+/// Timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Time allowed for a whole call.
+/// Timeout for a whole call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(3);
-/// Largest answer that is read; a snapshot of the largest fleet takes a few megabytes.
+/// Maximum size of a table answer; a snapshot of the largest fleet takes a few megabytes.
 const MAX_ANSWER_BYTES: u64 = 64 << 20;
 /// Author of a change when the environment names no user.
 const UNKNOWN_AUTHOR: &str = "operator";
 
-/// The real outside.
+/// Context that uses the network and the operating system.
 #[derive(Debug)]
 pub struct SystemContext {
     agent: Agent,
@@ -53,8 +53,8 @@
 }
 
 impl Context for SystemContext {
-    /// The standard library seeds each `RandomState` chain from the system's random source, which
-    /// makes an id of 128 random bits without a further dependency.
+    /// The standard library seeds each `RandomState` from the system's random source. That gives an id
+    /// of 128 bits without a further dependency.
     fn new_change_id(&self) -> String {
         let high = RandomState::new().hash_one(0_u8);
         let low = RandomState::new().hash_one(1_u8);
@@ -85,29 +85,29 @@
 }
 
 impl OperatorPages for SystemContext {
-    fn fetch(&self, router: SocketAddr, path: &str) -> Result<String, FetchError> {
-        let failed = |error: ureq::Error| FetchError(format!("http://{router}{path}: {error}"));
+    fn fetch(&self, router: SocketAddr, path: &str) -> Result<String, PageError> {
+        let failed = |error: ureq::Error| PageError(format!("http://{router}{path}: {error}"));
         let url = format!("http://{router}{path}");
         let mut answer = self.agent.get(&url).call().map_err(failed)?;
         let status = answer.status().as_u16();
         if status != 200 {
-            return Err(FetchError(format!("{url}: HTTP status {status}")));
+            return Err(PageError(format!("{url}: HTTP status {status}")));
         }
         answer.body_mut().read_to_string().map_err(failed)
     }
 
-    fn post(&self, router: SocketAddr, path: &str, body: &str) -> Result<(), FetchError> {
+    fn post(&self, router: SocketAddr, path: &str, body: &str) -> Result<(), PageError> {
         let url = format!("http://{router}{path}");
         let sent = self.agent.post(&url).send(body);
-        let mut answer = sent.map_err(|error| FetchError(format!("{url}: {error}")))?;
+        let mut answer = sent.map_err(|error| PageError(format!("{url}: {error}")))?;
         let status = answer.status();
         if status.is_success() {
             return Ok(());
         }
-        let said = answer.body_mut().read_to_string().unwrap_or_default();
-        let said = said.trim_end();
-        Err(FetchError(format!(
-            "{url}: HTTP status {}: {said}",
+        let response_text = answer.body_mut().read_to_string().unwrap_or_default();
+        let response_text = response_text.trim_end();
+        Err(PageError(format!(
+            "{url}: HTTP status {}: {response_text}",
             status.as_u16()
         )))
     }
@@ -123,25 +123,26 @@
         let body = serde_json::to_string(call).expect("a call is plain data");
         let request = self.agent.post(format!("http://{table}{path}"));
         let request = request.header("content-type", "application/json");
-        let mut answer = request.send(&body).map_err(|error| classify(&error))?;
+        let mut answer = request.send(&body).map_err(|error| table_error(&error))?;
         let status = answer.status().as_u16();
         match status {
             200 => {}
-            // These are given before anything is run.
+            // The service sends these before it runs anything.
             400 | 404 | 429 | 503 => {
                 return Err(TableError::Refused(format!("HTTP status {status}")));
             }
-            _ => return Err(TableError::Unknown(format!("HTTP status {status}"))),
+            _ => return Err(TableError::OutcomeUnknown(format!("HTTP status {status}"))),
         }
-        let unknown = |error: String| TableError::Unknown(error);
+        let unknown = |error: String| TableError::OutcomeUnknown(error);
         let body = answer.body_mut().with_config().limit(MAX_ANSWER_BYTES);
         let text = body.read_to_string().map_err(|e| unknown(e.to_string()))?;
         serde_json::from_str(&text).map_err(|e| unknown(e.to_string()))
     }
 }
 
-/// A call whose connection never opened has not reached the service; any other may have.
-fn classify(error: &ureq::Error) -> TableError {
+/// Converts an error. A call whose connection never opened has not reached the service; any other
+/// call may have.
+fn table_error(error: &ureq::Error) -> TableError {
     let refused = match error {
         ureq::Error::Timeout(Timeout::Connect) | ureq::Error::ConnectionFailed => true,
         ureq::Error::Io(cause) => cause.kind() == std::io::ErrorKind::ConnectionRefused,
@@ -149,6 +150,6 @@
     };
     match refused {
         true => TableError::Refused(error.to_string()),
-        false => TableError::Unknown(error.to_string()),
+        false => TableError::OutcomeUnknown(error.to_string()),
     }
 }
--- a/crates/cli/tests/committed_files.rs
+++ b/crates/cli/tests/committed_files.rs
@@ -12,13 +12,13 @@
 use sedgeridge_transport::settings_files::read_settings;
 use yare::parameterized;
 
-fn root() -> PathBuf {
+fn repository_root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
 #[test]
 fn reference_page_matches_the_schema() {
-    let committed = fs::read_to_string(root().join("docs/settings.md")).unwrap();
+    let committed = fs::read_to_string(repository_root().join("docs/settings.md")).unwrap();
 
     assert!(
         committed == reference::reference_page(),
@@ -38,7 +38,7 @@
     endpoints: usize,
     accounts: usize,
 ) {
-    let directory = root().join("config").join(deployment);
+    let directory = repository_root().join("config").join(deployment);
     let base = directory.join("base.ini");
     let settings = load(&base, None);
     assert_eq!(settings.sites.len(), sites);
@@ -59,15 +59,18 @@
     assert_eq!(files, expected_files);
 }
 
-/// The accepted configuration is kept by section, in order of name. Nothing else may differ from
-/// the files it was made of.
+/// The accepted configuration keeps sections in order of name. Otherwise it must load the same settings as
+/// the files that it was made from.
 #[parameterized(
     small = { "small" },
     luce = { "luce" },
     malardalen = { "malardalen" },
 )]
 fn an_accepted_configuration_loads_like_its_files(deployment: &str) {
-    let base = root().join("config").join(deployment).join("base.ini");
+    let base = repository_root()
+        .join("config")
+        .join(deployment)
+        .join("base.ini");
     let base_text = fs::read_to_string(&base).unwrap();
     for site in load(&base, None).sites {
         let site = site.id.as_str();
@@ -76,11 +79,14 @@
         let document = ConfigDocument::from_texts(&base_text, &[(site, &overlay_text)]);
         let accepted = document.settings(site).unwrap();
 
-        assert_eq!(in_order(accepted), in_order(load(&base, Some(&overlay))));
+        assert_eq!(
+            sorted_by_id(accepted),
+            sorted_by_id(load(&base, Some(&overlay)))
+        );
     }
 }
 
-fn in_order(mut settings: Settings) -> Settings {
+fn sorted_by_id(mut settings: Settings) -> Settings {
     settings.sites.sort_by(|a, b| a.id.cmp(&b.id));
     settings.hosts.sort_by(|a, b| a.id.cmp(&b.id));
     settings.pools.sort_by(|a, b| a.id.cmp(&b.id));
--- a/crates/cli/tests/config_linearizable/main.rs
+++ b/crates/cli/tests/config_linearizable/main.rs
@@ -1,7 +1,8 @@
-//! Recorded runs of operators that race for the configuration, checked for linearizability.
+//! Records runs of operators that change the configuration concurrently, and checks the histories for
+//! linearizability.
 //!
-//! The register is the list of accepted changes. The commit is the real one; the table under it
-//! loses answers after the write took effect, loses calls, runs them late and refuses them.
+//! The register is the list of accepted changes. The tests run the real commit on a simulated table,
+//! which loses answers after the write took effect, loses calls, delays them and refuses them.
 
 mod table;
 mod turns;
@@ -40,22 +41,22 @@
         generation: usize,
         change_id: String,
     },
-    /// This generation was found to be another change's.
-    Beaten { generation: usize, winner: String },
-    /// The newest change was read.
+    /// Another change was accepted as this generation.
+    Conflict { generation: usize, winner: String },
+    /// The head was read; `None` if no change was accepted.
     Read(Option<(usize, String)>),
-    /// Nothing was written or learnt.
+    /// Nothing was written or read.
     Nothing,
-    /// Nobody knows yet; settled when the run is over.
+    /// The outcome is unknown; it is determined after the run.
     InDoubt {
         generation: usize,
         change_id: String,
     },
 }
 
-struct Head;
+struct AcceptedChanges;
 
-impl Specification for Head {
+impl Specification for AcceptedChanges {
     type State = Vec<String>;
     type Operation = Operation;
 
@@ -76,7 +77,7 @@
                 next.push(change_id.clone());
                 return (true, next);
             }
-            Operation::Beaten { generation, winner } => state.get(generation - 1) == Some(winner),
+            Operation::Conflict { generation, winner } => state.get(generation - 1) == Some(winner),
             Operation::Read(None) => state.is_empty(),
             Operation::Read(Some((generation, change_id))) => {
                 state.len() == *generation && state.last() == Some(change_id)
@@ -94,7 +95,7 @@
     "127.0.0.2:7000".parse().expect("an address")
 }
 
-fn note(log: &Log, process: usize, action: Action<Operation>) {
+fn record(log: &Log, process: usize, action: Action<Operation>) {
     log.lock()
         .expect("no thread panics")
         .push((process, action));
@@ -118,11 +119,11 @@
             generation,
             change_id,
         },
-        Err(CommitError::Conflict { change_id, .. }) => Operation::Beaten {
+        Err(CommitError::Conflict { change_id, .. }) => Operation::Conflict {
             generation,
             winner: change_id,
         },
-        Err(CommitError::Unknown { .. }) => Operation::InDoubt {
+        Err(CommitError::OutcomeUnknown { .. }) => Operation::InDoubt {
             generation,
             change_id,
         },
@@ -140,9 +141,9 @@
     }
 }
 
-/// One operator's part of a run.
+/// Performs the operations of one operator in a run.
 fn operate(operator: &mut Operator, log: &Log) {
-    operator.turns.take(operator.number);
+    operator.turns.wait_for(operator.number);
     let steps = if operator.number == READER {
         READS
     } else {
@@ -150,19 +151,19 @@
     };
     for step in 0..steps {
         operator.change_id = format!("change-{}-{step}", operator.number);
-        // Every change gets a process of its own, as one in doubt lasts until the end.
+        // Every operation gets a process id of its own, as one in doubt lasts until the end of the run.
         let process = operator.number * READS + step;
-        note(log, process, Action::Call(Operation::Nothing));
+        record(log, process, Action::Call(Operation::Nothing));
         let operation = match operator.number {
             READER => read(operator),
             _ => propose(operator),
         };
-        note(log, process, Action::Response(operation));
+        record(log, process, Action::Response(operation));
     }
-    operator.turns.leave();
+    operator.turns.finish();
 }
 
-/// Runs all operators and returns the history and the changes accepted in the end.
+/// Runs all operators and returns the history and the changes accepted by its end.
 fn run(seed: u64) -> (Vec<(usize, Action<Operation>)>, Vec<String>) {
     let table = Arc::new(Mutex::new(Table::new(seed)));
     let turns = Arc::new(Turns::new(OPERATORS, seed));
@@ -180,15 +181,15 @@
             scope.spawn(move || operate(&mut operator, log));
         }
     });
-    table.lock().expect("no thread panics").heal();
-    let last = Operator {
+    table.lock().expect("no thread panics").stop_faults();
+    let final_reader = Operator {
         number: 0,
         table,
         turns: Arc::new(Turns::new(1, seed)),
         change_id: String::new(),
     };
     let history = log.lock().expect("no thread panics").clone();
-    (history, accepted_changes(&last))
+    (history, accepted_changes(&final_reader))
 }
 
 fn accepted_changes(operator: &Operator) -> Vec<String> {
@@ -197,10 +198,13 @@
     changes.map(|change| change.change_id).collect()
 }
 
-/// Moves the end of changes in doubt to the end of the run, as what they became.
-fn settle(history: Vec<(usize, Action<Operation>)>, accepted: &[String]) -> History<Operation> {
+/// Moves the responses of changes in doubt to the end of the history, with their actual outcomes.
+fn resolve_in_doubt(
+    history: Vec<(usize, Action<Operation>)>,
+    accepted: &[String],
+) -> History<Operation> {
     let mut settled = Vec::new();
-    let mut late = Vec::new();
+    let mut delayed = Vec::new();
     for (process, action) in history {
         let Action::Response(Operation::InDoubt {
             generation,
@@ -211,7 +215,7 @@
             continue;
         };
         let is_accepted = accepted.get(generation - 1) == Some(&change_id);
-        let became = if is_accepted {
+        let outcome = if is_accepted {
             Operation::Accepted {
                 generation,
                 change_id,
@@ -219,15 +223,15 @@
         } else {
             Operation::Nothing
         };
-        late.push((process, Action::Response(became)));
+        delayed.push((process, Action::Response(outcome)));
     }
-    settled.extend(late);
+    settled.extend(delayed);
     History::from_actions(settled)
 }
 
-// Three operators race with changes while a fourth reads, and the table loses answers of writes
-// that took effect. What each was told must fit one order of accepted changes: nobody was told of
-// success without it, or of a conflict with a change that did not win, and reads never go back.
+// Three operators commit changes concurrently while a fourth reads, and the table loses answers of
+// writes that took effect. All results must fit one order of accepted changes: no change is reported as
+// accepted that is not, no conflict names a change that was not accepted, and reads never go back.
 #[test]
 fn commits_of_racing_operators_are_linearizable() {
     let (mut accepted_count, mut beaten, mut in_doubt) = (0, 0, 0);
@@ -235,14 +239,14 @@
         let (history, accepted) = run(seed);
         for (_, action) in &history {
             if let Action::Response(operation) = action {
-                beaten += usize::from(matches!(operation, Operation::Beaten { .. }));
+                beaten += usize::from(matches!(operation, Operation::Conflict { .. }));
                 in_doubt += usize::from(matches!(operation, Operation::InDoubt { .. }));
             }
         }
         accepted_count += accepted.len();
         let shown = format!("seed {seed}: {history:#?}");
         assert!(
-            WGLChecker::<Head>::is_linearizable(settle(history, &accepted)),
+            WGLChecker::<AcceptedChanges>::is_linearizable(resolve_in_doubt(history, &accepted)),
             "{shown}"
         );
     }
--- a/crates/cli/tests/config_linearizable/table.rs
+++ b/crates/cli/tests/config_linearizable/table.rs
@@ -1,4 +1,4 @@
-//! A table that several operators call at the same time, and that misbehaves by a seed.
+//! A table that several operators call concurrently, with faults drawn from a seed.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,8 +8,8 @@
 use std::time::Duration;
 
 use sedgeridge_cli::context::Context;
-use sedgeridge_cli::context::FetchError;
 use sedgeridge_cli::context::OperatorPages;
+use sedgeridge_cli::context::PageError;
 use sedgeridge_cli::context::TableClient;
 use sedgeridge_cli::context::TableError;
 use sedgeridge_coordination::random::SeededRandom;
@@ -21,12 +21,12 @@
 
 use crate::turns::Turns;
 
-/// Rows, and transactions that are still on their way.
+/// Simulated table: its rows and the delayed transactions that it has not run yet.
 #[derive(Debug)]
 pub struct Table {
     rows: BTreeMap<String, Row>,
     version: u64,
-    late: Vec<TransactRequest>,
+    delayed: Vec<TransactRequest>,
     random: SeededRandom,
     faulty: bool,
 }
@@ -36,15 +36,15 @@
         Self {
             rows: BTreeMap::new(),
             version: 0,
-            late: Vec::new(),
+            delayed: Vec::new(),
             random: SeededRandom::new(seed),
             faulty: true,
         }
     }
 
-    /// Runs what is on its way, and answers every call from now on.
-    pub fn heal(&mut self) {
-        for transact in std::mem::take(&mut self.late) {
+    /// Runs the delayed transactions, and answers every call from now on.
+    pub fn stop_faults(&mut self) {
+        for transact in std::mem::take(&mut self.delayed) {
             self.apply(&transact);
         }
         self.faulty = false;
@@ -60,8 +60,8 @@
             self.rows.get(key).cloned().unwrap_or(absent)
         };
         let checks = transact.checks.iter();
-        let stands = checks.map(|check| (check.version, current(&check.key)));
-        let failed = stands.filter(|(version, row)| *version != row.version);
+        let current_rows = checks.map(|check| (check.version, current(&check.key)));
+        let failed = current_rows.filter(|(version, row)| *version != row.version);
         let rows: Vec<_> = failed.map(|(_, row)| row).collect();
         if !rows.is_empty() {
             return TransactAnswer::Conflict { rows };
@@ -83,16 +83,16 @@
     }
 
     fn transact(&mut self, transact: &TransactRequest) -> Result<TransactAnswer, TableError> {
-        if self.faulty && !self.late.is_empty() && self.random.below(3) == 0 {
-            let late = self.late.remove(0);
-            self.apply(&late);
+        if self.faulty && !self.delayed.is_empty() && self.random.below(3) == 0 {
+            let delayed = self.delayed.remove(0);
+            self.apply(&delayed);
         }
         let fault = if self.faulty {
             self.random.below(8)
         } else {
             u64::MAX
         };
-        let lost = Err(TableError::Unknown("lost".to_owned()));
+        let lost = Err(TableError::OutcomeUnknown("lost".to_owned()));
         match fault {
             0 => {
                 self.apply(transact);
@@ -100,7 +100,7 @@
             }
             1 => lost,
             2 => {
-                self.late.push(transact.clone());
+                self.delayed.push(transact.clone());
                 lost
             }
             3 => Err(TableError::Refused("busy".to_owned())),
@@ -110,7 +110,7 @@
 
     fn read(&mut self, read: &ReadRequest) -> Result<ReadAnswer, TableError> {
         if self.faulty && self.random.below(8) == 0 {
-            return Err(TableError::Unknown("lost".to_owned()));
+            return Err(TableError::OutcomeUnknown("lost".to_owned()));
         }
         let rows = read
             .keys
@@ -122,19 +122,19 @@
     }
 }
 
-/// One operator's way to the table.
+/// An operator's client of the table.
 #[derive(Debug, Clone)]
 pub struct Operator {
     pub number: usize,
     pub table: Arc<Mutex<Table>>,
     pub turns: Arc<Turns>,
-    /// The change that the operator asks for.
+    /// Id of the change that the operator proposes.
     pub change_id: String,
 }
 
 impl Operator {
     fn table(&self) -> MutexGuard<'_, Table> {
-        self.turns.take(self.number);
+        self.turns.wait_for(self.number);
         self.table.lock().expect("no thread panics")
     }
 }
@@ -154,12 +154,12 @@
 }
 
 impl OperatorPages for Operator {
-    fn fetch(&self, _router: SocketAddr, path: &str) -> Result<String, FetchError> {
-        Err(FetchError(path.to_owned()))
+    fn fetch(&self, _router: SocketAddr, path: &str) -> Result<String, PageError> {
+        Err(PageError(path.to_owned()))
     }
 
-    fn post(&self, _router: SocketAddr, path: &str, _body: &str) -> Result<(), FetchError> {
-        Err(FetchError(path.to_owned()))
+    fn post(&self, _router: SocketAddr, path: &str, _body: &str) -> Result<(), PageError> {
+        Err(PageError(path.to_owned()))
     }
 }
 
--- a/crates/cli/tests/config_linearizable/turns.rs
+++ b/crates/cli/tests/config_linearizable/turns.rs
@@ -15,7 +15,7 @@
     random: SeededRandom,
 }
 
-/// Lets one of several threads run at a time.
+/// Scheduler that lets one of several threads run at a time.
 #[derive(Debug)]
 pub struct Turns {
     state: Mutex<State>,
@@ -36,12 +36,12 @@
         }
     }
 
-    /// Waits until it is this thread's turn; it lasts until its next call.
-    pub fn take(&self, thread: usize) {
+    /// Waits for the thread's turn, which lasts until the thread's next call.
+    pub fn wait_for(&self, thread: usize) {
         let mut state = self.lock();
         state.waiting.insert(thread);
         state.running -= 1;
-        self.choose(&mut state);
+        self.choose_next(&mut state);
         while state.chosen != Some(thread) {
             state = self.changed.wait(state).expect("no thread panics");
         }
@@ -50,18 +50,18 @@
         state.running += 1;
     }
 
-    /// Ends the calling thread's part.
-    pub fn leave(&self) {
+    /// Ends the calling thread's turn; it takes no further ones.
+    pub fn finish(&self) {
         let mut state = self.lock();
         state.running -= 1;
-        self.choose(&mut state);
+        self.choose_next(&mut state);
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
         self.state.lock().expect("no thread panics")
     }
 
-    fn choose(&self, state: &mut State) {
+    fn choose_next(&self, state: &mut State) {
         if state.running > 0 || state.waiting.is_empty() {
             return;
         }
--- a/crates/cli/tests/configuration/commands.rs
+++ b/crates/cli/tests/configuration/commands.rs
@@ -1,4 +1,4 @@
-//! Commands that change or follow the accepted configuration, and those that ask a router.
+//! Commands that change or read the accepted configuration, and commands that query a router.
 
 use std::fmt::Write;
 use std::fs;
@@ -38,45 +38,45 @@
 weight = 3
 key_sha256 = 0123456789abcdef0123456789abcdef0123456789abcdef0123456789abcdef
 ";
-const HASH: &str = "1123456789abcdef0123456789abcdef0123456789abcdef0123456789abcdef";
-const TABLE: &str = "--table 127.0.0.2:7000";
+const KEY_HASH: &str = "1123456789abcdef0123456789abcdef0123456789abcdef0123456789abcdef";
+const TABLE_OPTION: &str = "--table 127.0.0.2:7000";
 
 static DIRECTORIES: AtomicU32 = AtomicU32::new(0);
 
-/// Files of one test, and the outside of its commands.
-struct Bench {
+/// Settings files of one test, and the context of its commands.
+struct Fixture {
     directory: PathBuf,
     context: FakeContext,
 }
 
-impl Bench {
+impl Fixture {
     fn new() -> Self {
         let number = DIRECTORIES.fetch_add(1, Ordering::Relaxed);
         let root = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
         let directory = root.join(format!("online-{number}"));
         let _ = fs::remove_dir_all(&directory);
         fs::create_dir_all(&directory).unwrap();
-        let bench = Self {
+        let fixture = Self {
             directory,
             context: FakeContext::default(),
         };
-        bench.write("base.ini", BASE);
-        bench.write("site-north.ini", "[front]\nmax_queue = 700\n");
-        bench
+        fixture.write("base.ini", BASE);
+        fixture.write("site-north.ini", "[front]\nmax_queue = 700\n");
+        fixture
     }
 
-    /// A bench whose files are accepted as generation 1.
-    fn applied() -> Self {
-        let bench = Self::new();
-        bench.run("config apply base.ini").unwrap();
-        bench
+    /// Creates a fixture whose files are accepted as generation 1.
+    fn with_applied_files() -> Self {
+        let fixture = Self::new();
+        fixture.run("config apply base.ini").unwrap();
+        fixture
     }
 
     fn write(&self, name: &str, text: &str) {
         fs::write(self.directory.join(name), text).unwrap();
     }
 
-    /// Runs a command line; words that name files get the directory put before them.
+    /// Runs a command line; the directory is prepended to words that name files.
     fn run(&self, line: &str) -> Result<String, CommandError> {
         let words = line.split_whitespace().map(|word| {
             if word.ends_with(".ini") || word.ends_with(".csv") {
@@ -93,7 +93,7 @@
         read_accepted(&self.context, table).unwrap().document
     }
 
-    fn commits(&self) -> usize {
+    fn commit_count(&self) -> usize {
         self.context.committed.borrow().len()
     }
 }
@@ -106,61 +106,61 @@
     )
 }
 
-fn at(address: &str, path: &str) -> (SocketAddr, String) {
+fn page_key(address: &str, path: &str) -> (SocketAddr, String) {
     (address.parse().unwrap(), path.to_owned())
 }
 
 #[test]
 fn apply_accepts_the_files_and_then_finds_no_change() {
-    let bench = Bench::new();
-    let text = bench.run("config apply base.ini").unwrap();
+    let fixture = Fixture::new();
+    let text = fixture.run("config apply base.ini").unwrap();
     assert_eq!(
         text,
         "accepted as generation 1, change change-1: 7 sections set, 0 removed\n"
     );
 
-    let settings = bench.document().settings("north").unwrap();
+    let settings = fixture.document().settings("north").unwrap();
     assert_eq!(settings.front.max_queue, 700);
     assert_eq!(settings.accounts[0].weight, 3);
-    let again = bench.run("config apply base.ini").unwrap();
+    let again = fixture.run("config apply base.ini").unwrap();
     assert_eq!(again, "no change: generation 1 holds it already\n");
-    assert_eq!(bench.commits(), 1);
-    let head = bench.run(&format!("config head {TABLE}")).unwrap();
+    assert_eq!(fixture.commit_count(), 1);
+    let head = fixture.run(&format!("config head {TABLE_OPTION}")).unwrap();
     assert_eq!(
         head,
         "generation 1, change change-1 by tester: 7 sections set, 0 removed\n"
     );
 }
 
-/// An account is added by command and so stands in no file. An operator applies the files again:
-/// without a refusal the account would be gone, and its callers locked out.
+/// An account is added by command, so no file has it. An operator applies the files again. Without
+/// the refusal the account would be removed and its callers would lose access.
 #[test]
 fn apply_removes_what_the_files_lack_only_when_told() {
-    let bench = Bench::applied();
-    let add = format!("accounts add crew-08 --key-sha256 {HASH} --weight 2 {TABLE}");
-    bench.run(&add).unwrap();
+    let fixture = Fixture::with_applied_files();
+    let add = format!("accounts add crew-08 --key-sha256 {KEY_HASH} --weight 2 {TABLE_OPTION}");
+    fixture.run(&add).unwrap();
 
-    let refused = bench.run("config apply base.ini").unwrap_err();
+    let refused = fixture.run("config apply base.ini").unwrap_err();
     assert!(
         refused
             .to_string()
             .contains("the files lack [account.crew-08]")
     );
     assert_eq!(refused.exit_code(), ExitCode::from(2));
-    let settings = bench.document().settings("north").unwrap();
+    let settings = fixture.document().settings("north").unwrap();
     assert_eq!(settings.accounts[1].weight, 2);
-    bench.run("config apply base.ini --remove").unwrap();
+    fixture.run("config apply base.ini --remove").unwrap();
     assert_eq!(
-        bench.document().settings("north").unwrap().accounts.len(),
+        fixture.document().settings("north").unwrap().accounts.len(),
         1
     );
 }
 
 #[test]
 fn apply_refuses_what_check_refuses_and_writes_nothing() {
-    let bench = Bench::new();
-    bench.write("site-north.ini", "[front]\nmax_queue = 0\n");
-    let error = bench.run("config apply base.ini").unwrap_err();
+    let fixture = Fixture::new();
+    fixture.write("site-north.ini", "[front]\nmax_queue = 0\n");
+    let error = fixture.run("config apply base.ini").unwrap_err();
 
     assert!(
         error
@@ -168,29 +168,29 @@
             .contains("site-north.ini:2: error: [front] max_queue")
     );
     assert_eq!(error.exit_code(), ExitCode::from(2));
-    assert_eq!(bench.commits(), 0);
+    assert_eq!(fixture.commit_count(), 0);
 }
 
 #[test]
 fn apply_refuses_the_overlay_of_an_unknown_site() {
-    let bench = Bench::new();
-    bench.write("site-nroth.ini", "");
-    let error = bench.run("config apply base.ini").unwrap_err();
+    let fixture = Fixture::new();
+    fixture.write("site-nroth.ini", "");
+    let error = fixture.run("config apply base.ini").unwrap_err();
 
     assert!(
         error
             .to_string()
             .starts_with("site-nroth.ini: error: overlay of a site")
     );
-    assert_eq!(bench.commits(), 0);
+    assert_eq!(fixture.commit_count(), 0);
 }
 
 #[test]
 fn a_change_that_cannot_be_settled_fails_with_its_change_id() {
-    let bench = Bench::applied();
-    *bench.context.transact_faults.borrow_mut() = vec![Fault::CallLost; 6].into();
-    bench.write("site-north.ini", "");
-    let error = bench.run("config apply base.ini").unwrap_err();
+    let fixture = Fixture::with_applied_files();
+    *fixture.context.transact_faults.borrow_mut() = vec![Fault::CallLost; 6].into();
+    fixture.write("site-north.ini", "");
+    let error = fixture.run("config apply base.ini").unwrap_err();
 
     assert!(
         error
@@ -202,45 +202,45 @@
 
 #[test]
 fn a_thousand_accounts_are_one_change() {
-    let bench = Bench::applied();
+    let fixture = Fixture::with_applied_files();
     let mut csv = "name,weight,key_sha256\n".to_owned();
     for number in 0..1_000 {
         writeln!(csv, "new-{number:04},2,{number:064x}").unwrap();
     }
-    bench.write("new.csv", &csv);
-    let text = bench
-        .run(&format!("accounts import new.csv {TABLE}"))
+    fixture.write("new.csv", &csv);
+    let text = fixture
+        .run(&format!("accounts import new.csv {TABLE_OPTION}"))
         .unwrap();
 
     assert_eq!(
         text,
         "accepted as generation 2, change change-2: 1000 accounts added\n"
     );
-    assert_eq!(bench.commits(), 2);
+    assert_eq!(fixture.commit_count(), 2);
     assert_eq!(
-        bench.document().settings("north").unwrap().accounts.len(),
+        fixture.document().settings("north").unwrap().accounts.len(),
         1_001
     );
 }
 
 #[test]
 fn an_import_with_bad_lines_names_each_and_adds_nothing() {
-    let bench = Bench::applied();
+    let fixture = Fixture::with_applied_files();
     let taken = "0123456789abcdef0123456789abcdef0123456789abcdef0123456789abcdef";
     let lines = [
-        format!("new-1,2,{HASH}"),
+        format!("new-1,2,{KEY_HASH}"),
         "new-2,2".to_owned(),
         format!("new 3,2,{:064x}", 3),
         format!("new-4,0,{:064x}", 4),
         "new-5,2,secret".to_owned(),
         format!("new-1,2,{:064x}", 6),
         format!("crew-07,2,{:064x}", 7),
-        format!("new-8,2,{HASH}"),
+        format!("new-8,2,{KEY_HASH}"),
         format!("new-9,2,{taken}"),
     ];
-    bench.write("new.csv", &lines.join("\n"));
-    let error = bench
-        .run(&format!("accounts import new.csv {TABLE}"))
+    fixture.write("new.csv", &lines.join("\n"));
+    let error = fixture
+        .run(&format!("accounts import new.csv {TABLE_OPTION}"))
         .unwrap_err();
 
     let text = error.to_string();
@@ -262,7 +262,7 @@
     }
     assert!(!text.contains("secret"));
     assert_eq!(error.exit_code(), ExitCode::from(2));
-    assert_eq!(bench.commits(), 1);
+    assert_eq!(fixture.commit_count(), 1);
 }
 
 #[parameterized(
@@ -275,9 +275,9 @@
     bad_router = { "status --router engine:9", "invalid socket address", 2 },
 )]
 fn commands_that_cannot_run_say_why(line: &str, expected: &str, exit_code: u8) {
-    let bench = Bench::new();
-    bench.write("new.csv", "");
-    let error = bench.run(line).unwrap_err();
+    let fixture = Fixture::new();
+    fixture.write("new.csv", "");
+    let error = fixture.run(line).unwrap_err();
 
     assert!(error.to_string().contains(expected), "{error}");
     assert_eq!(error.exit_code(), ExitCode::from(exit_code));
@@ -285,15 +285,24 @@
 
 #[test]
 fn wait_ends_when_every_host_has_the_generation() {
-    let bench = Bench::applied();
+    let fixture = Fixture::with_applied_files();
     let pages = [
-        (at("127.0.0.1:7003", "/operator/status"), status_page(1)),
-        (at("127.0.0.1:7013", "/operator/status"), status_page(0)),
+        (
+            page_key("127.0.0.1:7003", "/operator/status"),
+            status_page(1),
+        ),
+        (
+            page_key("127.0.0.1:7013", "/operator/status"),
+            status_page(0),
+        ),
     ];
-    *bench.context.pages.borrow_mut() = pages.into();
-    let later = [(at("127.0.0.1:7013", "/operator/status"), status_page(1))];
-    *bench.context.later_pages.borrow_mut() = later.into();
-    let text = bench.run("config wait base.ini").unwrap();
+    *fixture.context.pages.borrow_mut() = pages.into();
+    let later = [(
+        page_key("127.0.0.1:7013", "/operator/status"),
+        status_page(1),
+    )];
+    *fixture.context.later_pages.borrow_mut() = later.into();
+    let text = fixture.run("config wait base.ini").unwrap();
 
     let expected = "\
 host  generation  in force  problem
@@ -305,11 +314,14 @@
 
 #[test]
 fn wait_names_the_hosts_that_are_late() {
-    let bench = Bench::applied();
-    let pages = [(at("127.0.0.1:7003", "/operator/status"), status_page(1))];
-    *bench.context.pages.borrow_mut() = pages.into();
+    let fixture = Fixture::with_applied_files();
+    let pages = [(
+        page_key("127.0.0.1:7003", "/operator/status"),
+        status_page(1),
+    )];
+    *fixture.context.pages.borrow_mut() = pages.into();
     let line = "config wait base.ini --generation 1 --timeout-ms 1000";
-    let error = bench.run(line).unwrap_err();
+    let error = fixture.run(line).unwrap_err();
 
     assert_eq!(error.exit_code(), ExitCode::from(1));
     assert!(
@@ -325,36 +337,41 @@
 
 #[test]
 fn pages_of_a_router_are_shown_as_columns_or_json() {
-    let bench = Bench::new();
+    let fixture = Fixture::new();
     let endpoints = r#"{"endpoints":[{"endpoint":"desk-1","pool":"desk","site":"north",
         "address":"127.0.0.1:8001","state":"ejected","slots":8,"running":3}]}"#;
     let accounts = r#"{"accounts":[{"account":"crew-07","weight":3,"waiting":5,"running":2,
         "service_tokens":123456}]}"#;
     let pages = [
-        (at("127.0.0.1:7003", "/operator/status"), status_page(4)),
         (
-            at("127.0.0.1:7003", "/operator/endpoints"),
+            page_key("127.0.0.1:7003", "/operator/status"),
+            status_page(4),
+        ),
+        (
+            page_key("127.0.0.1:7003", "/operator/endpoints"),
             endpoints.to_owned(),
         ),
         (
-            at("127.0.0.1:7003", "/operator/accounts"),
+            page_key("127.0.0.1:7003", "/operator/accounts"),
             accounts.to_owned(),
         ),
     ];
-    *bench.context.pages.borrow_mut() = pages.into();
+    *fixture.context.pages.borrow_mut() = pages.into();
 
-    let status = bench.run("status --router 127.0.0.1:7003").unwrap();
+    let status = fixture.run("status --router 127.0.0.1:7003").unwrap();
     assert!(status.contains("\ngeneration   4\n"));
     assert!(status.contains("\nb       9            suspected\n"));
-    let endpoints = bench.run("endpoints list --router 127.0.0.1:7003").unwrap();
+    let endpoints = fixture
+        .run("endpoints list --router 127.0.0.1:7003")
+        .unwrap();
     assert!(endpoints.contains("desk-1    desk  north  127.0.0.1:8001  ejected  8      3"));
-    let accounts = bench
+    let accounts = fixture
         .run("accounts list --json --router 127.0.0.1:7003")
         .unwrap();
     assert!(accounts.contains("\"service_tokens\": 123456"));
 }
 
-/// The router publishes a type of its own; the command line must be able to read it.
+/// The router serialises a different type than the command line parses; the two must agree.
 #[test]
 fn the_status_that_a_router_publishes_is_understood() {
     let published = sedgeridge_transport::status::RouterStatus {
@@ -363,20 +380,20 @@
         ..Default::default()
     };
     let page = serde_json::to_string(&published).unwrap();
-    let bench = Bench::new();
-    let pages = [(at("127.0.0.1:7003", "/operator/status"), page)];
-    *bench.context.pages.borrow_mut() = pages.into();
+    let fixture = Fixture::new();
+    let pages = [(page_key("127.0.0.1:7003", "/operator/status"), page)];
+    *fixture.context.pages.borrow_mut() = pages.into();
 
-    let status = bench.run("status --router 127.0.0.1:7003").unwrap();
+    let status = fixture.run("status --router 127.0.0.1:7003").unwrap();
     assert!(status.contains("\nmembers      3\n"), "{status}");
 }
 
 #[test]
 fn a_drain_is_sent_to_the_router() {
-    let bench = Bench::new();
-    let said = bench.run("endpoints drain desk-1 --router 127.0.0.1:7003");
-    assert!(said.unwrap().starts_with("desk-1 takes no new work"));
-    let posted = bench.context.posted.borrow();
+    let fixture = Fixture::new();
+    let result = fixture.run("endpoints drain desk-1 --router 127.0.0.1:7003");
+    assert!(result.unwrap().starts_with("desk-1 takes no new work"));
+    let posted = fixture.context.posted.borrow();
     let [(router, path, body)] = &posted[..] else {
         panic!("expected one call, found {posted:?}");
     };
@@ -387,11 +404,11 @@
 
 #[test]
 fn a_drain_without_an_endpoint_is_refused() {
-    let bench = Bench::new();
+    let fixture = Fixture::new();
     assert!(
-        bench
+        fixture
             .run("endpoints drain --router 127.0.0.1:7003")
             .is_err()
     );
-    assert!(bench.context.posted.borrow().is_empty());
+    assert!(fixture.context.posted.borrow().is_empty());
 }
--- a/crates/cli/tests/configuration/fake.rs
+++ b/crates/cli/tests/configuration/fake.rs
@@ -1,4 +1,4 @@
-//! A context in memory: a table that can lose answers after a write took effect, and pages.
+//! A context in memory: a table whose calls and answers can be lost, and operator pages.
 
 use std::cell::Cell;
 use std::cell::RefCell;
@@ -8,8 +8,8 @@
 use std::time::Duration;
 
 use sedgeridge_cli::context::Context;
-use sedgeridge_cli::context::FetchError;
 use sedgeridge_cli::context::OperatorPages;
+use sedgeridge_cli::context::PageError;
 use sedgeridge_cli::context::TableClient;
 use sedgeridge_cli::context::TableError;
 use sedgeridge_protocol::table::ReadAnswer;
@@ -19,14 +19,14 @@
 use sedgeridge_protocol::table::TransactRequest;
 use sedgeridge_protocol::table::VersionCheck;
 
-/// What happens to one call.
+/// Fault of one call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// Nothing: the call is run and answered.
+    /// No fault: the call is run and answered.
     None,
-    /// The call is run, its answer lost.
+    /// The call is run and its answer is lost.
     AnswerLost,
-    /// The call never arrives, and the caller can't tell.
+    /// The call is lost before it is run; the caller can't tell this from a lost answer.
     CallLost,
     /// The call is refused before it is run.
     Refused,
@@ -38,26 +38,26 @@
     rows: RefCell<BTreeMap<String, (u64, String)>>,
     version: Cell<u64>,
     change_ids: Cell<u64>,
-    /// Faults of the next transactions; none when used up.
+    /// Faults of the next transactions; further ones have no fault.
     pub transact_faults: RefCell<VecDeque<Fault>>,
-    /// Faults of the next reads; none when used up.
+    /// Faults of the next reads; further ones have no fault.
     pub read_faults: RefCell<VecDeque<Fault>>,
-    /// Run once after the next transaction, as by another operator.
+    /// Transaction of another operator, run once after the next transaction.
     pub rival: RefCell<Option<TransactRequest>>,
     /// Every transaction that took effect.
     pub committed: RefCell<Vec<TransactRequest>>,
-    /// Reads and transactions called so far.
+    /// Numbers of reads and transactions so far.
     pub calls: Cell<(u64, u64)>,
     /// Pages by address and path.
     pub pages: RefCell<BTreeMap<(SocketAddr, String), String>>,
-    /// What was sent: address, path and body.
+    /// Requests sent by `post`: address, path and body.
     pub posted: RefCell<Vec<(SocketAddr, String, String)>>,
     /// Pages that replace others at the first pause.
     pub later_pages: RefCell<BTreeMap<(SocketAddr, String), String>>,
 }
 
 impl FakeContext {
-    /// Counts the rows of the table.
+    /// Returns the number of rows in the table.
     pub fn row_count(&self) -> usize {
         self.rows.borrow().len()
     }
@@ -100,8 +100,8 @@
     }
 
     fn pause(&self, _duration: Duration) {
-        let mut later = self.later_pages.borrow_mut();
-        self.pages.borrow_mut().append(&mut later);
+        let mut pages_after_pause = self.later_pages.borrow_mut();
+        self.pages.borrow_mut().append(&mut pages_after_pause);
     }
 
     fn author(&self) -> String {
@@ -110,7 +110,7 @@
 }
 
 fn lost() -> TableError {
-    TableError::Unknown("lost".to_owned())
+    TableError::OutcomeUnknown("lost".to_owned())
 }
 
 fn refused() -> TableError {
@@ -167,14 +167,14 @@
 }
 
 impl OperatorPages for FakeContext {
-    fn fetch(&self, router: SocketAddr, path: &str) -> Result<String, FetchError> {
+    fn fetch(&self, router: SocketAddr, path: &str) -> Result<String, PageError> {
         let pages = self.pages.borrow();
         let page = pages.get(&(router, path.to_owned()));
         page.cloned()
-            .ok_or_else(|| FetchError(format!("http://{router}{path}: connection refused")))
+            .ok_or_else(|| PageError(format!("http://{router}{path}: connection refused")))
     }
 
-    fn post(&self, router: SocketAddr, path: &str, body: &str) -> Result<(), FetchError> {
+    fn post(&self, router: SocketAddr, path: &str, body: &str) -> Result<(), PageError> {
         let posted = (router, path.to_owned(), body.to_owned());
         self.posted.borrow_mut().push(posted);
         Ok(())
--- a/crates/cli/tests/configuration/main.rs
+++ b/crates/cli/tests/configuration/main.rs
@@ -1,4 +1,5 @@
-//! The accepted configuration: commits under faults and races, and the commands around them.
+//! The accepted configuration: commits with faults and concurrent changes, and the commands that use
+//! it.
 
 mod commands;
 mod commit;
--- a/crates/cli/tests/explain.rs
+++ b/crates/cli/tests/explain.rs
@@ -1,4 +1,4 @@
-//! `explain` on recorded logs of two hosts, and on logs that mislead.
+//! `explain` on recorded logs of two hosts, on a log with a clock change, and on unusable input.
 
 use std::fs;
 use std::path::PathBuf;
@@ -25,8 +25,8 @@
     String::from_utf8_lossy(&output.stdout).into_owned()
 }
 
-/// Three kinds of failed request: refused since its account had its share, lost with two endpoints,
-/// and refused while the store turned the host away.
+/// Three kinds of failed request: refused as its account had used its share, failed as two endpoints
+/// lost the connection, and refused while the host had lost the store.
 #[parameterized(
     over_share = { "89c49f26f0d9748b", "as over_share" },
     lost_with_endpoints = { "400430e2df2c472a", "attempt at i-bd314b502a ended as connection_lost" },
@@ -35,27 +35,27 @@
 fn a_failed_request_is_led_back_to_its_cause(request: &str, cause: &str) {
     let output = explain(&[request, LOGS[0], LOGS[1]]);
     assert!(output.status.success(), "{output:?}");
-    let told = text(&output);
-    let last = told.lines().last().expect("a cause");
-    assert!(last.starts_with("cause: "), "{told}");
-    assert!(last.contains(cause), "{told}");
+    let explanation = text(&output);
+    let last = explanation.lines().last().expect("a cause");
+    assert!(last.starts_with("cause: "), "{explanation}");
+    assert!(last.contains(cause), "{explanation}");
 }
 
 #[test]
 fn json_has_the_same_way_and_cause() {
     let output = explain(&["--json", "400430e2df2c472a", LOGS[0]]);
-    let told: serde_json::Value = serde_json::from_str(&text(&output)).expect("JSON");
-    assert_eq!(told["lines"].as_array().expect("lines").len(), 3);
+    let explanation: serde_json::Value = serde_json::from_str(&text(&output)).expect("JSON");
+    assert_eq!(explanation["lines"].as_array().expect("lines").len(), 3);
     assert!(
-        told["cause"]
+        explanation["cause"]
             .as_str()
             .expect("a cause")
             .contains("failed on")
     );
 }
 
-/// The engineer sees the true order although the host's time of day jumped back by an hour between
-/// the two lines of one request.
+/// The lines of a request stay in their true order although the host's wall clock was moved back by
+/// an hour between them.
 #[test]
 fn a_clock_that_was_moved_does_not_change_the_order_and_is_marked() {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("moved.log");
@@ -66,11 +66,14 @@
     ];
     fs::write(&path, lines.join("\n")).expect("written");
     let output = explain(&["r1", path.to_str().expect("a path")]);
-    let told = text(&output);
-    let rows: Vec<&str> = told.lines().collect();
-    assert!(rows[1].contains("E3303"), "{told}");
-    assert!(rows[2].contains("E3302"), "{told}");
-    assert!(rows[2].contains("clock moved by -3600000 ms"), "{told}");
+    let explanation = text(&output);
+    let rows: Vec<&str> = explanation.lines().collect();
+    assert!(rows[1].contains("E3303"), "{explanation}");
+    assert!(rows[2].contains("E3302"), "{explanation}");
+    assert!(
+        rows[2].contains("clock moved by -3600000 ms"),
+        "{explanation}"
+    );
 }
 
 #[parameterized(
--- a/crates/cli/tests/offline_commands.rs
+++ b/crates/cli/tests/offline_commands.rs
@@ -1,4 +1,4 @@
-//! Commands that read settings files only, run as a process: output, and the exit code.
+//! Output and exit codes of the commands that only read settings files, run as processes.
 
 use std::fs;
 use std::path::PathBuf;
@@ -23,7 +23,7 @@
 key_sha256 = 0123456789abcdef0123456789abcdef0123456789abcdef0123456789abcdef
 ";
 
-/// Counts directories, so that cases of one table run side by side.
+/// Number of directories created, so that concurrent cases of one test get different ones.
 static DIRECTORIES: AtomicU32 = AtomicU32::new(0);
 
 struct Directory(PathBuf);
--- a/crates/cli/tests/orders.rs
+++ b/crates/cli/tests/orders.rs
@@ -1,4 +1,4 @@
-//! Orders that operators write, when others write too and answers are lost.
+//! `orders add` and `orders list` with concurrent writers and lost answers.
 
 #[path = "configuration/fake.rs"]
 #[allow(dead_code)]
@@ -94,8 +94,8 @@
     );
 }
 
-// The table takes the order and its answer is lost. Sent again, the write meets its own row. The
-// operator is told that the order is accepted; told of a conflict, they would give it twice.
+// The order is written but the answer is lost. The second attempt finds its own row, which must be
+// reported as accepted; after a reported conflict the operator would give the order twice.
 #[test]
 fn an_order_whose_answer_was_lost_is_found_accepted() {
     let context = FakeContext::default();
@@ -107,8 +107,8 @@
     assert_eq!(context.committed.borrow().len(), 1);
 }
 
-// The order is lost on its way, and before it is sent again another operator orders the endpoint
-// to do something else. The first operator learns which order came first; the second's stays.
+// The call with the order is lost, and another operator writes an order to the endpoint before it is
+// sent again. The first operator's error names the other order, which stays in the table.
 #[test]
 fn the_loser_of_a_race_learns_which_order_won() {
     let context = FakeContext::default();
@@ -134,8 +134,8 @@
     assert!(run(&context, LIST).unwrap().contains("a/v2"));
 }
 
-// No answer comes at all. The order may be in the table, so the operator is not told that it failed
-// but that it may be accepted, and where to look.
+// Every answer is lost. The order may be in the table, so the error says that it may be accepted, and
+// how to check.
 #[test]
 fn an_order_without_any_answer_is_said_to_be_unknown() {
     let context = FakeContext::default();
--- a/crates/cli/tests/system_context.rs
+++ b/crates/cli/tests/system_context.rs
@@ -1,7 +1,7 @@
-//! The real client of the table service: which failures leave a write in doubt.
+//! The HTTP client of the table service: which failures leave the outcome of a write unknown.
 //!
-//! An operator is told "nothing was written" only when the call can't have been run. A call whose
-//! connection broke may have been run, so taking it for refused would hide an accepted change.
+//! The command line reports "nothing was written" only if the call can't have been run. A call whose
+//! connection broke may have been run; treating it as refused would hide an accepted change.
 
 use std::io::BufRead;
 use std::io::BufReader;
