--- a/crates/coordinator/src/run.rs
+++ b/crates/coordinator/src/run.rs
@@ -1,4 +1,4 @@
-//! Starts the coordinator's threads and waits for their end.
+//! Starts the coordinator's threads and waits until its core ends.
 
 use std::io;
 use std::sync::Arc;
@@ -36,7 +36,7 @@
         incarnation: incarnation_from_wall_clock(),
     };
     let status = StatusBoard::default();
-    let (inputs, inbox) = sync_channel(COORDINATOR_RING_LEN);
+    let (inputs, input_receiver) = sync_channel(COORDINATOR_RING_LEN);
     serve_operator_pages(address, start_metrics()?, status.clone(), None)?;
     let core = CoordinatorCore::new(
         ProcessClock::start(),
@@ -58,7 +58,7 @@
     );
     let core = thread::Builder::new()
         .name("core".into())
-        .spawn(move || core.run(&inbox))?;
+        .spawn(move || core.run(&input_receiver))?;
     core.join().map_err(|_| io::Error::other("core panicked"))?;
     log_info(LogEvent::CoordinatorStopped, "");
     Ok(())
--- a/crates/router/benches/added_time/client.rs
+++ b/crates/router/benches/added_time/client.rs
@@ -1,4 +1,4 @@
-//! A caller on one kept connection.
+//! A caller that sends requests on one persistent connection.
 
 use std::io::Read;
 use std::io::Write;
@@ -7,10 +7,10 @@
 use std::time::Duration;
 use std::time::Instant;
 
-/// Longest wait for an answer.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Maximum time to wait for an answer.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A caller.
+/// A caller with one connection.
 #[derive(Debug)]
 pub struct Client {
     stream: TcpStream,
@@ -21,15 +21,15 @@
 #[derive(Debug)]
 pub struct Answer {
     /// Time from the first byte sent to the whole answer.
-    pub took: Duration,
-    /// Time at which the first token was here.
+    pub duration: Duration,
+    /// Time at which the first token was received.
     pub first_token_at: Option<Instant>,
-    /// All that came.
+    /// Head and body as received.
     pub text: String,
 }
 
 impl Client {
-    /// Connects; every request is the same.
+    /// Connects. All requests of a client are the same.
     pub fn connect(address: SocketAddr, stream: bool) -> Self {
         let body = format!(
             r#"{{"model":"desk","messages":[{{"role":"user","content":"lens"}}],"stream":{stream},"max_tokens":1}}"#
@@ -41,7 +41,9 @@
         );
         let stream = TcpStream::connect(address).expect("a listener");
         stream.set_nodelay(true).expect("an option");
-        stream.set_read_timeout(Some(PATIENCE)).expect("an option");
+        stream
+            .set_read_timeout(Some(ANSWER_TIMEOUT))
+            .expect("an option");
         Self { stream, request }
     }
 
@@ -66,11 +68,11 @@
             if first_token_at.is_none() && text.contains("sent:") {
                 first_token_at = Some(Instant::now());
             }
-            if is_whole(&text) {
-                let took = began.elapsed();
+            if is_complete(&text) {
+                let duration = began.elapsed();
                 assert!(text.starts_with("HTTP/1.1 200"), "{text}");
                 return Answer {
-                    took,
+                    duration,
                     first_token_at,
                     text: text.into_owned(),
                 };
@@ -80,7 +82,7 @@
 }
 
 impl Answer {
-    /// Reads the number after a mark.
+    /// Parses the number between a mark and the next space.
     pub fn number_after(&self, mark: &str) -> u64 {
         let rest = self.text.split_once(mark).expect("the mark").1;
         let digits = rest.split_once(' ').expect("the end of the number").0;
@@ -88,7 +90,7 @@
     }
 }
 
-fn is_whole(text: &str) -> bool {
+fn is_complete(text: &str) -> bool {
     let Some((head, body)) = text.split_once("\r\n\r\n") else {
         return false;
     };
--- a/crates/router/benches/added_time/engine.rs
+++ b/crates/router/benches/added_time/engine.rs
@@ -1,6 +1,6 @@
-//! An engine that tells how long it held a request, and when it sent its first token.
+//! An engine that reports how long it held a request, and when it sent the first token.
 //!
-//! The engine stand-in admits requests in steps of a batch; the noise of that is above what is
+//! The usual engine stand-in admits requests in batch steps. The noise of that is larger than the times
 //! measured here.
 
 use std::io::BufRead;
@@ -14,13 +14,13 @@
 use std::time::Duration;
 use std::time::Instant;
 
-const STEP: &str = r#""object":"chat.completion.chunk","choices":[{"index":0,"delta""#;
+const CHUNK_FIELDS: &str = r#""object":"chat.completion.chunk","choices":[{"index":0,"delta""#;
 
 /// Starts an engine with this many slots that holds requests for `service_time` on average, from
-/// half to one and a half of it. Times are told in microseconds since `epoch`.
+/// half to one and a half of it. Times are reported in microseconds since `epoch`.
 ///
-/// Were all held equally long, callers who wait for their answers would fall into step and send
-/// all at once, which measures their queue.
+/// With equal hold times, callers that wait for their answers would synchronise and send all requests
+/// at once, and the bench would measure their queue.
 pub fn start(slots: u32, service_time: Duration, epoch: Instant) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("an address");
@@ -72,7 +72,7 @@
             let load = format!(
                 r#"{{"running":0,"waiting":0,"slots":{slots},"age_ms":0,"leaving":false}}"#
             );
-            write_whole(&mut stream, "", &load).ok()?;
+            write_answer(&mut stream, "", &load).ok()?;
             continue;
         }
         let hold_time = hold_times.next();
@@ -87,12 +87,13 @@
             let answer = format!(
                 r#"{{"id":"held:{held_us} ","object":"chat.completion","choices":[],"usage":{{"prompt_tokens":1,"completion_tokens":1}}}}"#
             );
-            write_whole(&mut stream, &attempt, &answer).ok()?;
+            write_answer(&mut stream, &attempt, &answer).ok()?;
         }
     }
 }
 
-/// Reads a head and returns the line that names the attempt, to be echoed, and the body's length.
+/// Reads a request head and returns its attempt id line, which the answer repeats, and the body's
+/// length.
 fn read_head(reader: &mut impl BufRead) -> Option<(String, usize)> {
     let mut attempt = String::new();
     let mut length = 0;
@@ -111,7 +112,7 @@
     }
 }
 
-fn write_whole(stream: &mut TcpStream, attempt: &str, body: &str) -> std::io::Result<()> {
+fn write_answer(stream: &mut TcpStream, attempt: &str, body: &str) -> std::io::Result<()> {
     let length = body.len();
     let head = format!(
         "HTTP/1.1 200 OK\r\n{attempt}content-type: application/json\r\ncontent-length: {length}\r\n\r\n"
@@ -126,7 +127,8 @@
     );
     stream.write_all(head.as_bytes())?;
     let sent_us = epoch.elapsed().as_micros();
-    let first = format!("data: {{\"id\":\"a\",{STEP}:{{\"content\":\"sent:{sent_us} \"}}}}]}}\n\n");
+    let first =
+        format!("data: {{\"id\":\"a\",{CHUNK_FIELDS}:{{\"content\":\"sent:{sent_us} \"}}}}]}}\n\n");
     write_chunk(stream, &first)?;
     write_chunk(stream, "data: [DONE]\n\n")?;
     stream.write_all(b"0\r\n\r\n")
--- a/crates/router/benches/added_time/fleet.rs
+++ b/crates/router/benches/added_time/fleet.rs
@@ -1,4 +1,4 @@
-//! Real routers in processes of their own.
+//! Starts router processes.
 
 use std::fmt::Write;
 use std::fs;
@@ -18,16 +18,16 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 const KEY_SHA256: &str = "2bb80d537b1da3e38bd30361aa855686bde0eacd7162fef6a25fe97bf527a25b";
 
-/// One router.
+/// A running router.
 #[derive(Debug)]
 pub struct Router {
-    /// Where callers connect.
+    /// Address to which callers connect.
     pub callers: SocketAddr,
     operators: SocketAddr,
     child: Child,
 }
 
-/// Starts routers before one engine, and waits until they know each other. Each override is a
+/// Starts routers with one engine, and waits until all are ready and know each other. Each override is a
 /// `section.key=value`.
 pub fn start(routers: usize, engine: SocketAddr, slots: u32, overrides: &[String]) -> Vec<Router> {
     let mut settings = format!(
@@ -81,12 +81,12 @@
 }
 
 impl Router {
-    /// Tells whether this router is the home of the pool.
+    /// Returns whether this router is the home of the pool.
     pub fn is_home(&self) -> bool {
         self.status().contains(r#""homes":1"#)
     }
 
-    /// Memory in use, in kilobytes.
+    /// Resident memory in kilobytes.
     pub fn resident_kb(&self) -> u64 {
         let id = self.child.id();
         let status = fs::read_to_string(format!("/proc/{id}/status")).expect("a process");
--- a/crates/router/benches/added_time/main.rs
+++ b/crates/router/benches/added_time/main.rs
@@ -1,7 +1,8 @@
-//! What a router adds to a call: time at half load, delay of the first token, memory.
+//! Measures the time that a router adds to a call at half load, the time that it adds to the first
+//! token, and its memory.
 //!
-//! Callers ask an engine directly and through a router at the same time, in one run on one
-//! machine, so that both meet the same conditions. Run with
+//! Callers send requests to an engine directly and through a router at the same time, in one run on one
+//! machine, so that both have the same conditions. Run with
 //! `cargo bench -p sedgeridge-router --bench added_time`; settings to override come after `--`, as
 //! in `-- fair.grant_span_ms=1`.
 
@@ -19,18 +20,18 @@
 use client::Client;
 use hdrhistogram::Histogram;
 
-/// Slots of the engine; half as many callers make half load.
+/// Slots of the engine; half as many callers give half load.
 const SLOTS: u32 = 16;
 const CALLERS: usize = 8;
 /// Mean time for which the engine holds a request.
 const SERVICE_TIME: Duration = Duration::from_millis(20);
 const CALLS_EACH: usize = 1_000;
 const WARM_UP_CALLS: usize = 50;
-/// Requests over which the memory is watched, in parts after each of which it is read.
+/// Requests of the memory measurement; the memory is read after each of `MEMORY_PARTS` equal parts.
 const MEMORY_CALLS: usize = 100_000;
 const MEMORY_PARTS: usize = 4;
 
-type Figures = Histogram<u64>;
+type Measurements = Histogram<u64>;
 
 fn main() {
     let overrides = overrides();
@@ -51,7 +52,7 @@
             false,
             |answer| {
                 let held_us = answer.number_after("held:");
-                (answer.took.as_micros() as u64).saturating_sub(held_us)
+                (answer.duration.as_micros() as u64).saturating_sub(held_us)
             },
         );
         measure(
@@ -68,16 +69,16 @@
             },
         );
     }
-    watch_memory(epoch, &overrides);
+    measure_memory(epoch, &overrides);
 }
 
-/// Returns the `section.key=value` arguments; `cargo bench` adds options of its own.
+/// Returns the `section.key=value` arguments without the options that `cargo bench` adds.
 fn overrides() -> Vec<String> {
     let arguments = std::env::args().skip(1);
     arguments.filter(|text| !text.starts_with('-')).collect()
 }
 
-/// Measures both ways at once and prints them with their differences.
+/// Measures direct and routed calls at the same time, and prints both and their differences.
 fn measure(
     what: &str,
     engine: SocketAddr,
@@ -94,8 +95,8 @@
             callers.collect::<Vec<_>>()
         };
         let (direct, routed) = (spawn(engine), spawn(router));
-        let merge = |callers: Vec<thread::ScopedJoinHandle<'_, Figures>>| {
-            let mut all = new_figures();
+        let merge = |callers: Vec<thread::ScopedJoinHandle<'_, Measurements>>| {
+            let mut all = new_measurements();
             for caller in callers {
                 all += caller.join().expect("a caller ended by a panic");
             }
@@ -123,25 +124,25 @@
     stream: bool,
     start: &Barrier,
     figure_us: &(impl Fn(&Answer) -> u64 + Sync),
-) -> Figures {
+) -> Measurements {
     let mut client = Client::connect(address, stream);
     for _ in 0..WARM_UP_CALLS {
         client.ask();
     }
     start.wait();
-    let mut figures = new_figures();
+    let mut measurements = new_measurements();
     for _ in 0..CALLS_EACH {
-        figures.saturating_record(figure_us(&client.ask()));
+        measurements.saturating_record(figure_us(&client.ask()));
     }
-    figures
+    measurements
 }
 
-fn new_figures() -> Figures {
+fn new_measurements() -> Measurements {
     Histogram::new_with_bounds(1, 60_000_000, 3).expect("sound bounds")
 }
 
-/// Reads a router's memory over many requests.
-fn watch_memory(epoch: Instant, overrides: &[String]) {
+/// Prints a router's memory over many requests.
+fn measure_memory(epoch: Instant, overrides: &[String]) {
     let engine = engine::start(SLOTS, Duration::ZERO, epoch);
     let fleet = fleet::start(1, engine, SLOTS, overrides);
     let router = &fleet[0];
--- a/crates/router/src/run.rs
+++ b/crates/router/src/run.rs
@@ -1,4 +1,4 @@
-//! Starts the router's threads and waits for their end.
+//! Starts the router's threads and waits until its core and front end.
 
 use std::io;
 use std::sync::atomic::AtomicU64;
@@ -39,14 +39,14 @@
     let held_bodies = HeldBodies::new(&settings.front);
     let directory = SharedDirectory::new(settings);
     let status = StatusBoard::default();
-    let (inputs, inbox) = sync_channel(CORE_RING_LEN);
-    let (stop_front, front_stops) = watch::channel(false);
-    let drains = Some(inputs.clone());
+    let (inputs, input_receiver) = sync_channel(CORE_RING_LEN);
+    let (stop_front, front_stop_signal) = watch::channel(false);
+    let drain_requests = Some(inputs.clone());
     serve_operator_pages(
         host.operator_address,
         start_metrics()?,
         status.clone(),
-        drains,
+        drain_requests,
     )?;
     let front = Front {
         clock,
@@ -68,10 +68,10 @@
         .spawn(move || peers.run(sockets, peer_outbox))?;
     let front = thread::Builder::new()
         .name("front".into())
-        .spawn(move || front.run(listener, front_stops))?;
-    let on_stop = inputs.clone();
+        .spawn(move || front.run(listener, front_stop_signal))?;
+    let stop_input = inputs.clone();
     on_stop_signal(move || {
-        let _ = on_stop.send(CoreInput::Stop);
+        let _ = stop_input.send(CoreInput::Stop);
     })?;
     log_info(
         LogEvent::RouterStarted,
@@ -83,7 +83,7 @@
     let core = Core::new(clock, member, directory, inputs, peer_sender, status)?;
     let core = thread::Builder::new()
         .name("core".into())
-        .spawn(move || core.run(&inbox))?;
+        .spawn(move || core.run(&input_receiver))?;
     core.join().map_err(|_| io::Error::other("core panicked"))?;
     let _ = stop_front.send(true);
     front
--- a/crates/router/tests/host_list.rs
+++ b/crates/router/tests/host_list.rs
@@ -1,4 +1,4 @@
-//! The platform's host list names an endpoint as leaving.
+//! A router follows the state of endpoints in the platform's host list.
 
 mod support;
 
@@ -14,7 +14,7 @@
 use support::fake_engine;
 use support::wait_until;
 
-fn set_list(list: &Running, state: &str) {
+fn set_host_state(list: &Running, state: &str) {
     let host = |name, state| {
         serde_json::json!({
             "name": name, "address": "127.0.0.1:9", "site": "local", "state": state
@@ -27,7 +27,7 @@
     assert_eq!(sent.unwrap().status(), 200);
 }
 
-fn state_of(router: &Router) -> (EndpointState, u32) {
+fn state_and_usable_slots(router: &Router) -> (EndpointState, u32) {
     let url = format!("http://{}{ENDPOINTS_PATH}", router.operators);
     let mut answer = ureq::get(url).call().unwrap();
     let text = answer.body_mut().read_to_string().unwrap();
@@ -35,24 +35,25 @@
     (page.endpoints[0].state, page.endpoints[0].usable_slots)
 }
 
-// The platform is about to take an endpoint's host away and says so on its list only: the endpoint
-// itself and the operators say nothing. Requests sent there would be cut off with the host. The
-// endpoint gets no new work while the list names it as leaving, and work again when it no longer
-// does. Names that the router does not know are passed over.
+// The platform is about to remove an endpoint's host, and only its host list says so. Requests sent
+// there would be cut off. The endpoint gets no new work while the list shows it as leaving, and gets
+// work again afterwards. Hosts that the router does not know are ignored.
 #[test]
 fn an_endpoint_that_leaves_by_the_list_gets_no_new_work() {
     let (engine, _) = fake_engine::start(Duration::from_millis(5));
     let list = hosts::spawn(HostsConfig::default()).unwrap();
-    set_list(&list, "live");
+    set_host_state(&list, "live");
     let platform = format!("host_list_address = {}", list.address());
     let router = Router::start_on_platform("host_list", engine, "", &platform);
-    wait_until("work", || state_of(&router) == (EndpointState::Serving, 4));
-    set_list(&list, "leaving");
+    wait_until("work", || {
+        state_and_usable_slots(&router) == (EndpointState::Serving, 4)
+    });
+    set_host_state(&list, "leaving");
     wait_until("leaving", || {
-        state_of(&router) == (EndpointState::Leaving, 0)
+        state_and_usable_slots(&router) == (EndpointState::Leaving, 0)
     });
-    set_list(&list, "live");
+    set_host_state(&list, "live");
     wait_until("work again", || {
-        state_of(&router).0 == EndpointState::Serving
+        state_and_usable_slots(&router).0 == EndpointState::Serving
     });
 }
--- a/crates/router/tests/support/fake_engine.rs
+++ b/crates/router/tests/support/fake_engine.rs
@@ -1,4 +1,4 @@
-//! An engine whose streams end when the test says so.
+//! An engine stand-in whose streams end when the test allows it.
 
 use std::io::BufRead;
 use std::io::BufReader;
@@ -17,17 +17,17 @@
 const LOAD: &str = r#"{"running":0,"waiting":0,"slots":4,"age_ms":0,"leaving":false}"#;
 const EVENT: &str = "data: {\"id\":\"a\",\"object\":\"chat.completion.chunk\",\"choices\":[{\"index\":0,\"delta\":{\"content\":\"lens \"}}]}\n\n";
 
-/// Streams that run, and whether they may end.
+/// Number of running streams, and whether they may end.
 #[derive(Debug, Default)]
 pub struct Streams {
-    /// Streams under way.
+    /// Number of running streams.
     pub running: AtomicUsize,
     /// Whether streams end with the next event.
     pub may_end: AtomicBool,
 }
 
-/// Starts an engine; it sends an event each `pause`.
-pub fn start(pause: Duration) -> (SocketAddr, Arc<Streams>) {
+/// Starts an engine that pauses for `event_interval` after each event of a stream.
+pub fn start(event_interval: Duration) -> (SocketAddr, Arc<Streams>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("an address");
     let streams = Arc::new(Streams::default());
@@ -35,13 +35,13 @@
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             let shared = Arc::clone(&shared);
-            thread::spawn(move || serve(stream, pause, &shared));
+            thread::spawn(move || serve(stream, event_interval, &shared));
         }
     });
     (address, streams)
 }
 
-fn serve(mut stream: TcpStream, pause: Duration, streams: &Streams) {
+fn serve(mut stream: TcpStream, event_interval: Duration, streams: &Streams) {
     let mut reader = BufReader::new(stream.try_clone().expect("a socket"));
     let mut lines = (&mut reader).lines().map_while(Result::ok);
     let Some(first) = lines.next() else { return };
@@ -50,7 +50,7 @@
         .iter()
         .find_map(|line| line.strip_prefix("content-length: "));
     let length = length.map_or(0, |length| length.parse().expect("a length"));
-    // Unread bytes would reset the connection at its end.
+    // Closing the connection with unread bytes would reset it.
     let _ = reader.read_exact(&mut vec![0; length]);
     if first.starts_with("GET") {
         let length = LOAD.len();
@@ -61,14 +61,14 @@
         return;
     }
     streams.running.fetch_add(1, Ordering::SeqCst);
-    let _ = stream_answer(&mut stream, &head, pause, streams);
+    let _ = stream_answer(&mut stream, &head, event_interval, streams);
     streams.running.fetch_sub(1, Ordering::SeqCst);
 }
 
 fn stream_answer(
     stream: &mut TcpStream,
     head: &[String],
-    pause: Duration,
+    event_interval: Duration,
     streams: &Streams,
 ) -> std::io::Result<()> {
     let attempt = head
@@ -82,7 +82,7 @@
     stream.write_all(answer.as_bytes())?;
     while !streams.may_end.load(Ordering::SeqCst) {
         stream.write_all(EVENT.as_bytes())?;
-        thread::sleep(pause);
+        thread::sleep(event_interval);
     }
     stream.write_all(b"data: [DONE]\n\n")
 }
--- a/crates/router/tests/support/mod.rs
+++ b/crates/router/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Starts one real router with a model pool, for tests that talk to it from outside.
+//! Starts a router process with a model pool, for tests that use it over the network.
 #![allow(dead_code, reason = "each test file uses its own part")]
 
 use std::fs;
@@ -18,15 +18,15 @@
 
 pub mod fake_engine;
 
-/// How long a test waits for something that must come.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+/// Maximum time to wait for an expected event.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 /// SHA-256 of the account's key, `secret`.
 const KEY_SHA256: &str = "2bb80d537b1da3e38bd30361aa855686bde0eacd7162fef6a25fe97bf527a25b";
 
 /// Waits until a condition holds.
 #[track_caller]
 pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     while !holds() {
         assert!(
             Instant::now() < deadline,
@@ -36,8 +36,8 @@
     }
 }
 
-/// Returns an address that nothing else uses: a port that was drawn and released is taken by any connection
-/// on the machine before the router binds it.
+/// Returns an address that nothing else uses, from the process id and a counter. A port that the system
+/// chose and the test released could be taken by any connection before the router binds it.
 fn free_address() -> SocketAddr {
     static NEXT_PORT: AtomicU16 = AtomicU16::new(20_000);
     let [_, _, high, low] = std::process::id().to_be_bytes();
@@ -54,12 +54,12 @@
 }
 
 impl Router {
-    /// Starts a router before one engine; `front` holds further lines of the section `[front]`.
+    /// Starts a router with one engine; `front` holds additional lines of the section `[front]`.
     pub fn start(name: &str, engine: SocketAddr, front: &str) -> Self {
         Self::start_on_platform(name, engine, front, "")
     }
 
-    /// The same with further lines of the section `[platform]`.
+    /// Like [`Self::start`], with additional lines of the section `[platform]`.
     pub fn start_on_platform(name: &str, engine: SocketAddr, front: &str, platform: &str) -> Self {
         let callers = free_address();
         let operators = free_address();
@@ -93,7 +93,7 @@
         router
     }
 
-    /// Reads an operator page; empty when it can't be read.
+    /// Reads an operator page; returns an empty text if it can't be read.
     pub fn page(&mut self, path: &str) -> String {
         let mut text = String::new();
         if let Ok(mut stream) = TcpStream::connect(self.operators) {
@@ -107,7 +107,9 @@
     /// Opens a connection as a caller.
     pub fn connect(&self) -> TcpStream {
         let stream = TcpStream::connect(self.callers).expect("the router listens");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a timeout");
+        stream
+            .set_read_timeout(Some(WAIT_TIMEOUT))
+            .expect("a timeout");
         stream
     }
 
@@ -133,7 +135,7 @@
         assert!(sent.expect("kill runs").success());
     }
 
-    /// Tells whether the process has ended, and with which code.
+    /// Returns the exit code, or `None` if the process still runs.
     pub fn exit_code(&mut self) -> Option<i32> {
         let status = self.child.try_wait().expect("a child");
         status.map(|status| status.code().unwrap_or(-1))
@@ -154,7 +156,7 @@
     }
 }
 
-/// Reads until a text has come, and returns all that came.
+/// Reads until the received text ends with `end`, and returns it.
 pub fn read_until(stream: &mut TcpStream, end: &str) -> String {
     let mut text = Vec::new();
     let mut byte = [0];
