--- a/crates/coordination/src/held_grants.rs
+++ b/crates/coordination/src/held_grants.rs
@@ -1,4 +1,4 @@
-//! The grants that an entry router uses, and what is left of each.
+//! Grants in use at an entry router, and the requests that each still covers.
 
 use std::collections::BTreeMap;
 use std::collections::BTreeSet;
@@ -7,24 +7,24 @@
 use crate::pool_messages::GrantId;
 use crate::pool_messages::Holding;
 
-/// A grant in use: it covers a few short requests of one account, one after the other.
+/// A grant in use. It covers one request or several short ones of one account, one after another.
 #[derive(Debug)]
 pub(crate) struct HeldGrant {
-    /// What the home is told of it.
+    /// The grant as reported to the home.
     pub(crate) holding: Holding,
-    /// Requests that it still covers beside the one that runs.
-    pub(crate) left: u32,
-    /// When it came into use.
-    pub(crate) since: Duration,
-    /// Time from which on it covers no further request.
-    pub(crate) until: Duration,
+    /// Number of requests still covered, besides the running one.
+    pub(crate) remaining_requests: u32,
+    /// Time of its first use.
+    pub(crate) started_at: Duration,
+    /// Time after which it covers no further request.
+    pub(crate) reusable_until: Duration,
 }
 
 /// Grants in use, by id.
 #[derive(Debug, Default)]
 pub(crate) struct HeldGrants {
     grants: BTreeMap<GrantId, HeldGrant>,
-    changed: BTreeSet<GrantId>,
+    changed_grants: BTreeSet<GrantId>,
 }
 
 impl HeldGrants {
@@ -41,37 +41,37 @@
     }
 
     pub(crate) fn remove(&mut self, id: &GrantId) -> Option<HeldGrant> {
-        self.changed.remove(id);
+        self.changed_grants.remove(id);
         self.grants.remove(id)
     }
 
-    /// Takes one further request from a grant; false when it covers none any more.
-    pub(crate) fn take_next(&mut self, now: Duration, id: &GrantId) -> bool {
+    /// Counts one further request against a grant; false when the grant covers no more.
+    pub(crate) fn try_reuse(&mut self, now: Duration, id: &GrantId) -> bool {
         let Some(held) = self.grants.get_mut(id) else {
             return false;
         };
-        if held.left == 0 || now >= held.until {
+        if held.remaining_requests == 0 || now >= held.reusable_until {
             return false;
         }
-        held.left -= 1;
+        held.remaining_requests -= 1;
         true
     }
 
-    /// Notes that the home knows an estimate that is no longer right.
+    /// Marks a grant whose estimate at the home is outdated.
     pub(crate) fn mark_changed(&mut self, id: &GrantId) {
-        self.changed.insert(id.clone());
+        self.changed_grants.insert(id.clone());
     }
 
     pub(crate) fn mark_all_changed(&mut self) {
-        self.changed.extend(self.grants.keys().cloned());
+        self.changed_grants.extend(self.grants.keys().cloned());
     }
 
     pub(crate) fn has_changes(&self) -> bool {
-        !self.changed.is_empty()
+        !self.changed_grants.is_empty()
     }
 
     pub(crate) fn take_changes(&mut self) -> Vec<Holding> {
-        let changed = std::mem::take(&mut self.changed);
+        let changed = std::mem::take(&mut self.changed_grants);
         let held = changed.iter().filter_map(|id| self.grants.get(id));
         held.map(|held| held.holding.clone()).collect()
     }
--- a/crates/coordination/src/node.rs
+++ b/crates/coordination/src/node.rs
@@ -166,7 +166,7 @@
             }
             NodeEvent::HostList(hosts) => {
                 self.for_each_home(now, out, |home, out| {
-                    home.take_host_list(now, &hosts, out);
+                    home.apply_host_list(now, &hosts, out);
                 });
                 // The list also names the hosts of endpoints, which are not members.
                 let settings = &self.settings;
@@ -177,7 +177,7 @@
             }
             NodeEvent::LoadRead { endpoint, load } => {
                 self.for_each_home(now, out, |home, out| {
-                    home.load_read(now, &endpoint, load, out);
+                    home.record_load_report(now, &endpoint, load, out);
                 });
             }
             NodeEvent::DrainEndpoint {
@@ -211,7 +211,7 @@
     pub fn next_wake(&self) -> Duration {
         let report = self
             .report_schedule
-            .next_wake(self.entry.urgency(&self.member));
+            .next_due_at(self.entry.urgency(&self.member));
         let timers = [report, self.entry.next_wake(), self.claims.next_wake()];
         let earliest = timers.into_iter().flatten().min();
         let membership = self.membership.next_wake();
--- a/crates/coordination/src/node/peers.rs
+++ b/crates/coordination/src/node/peers.rs
@@ -15,7 +15,7 @@
 use crate::node::Outbox;
 use crate::node_events::NodeAction;
 use crate::node_events::PeerMessage;
-use crate::poison_notice::PoisonNews;
+use crate::poison_notice::PoisonEvent;
 use crate::poison_notice::PoisonNotice;
 use crate::pool_home::HomeEvent;
 use crate::refusal::Outcome;
@@ -76,15 +76,15 @@
 
     pub(super) fn report_to_others(&mut self, now: Duration, out: &mut Outbox) {
         let urgency = self.entry.urgency(&self.member);
-        self.report_schedule.note(now, urgency);
-        let Some(min_urgency) = self.report_schedule.due(now, urgency) else {
+        self.report_schedule.note_urgency(now, urgency);
+        let Some(min_urgency) = self.report_schedule.due_urgency(now, urgency) else {
             return;
         };
         let own = &self.member;
         let mut reports = Vec::new();
         let is_due = |home: &Member, urgency| home != own && urgency >= min_urgency;
         self.entry.report(min_urgency, is_due, &mut reports);
-        self.report_schedule.sent(now, min_urgency);
+        self.report_schedule.record_sent(now, min_urgency);
         for report in reports {
             self.handle_entry_action(now, report, out);
         }
@@ -107,7 +107,7 @@
             }
             EntryAction::Announce(PoisonNotice {
                 fingerprint,
-                news: PoisonNews::Quarantined { remaining },
+                event: PoisonEvent::Quarantined { remaining },
             }) => {
                 // A quarantine must also reach routers that start later, so it is sent as a
                 // membership notice, which members keep and compare.
--- a/crates/coordination/tests/config_fuzz.rs
+++ b/crates/coordination/tests/config_fuzz.rs
@@ -19,7 +19,7 @@
 #[derive(Debug, Clone)]
 enum Step {
     Accept,
-    Deliver { router: usize, fate: CallOutcome },
+    Deliver { router: usize, outcome: CallOutcome },
     Advance { by_ms: u64 },
     Cut { a: usize, b: usize },
     Join { a: usize, b: usize },
@@ -30,7 +30,7 @@
 #[derive(Debug, Clone)]
 struct Oracle;
 
-fn fate() -> impl Strategy<Value = CallOutcome> {
+fn outcome() -> impl Strategy<Value = CallOutcome> {
     prop_oneof![
         6 => Just(CallOutcome::Answered),
         2 => Just(CallOutcome::AnswerLost),
@@ -53,7 +53,8 @@
         let pair = || (0..ROUTERS, 0..ROUTERS);
         prop_oneof![
             3 => Just(Step::Accept),
-            14 => (router.clone(), fate()).prop_map(|(router, fate)| Step::Deliver { router, fate }),
+            14 => (router.clone(), outcome())
+                .prop_map(|(router, outcome)| Step::Deliver { router, outcome }),
             5 => prop_oneof![Just(100_u64), Just(700), Just(2_000)]
                 .prop_map(|by_ms| Step::Advance { by_ms }),
             1 => pair().prop_map(|(a, b)| Step::Cut { a: a.min(b), b: a.max(b) }),
@@ -82,7 +83,7 @@
     fn apply(mut fleet: ConfigFleet, _: &usize, step: Step) -> ConfigFleet {
         match step {
             Step::Accept => fleet.accept_change(),
-            Step::Deliver { router, fate } => fleet.deliver(router, fate),
+            Step::Deliver { router, outcome } => fleet.deliver(router, outcome),
             Step::Advance { by_ms } => fleet.advance(by_ms),
             Step::Cut { a, b } => fleet.cut_pairs.push((a, b)),
             Step::Join { a, b } => fleet.cut_pairs.retain(|cut| *cut != (a, b)),
