--- a/crates/cli/src/account_csv.rs
+++ b/crates/cli/src/account_csv.rs
@@ -29,7 +29,8 @@
     errors: Vec<SettingsError>,
 }
 
-/// Returns the sections of the new accounts, or all findings. `accepted` is the accepted base layer.
+/// Returns the sections of the new accounts, or all findings. `accepted` is the accepted base
+/// layer.
 ///
 /// ```
 /// use sedgeridge_cli::account_csv::read_accounts;
--- a/crates/cli/src/config_apply.rs
+++ b/crates/cli/src/config_apply.rs
@@ -73,8 +73,8 @@
     ))
 }
 
-/// Refuses overlays of sites that do not exist; otherwise an overlay with a misspelt file name would
-/// be silently ignored.
+/// Refuses overlays of sites that do not exist; otherwise an overlay with a misspelt file name
+/// would be silently ignored.
 fn refuse_stray_overlays(base: &Path, settings: &Settings) -> Result<(), CommandError> {
     let directory = match base.parent() {
         Some(parent) if parent != Path::new("") => parent,
--- a/crates/cli/src/config_commit.rs
+++ b/crates/cli/src/config_commit.rs
@@ -216,8 +216,9 @@
     }
 }
 
-/// Returns the keys of the rows that a snapshot makes obsolete: those older than the snapshot before
-/// it. The rows between the two stay, so that a reader with an older head can still read its changes.
+/// Returns the keys of the rows that a snapshot makes obsolete: those older than the snapshot
+/// before it. The rows between the two stay, so that a reader with an older head can still read its
+/// changes.
 fn outdated_change_keys(generation: u64) -> impl Iterator<Item = String> {
     let is_snapshot = snapshot_generation(generation) == generation;
     let end = generation.saturating_sub(GENERATIONS_PER_SNAPSHOT);
--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -59,8 +59,8 @@
     }
 }
 
-/// Prints to standard output. Write errors are ignored, as a reader such as `head` may have closed the
-/// pipe.
+/// Prints to standard output. Write errors are ignored, as a reader such as `head` may have closed
+/// the pipe.
 fn print(text: &str) {
     use std::io::Write;
     let _ = std::io::stdout().write_all(text.as_bytes());
--- a/crates/cli/src/orders_add.rs
+++ b/crates/cli/src/orders_add.rs
@@ -97,9 +97,9 @@
 
 /// Writes the record if no other order was written since the row was read.
 ///
-/// A write whose answer is lost is sent again with the same condition. If the first one took effect,
-/// the second one finds this order in the row. If that were reported as a conflict, the operator
-/// would see a failure for an order that an engine then executes.
+/// A write whose answer is lost is sent again with the same condition. If the first one took
+/// effect, the second one finds this order in the row. If that were reported as a conflict, the
+/// operator would see a failure for an order that an engine then executes.
 fn write_order(
     context: &impl Context,
     table: SocketAddr,
--- a/crates/cli/src/system.rs
+++ b/crates/cli/src/system.rs
@@ -53,8 +53,8 @@
 }
 
 impl Context for SystemContext {
-    /// The standard library seeds each `RandomState` from the system's random source. That gives an id
-    /// of 128 bits without a further dependency.
+    /// The standard library seeds each `RandomState` from the system's random source. That gives an
+    /// id of 128 bits without a further dependency.
     fn new_change_id(&self) -> String {
         let high = RandomState::new().hash_one(0_u8);
         let low = RandomState::new().hash_one(1_u8);
--- a/crates/cli/tests/committed_files.rs
+++ b/crates/cli/tests/committed_files.rs
@@ -59,8 +59,8 @@
     assert_eq!(files, expected_files);
 }
 
-/// The accepted configuration keeps sections in order of name. Otherwise it must load the same settings as
-/// the files that it was made from.
+/// The accepted configuration keeps sections in order of name. Otherwise it must load the same
+/// settings as the files that it was made from.
 #[parameterized(
     small = { "small" },
     luce = { "luce" },
--- a/crates/cli/tests/config_linearizable/main.rs
+++ b/crates/cli/tests/config_linearizable/main.rs
@@ -1,8 +1,9 @@
-//! Records runs of operators that change the configuration concurrently, and checks the histories for
-//! linearizability.
+//! Records runs of operators that change the configuration concurrently, and checks the histories
+//! for linearizability.
 //!
-//! The register is the list of accepted changes. The tests run the real commit on a simulated table,
-//! which loses answers after the write took effect, loses calls, delays them and refuses them.
+//! The register is the list of accepted changes. The tests run the real commit on a simulated
+//! table, which loses answers after the write took effect, loses calls, delays them and refuses
+//! them.
 
 mod table;
 mod turns;
@@ -151,7 +152,8 @@
     };
     for step in 0..steps {
         operator.change_id = format!("change-{}-{step}", operator.number);
-        // Every operation gets a process id of its own, as one in doubt lasts until the end of the run.
+        // Every operation gets a process id of its own, as one in doubt lasts until the end of the
+        // run.
         let process = operator.number * READS + step;
         record(log, process, Action::Call(Operation::Nothing));
         let operation = match operator.number {
@@ -230,8 +232,9 @@
 }
 
 // Three operators commit changes concurrently while a fourth reads, and the table loses answers of
-// writes that took effect. All results must fit one order of accepted changes: no change is reported as
-// accepted that is not, no conflict names a change that was not accepted, and reads never go back.
+// writes that took effect. All results must fit one order of accepted changes: no change is
+// reported as accepted that is not, no conflict names a change that was not accepted, and reads
+// never go back.
 #[test]
 fn commits_of_racing_operators_are_linearizable() {
     let (mut accepted_count, mut beaten, mut in_doubt) = (0, 0, 0);
--- a/crates/cli/tests/configuration/commit.rs
+++ b/crates/cli/tests/configuration/commit.rs
@@ -84,9 +84,9 @@
     }
 }
 
-/// The change is accepted but its answer is lost. The transaction is sent again, and the table answers
-/// with a conflict with the operator's own change. Reading the generation back shows the operator's
-/// change id, so the change is reported as accepted, and it was made once.
+/// The change is accepted but its answer is lost. The transaction is sent again, and the table
+/// answers with a conflict with the operator's own change. Reading the generation back shows the
+/// operator's change id, so the change is reported as accepted, and it was made once.
 #[test]
 fn an_answer_lost_after_the_write_is_settled_as_accepted() {
     let context = context_with_one_generation();
@@ -127,9 +127,9 @@
     assert_eq!(context.committed.borrow().len(), 2);
 }
 
-/// The operator's first attempt takes effect, its answer is lost, and another operator commits the next
-/// generation. The head names that change by then; only the row of the first operator's generation
-/// shows that the first operator's change was accepted too.
+/// The operator's first attempt takes effect, its answer is lost, and another operator commits the
+/// next generation. The head names that change by then; only the row of the first operator's
+/// generation shows that the first operator's change was accepted too.
 #[test]
 fn a_lost_answer_is_settled_as_accepted_also_when_a_rival_went_on() {
     let context = context_with_one_generation();
--- a/crates/cli/tests/configuration/main.rs
+++ b/crates/cli/tests/configuration/main.rs
@@ -1,5 +1,5 @@
-//! The accepted configuration: commits with faults and concurrent changes, and the commands that use
-//! it.
+//! The accepted configuration: commits with faults and concurrent changes, and the commands that
+//! use it.
 
 mod commands;
 mod commit;
--- a/crates/cli/tests/explain.rs
+++ b/crates/cli/tests/explain.rs
@@ -25,8 +25,8 @@
     String::from_utf8_lossy(&output.stdout).into_owned()
 }
 
-/// Three kinds of failed request: refused as its account had used its share, failed as two endpoints
-/// lost the connection, and refused while the host had lost the store.
+/// Three kinds of failed request: refused as its account had used its share, failed as two
+/// endpoints lost the connection, and refused while the host had lost the store.
 #[parameterized(
     over_share = { "89c49f26f0d9748b", "as over_share" },
     lost_with_endpoints = { "400430e2df2c472a", "attempt at i-bd314b502a ended as connection_lost" },
--- a/crates/cli/tests/orders.rs
+++ b/crates/cli/tests/orders.rs
@@ -107,8 +107,8 @@
     assert_eq!(context.committed.borrow().len(), 1);
 }
 
-// The call with the order is lost, and another operator writes an order to the endpoint before it is
-// sent again. The first operator's error names the other order, which stays in the table.
+// The call with the order is lost, and another operator writes an order to the endpoint before it
+// is sent again. The first operator's error names the other order, which stays in the table.
 #[test]
 fn the_loser_of_a_race_learns_which_order_won() {
     let context = FakeContext::default();
@@ -134,8 +134,8 @@
     assert!(run(&context, LIST).unwrap().contains("a/v2"));
 }
 
-// Every answer is lost. The order may be in the table, so the error says that it may be accepted, and
-// how to check.
+// Every answer is lost. The order may be in the table, so the error says that it may be accepted,
+// and how to check.
 #[test]
 fn an_order_without_any_answer_is_said_to_be_unknown() {
     let context = FakeContext::default();
--- a/crates/cli/tests/system_context.rs
+++ b/crates/cli/tests/system_context.rs
@@ -1,7 +1,7 @@
 //! The HTTP client of the table service: which failures leave the outcome of a write unknown.
 //!
-//! The command line reports "nothing was written" only if the call can't have been run. A call whose
-//! connection broke may have been run; treating it as refused would hide an accepted change.
+//! The command line reports "nothing was written" only if the call can't have been run. A call
+//! whose connection broke may have been run; treating it as refused would hide an accepted change.
 
 use std::io::BufRead;
 use std::io::BufReader;
--- a/crates/router/benches/added_time/engine.rs
+++ b/crates/router/benches/added_time/engine.rs
@@ -1,7 +1,7 @@
 //! An engine that reports how long it held a request, and when it sent the first token.
 //!
-//! The usual engine stand-in admits requests in batch steps. The noise of that is larger than the times
-//! measured here.
+//! The usual engine stand-in admits requests in batch steps. The noise of that is larger than the
+//! times measured here.
 
 use std::io::BufRead;
 use std::io::BufReader;
@@ -19,8 +19,8 @@
 /// Starts an engine with this many slots that holds requests for `service_time` on average, from
 /// half to one and a half of it. Times are reported in microseconds since `epoch`.
 ///
-/// With equal hold times, callers that wait for their answers would synchronise and send all requests
-/// at once, and the bench would measure their queue.
+/// With equal hold times, callers that wait for their answers would synchronise and send all
+/// requests at once, and the bench would measure their queue.
 pub fn start(slots: u32, service_time: Duration, epoch: Instant) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("an address");
--- a/crates/router/benches/added_time/fleet.rs
+++ b/crates/router/benches/added_time/fleet.rs
@@ -27,8 +27,8 @@
     child: Child,
 }
 
-/// Starts routers with one engine, and waits until all are ready and know each other. Each override is a
-/// `section.key=value`.
+/// Starts routers with one engine, and waits until all are ready and know each other. Each override
+/// is a `section.key=value`.
 pub fn start(routers: usize, engine: SocketAddr, slots: u32, overrides: &[String]) -> Vec<Router> {
     let mut settings = format!(
         "[fleet]\nname = bench\n[platform]\ntable_address = 127.0.0.1:9\n\
--- a/crates/router/benches/added_time/main.rs
+++ b/crates/router/benches/added_time/main.rs
@@ -1,10 +1,9 @@
 //! Measures the time that a router adds to a call at half load, the time that it adds to the first
 //! token, and its memory.
 //!
-//! Callers send requests to an engine directly and through a router at the same time, in one run on one
-//! machine, so that both have the same conditions. Run with
-//! `cargo bench -p sedgeridge-router --bench added_time`; settings to override come after `--`, as
-//! in `-- fair.grant_span_ms=1`.
+//! Callers send requests to an engine directly and through a router at the same time, in one run on
+//! one machine, so that both have the same conditions. Run with `cargo bench -p sedgeridge-router
+//! --bench added_time`; settings to override come after `--`, as in `-- fair.grant_span_ms=1`.
 
 mod client;
 mod engine;
--- a/crates/router/tests/host_list.rs
+++ b/crates/router/tests/host_list.rs
@@ -36,8 +36,8 @@
 }
 
 // The platform is about to remove an endpoint's host, and only its host list says so. Requests sent
-// there would be cut off. The endpoint gets no new work while the list shows it as leaving, and gets
-// work again afterwards. Hosts that the router does not know are ignored.
+// there would be cut off. The endpoint gets no new work while the list shows it as leaving, and
+// gets work again afterwards. Hosts that the router does not know are ignored.
 #[test]
 fn an_endpoint_that_leaves_by_the_list_gets_no_new_work() {
     let (engine, _) = fake_engine::start(Duration::from_millis(5));
--- a/crates/router/tests/operator_pages.rs
+++ b/crates/router/tests/operator_pages.rs
@@ -89,8 +89,8 @@
     });
 }
 
-// An operator drains the only endpoint. It gets no new work: the next request waits, while the stream
-// in progress continues. The drain of a misspelt endpoint is an error.
+// An operator drains the only endpoint. It gets no new work: the next request waits, while the
+// stream in progress continues. The drain of a misspelt endpoint is an error.
 #[test]
 fn a_drained_endpoint_gets_no_new_work() {
     let (engine, streams) = fake_engine::start(EVENT_INTERVAL);
--- a/crates/router/tests/shutdown.rs
+++ b/crates/router/tests/shutdown.rs
@@ -16,8 +16,8 @@
 const UNKNOWN_PATH_REQUEST: &str = "GET /nothing HTTP/1.1\r\nhost: r\r\n\r\n";
 
 // A router is stopped while a stream runs and a second caller keeps an idle connection. The stream
-// continues to its end mark; a new request is refused as not run, with a `Retry-After` header; the idle
-// connection does not delay the end of the process.
+// continues to its end mark; a new request is refused as not run, with a `Retry-After` header; the
+// idle connection does not delay the end of the process.
 #[test]
 fn a_stream_in_progress_ends_whole_and_new_requests_are_refused() {
     let (engine, streams) = fake_engine::start(EVENT_INTERVAL);
--- a/crates/router/tests/support/mod.rs
+++ b/crates/router/tests/support/mod.rs
@@ -36,8 +36,8 @@
     }
 }
 
-/// Returns an address that nothing else uses, from the process id and a counter. A port that the system
-/// chose and the test released could be taken by any connection before the router binds it.
+/// Returns an address that nothing else uses, from the process id and a counter. A port that the
+/// system chose and the test released could be taken by any connection before the router binds it.
 fn free_address() -> SocketAddr {
     static NEXT_PORT: AtomicU16 = AtomicU16::new(20_000);
     let [_, _, high, low] = std::process::id().to_be_bytes();
