--- a/crates/router/benches/added_time/main.rs
+++ b/crates/router/benches/added_time/main.rs
@@ -2,8 +2,9 @@
 //! token, and its memory.
 //!
 //! Callers send requests to an engine directly and through a router at the same time, in one run on
-//! one machine, so that both have the same conditions. Run with `cargo bench -p sedgeridge-router
-//! --bench added_time`; settings to override come after `--`, as in `-- fair.grant_span_ms=1`.
+//! one machine, so that both have the same conditions. Run with
+//! `cargo bench -p sedgeridge-router --bench added_time`; settings to override come after `--`, as
+//! in `-- fair.grant_span_ms=1`.
 
 mod client;
 mod engine;
