--- a/crates/transport/src/host_options.rs
+++ b/crates/transport/src/host_options.rs
@@ -1,4 +1,4 @@
-//! Command line of a process that runs on a host of the settings.
+//! Command line of a process that runs on a host listed in the settings.
 
 use std::ffi::OsString;
 use std::path::PathBuf;
@@ -7,7 +7,7 @@
 use thiserror::Error;
 
 /// Exit code for a command line or settings that cannot be used.
-pub const BAD_INPUT: u8 = 2;
+pub const EXIT_BAD_INPUT: u8 = 2;
 
 const HELP: &str = "
 USAGE:
@@ -24,16 +24,16 @@
 EXIT CODES:
     0 stopped on request    1 failed while running    2 bad command line or settings, nothing started";
 
-/// A program and what it does, as its help says.
+/// A program's name and purpose, as shown in its help.
 #[derive(Debug, Clone, Copy)]
 pub struct Program {
-    /// Its name.
+    /// Name of the program.
     pub name: &'static str,
-    /// What it does, in a line.
+    /// One-line description.
     pub purpose: &'static str,
 }
 
-/// A usable command line.
+/// Options of a valid command line.
 #[derive(Debug)]
 pub struct Options {
     /// Base settings file.
@@ -42,26 +42,26 @@
     pub overlay: Option<PathBuf>,
     /// Name of this host.
     pub host: String,
-    /// Overrides, as given.
+    /// Unparsed values of `--set`.
     pub overrides: Vec<String>,
 }
 
-/// What the command line asks for.
+/// Action that the command line requests.
 #[derive(Debug)]
-pub enum Parsed {
+pub enum ParsedArguments {
     /// Run the process.
     Run(Options),
-    /// Print a text and end.
+    /// Print a text and exit.
     Print(String),
 }
 
-/// Why a command line cannot be used.
+/// Error in the command line.
 #[derive(Debug, Error)]
 pub enum OptionsError {
     /// An option is missing or malformed.
     #[error("{0}; see --help")]
     Malformed(#[from] pico_args::Error),
-    /// Something was given that is no option.
+    /// An argument that is not an option.
     #[error("unexpected argument {0:?}; see --help")]
     Unexpected(OsString),
 }
@@ -75,14 +75,17 @@
 /// let program = Program { name: "sedgeridge-router", purpose: "takes callers' requests" };
 /// assert!(parse(program, vec!["--host".into()]).is_err());
 /// ```
-pub fn parse(program: Program, arguments: Vec<OsString>) -> Result<Parsed, OptionsError> {
+pub fn parse(program: Program, arguments: Vec<OsString>) -> Result<ParsedArguments, OptionsError> {
     let mut arguments = Arguments::from_vec(arguments);
     if arguments.contains(["-h", "--help"]) {
-        return Ok(Parsed::Print(help(program)));
+        return Ok(ParsedArguments::Print(help(program)));
     }
     if arguments.contains(["-V", "--version"]) {
         let version = env!("CARGO_PKG_VERSION");
-        return Ok(Parsed::Print(format!("{} {version}", program.name)));
+        return Ok(ParsedArguments::Print(format!(
+            "{} {version}",
+            program.name
+        )));
     }
     let options = Options {
         config: arguments.value_from_str("--config")?,
@@ -92,7 +95,7 @@
     };
     match arguments.finish().into_iter().next() {
         Some(unexpected) => Err(OptionsError::Unexpected(unexpected)),
-        None => Ok(Parsed::Run(options)),
+        None => Ok(ParsedArguments::Run(options)),
     }
 }
 
