--- a/crates/coordination/examples/embed.rs
+++ b/crates/coordination/examples/embed.rs
@@ -1,8 +1,9 @@
-//! Embeds one router's decisions: events and the time go in, actions come out.
+//! Embeds the decision logic of one router: the inputs are events and the time, the outputs
+//! actions.
 //!
-//! The host program owns sockets, threads and the clock. Here they are left out: time is a number,
-//! and the only endpoint answers at once. Two client accounts each send two requests to an endpoint
-//! with one slot; the slot goes to the account with the least service received.
+//! A real program owns sockets, threads and the clock. This example has none: time is a number, and
+//! the only endpoint answers at once. Two client accounts each send two requests to an endpoint
+//! with one slot; the slot goes to the account that received the least service.
 //!
 //! ```text
 //! cargo run -p sedgeridge-coordination --example embed
@@ -54,23 +55,23 @@
 [account.crew-08]
 key_sha256 = 03c87fa8415e2e6a2dd31126417f2ff23e8c9920413ba3d679be31aabc9ac54c
 ";
-/// Feeds the random choices; the same seed and events give the same actions.
+/// Seed of the random choices; the same seed and events give the same actions.
 const SEED: u64 = 42;
-/// Time between two events of this program.
-const STEP: Duration = Duration::from_millis(10);
-/// Steps after which the program gives up waiting for answers.
+/// Time by which the clock advances per step.
+const STEP_TIME: Duration = Duration::from_millis(10);
+/// Number of steps after which the program stops waiting for answers.
 const MAX_STEPS: u32 = 1_000;
-/// What each request is charged when it ends.
+/// Service charged for each request when it ends.
 const CHARGED_TOKENS: u64 = 100;
 
 fn main() {
-    let settings = load(SETTINGS, "embedded", None).expect("the settings above are sound");
+    let settings = load(SETTINGS, "embedded", None).expect("the settings above are valid");
     let member = Member {
         host: "router-1".into(),
         incarnation: Incarnation(1),
     };
     let mut node = Node::new(member, settings, SEED);
-    let mut callers = BTreeMap::new();
+    let mut account_by_request = BTreeMap::new();
     let mut events = Vec::new();
     for (key, account) in [
         (1, "crew-07"),
@@ -78,7 +79,7 @@
         (3, "crew-08"),
         (4, "crew-08"),
     ] {
-        callers.insert(RequestKey(key), account);
+        account_by_request.insert(RequestKey(key), account);
         events.push(NodeEvent::RequestArrived {
             arrival: arrival(key, account),
             claim: None,
@@ -87,7 +88,7 @@
 
     let mut answered = Vec::new();
     for step in 0..MAX_STEPS {
-        let now = STEP * step;
+        let now = STEP_TIME * step;
         events.push(NodeEvent::Tick);
         let mut actions = Vec::new();
         for event in events.drain(..) {
@@ -97,9 +98,9 @@
             if let NodeAction::StartAttempt(start) = action {
                 println!(
                     "{now:?}: {} runs on {}",
-                    callers[&start.key], start.endpoint
+                    account_by_request[&start.key], start.endpoint
                 );
-                answered.push(callers[&start.key]);
+                answered.push(account_by_request[&start.key]);
                 events.push(NodeEvent::AttemptEnded {
                     key: start.key,
                     attempt: start.attempt,
@@ -111,11 +112,15 @@
                 });
             }
         }
-        if answered.len() == callers.len() && events.is_empty() {
+        if answered.len() == account_by_request.len() && events.is_empty() {
             break;
         }
     }
-    assert_eq!(answered.len(), callers.len(), "every request has run");
+    assert_eq!(
+        answered.len(),
+        account_by_request.len(),
+        "every request has run"
+    );
     assert_ne!(answered[0], answered[1], "the accounts take turns");
 }
 
--- a/crates/coordination/src/retry_budget.rs
+++ b/crates/coordination/src/retry_budget.rs
@@ -1,7 +1,7 @@
-//! Decides whether a failed attempt may be repeated, and after how long.
+//! Decides whether a failed attempt is retried, and after which backoff.
 //!
-//! Retries are paid for by successes. While an endpoint or a whole pool fails there are few
-//! successes, so the retries stop by themselves instead of multiplying the load.
+//! Each success adds to the retry budget. While an endpoint or a whole pool fails there are few
+//! successes, so retries run out instead of multiplying the load.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,35 +11,36 @@
 
 use crate::random::SeededRandom;
 
-/// Thousandths of a retry: the unit in which budgets are kept.
-const MILLI_RETRIES: u64 = 1_000;
-/// Retries that one account may save up at one router.
-const ACCOUNT_CAP: u64 = 10 * MILLI_RETRIES;
-/// Retries that a router may save up over all accounts.
-const ROUTER_CAP: u64 = 100 * MILLI_RETRIES;
-/// Retries that are there without any success: a quiet account still survives one bad endpoint.
-const ACCOUNT_FLOOR: u64 = 2 * MILLI_RETRIES;
-/// Retries of a router that are there without any success.
-const ROUTER_FLOOR: u64 = 10 * MILLI_RETRIES;
-/// Time in which the floor of a bucket fills up again.
-const FLOOR_REFILL: Duration = Duration::from_secs(20);
+/// Budgets are kept in thousandths of a retry.
+const MILLI_RETRIES_PER_RETRY: u64 = 1_000;
+/// Maximum budget of one account at one router.
+const ACCOUNT_CAP_MILLI_RETRIES: u64 = 10 * MILLI_RETRIES_PER_RETRY;
+/// Maximum budget of a router over all accounts.
+const ROUTER_CAP_MILLI_RETRIES: u64 = 100 * MILLI_RETRIES_PER_RETRY;
+/// Budget of an account without any success, so that an account with little traffic can still retry
+/// after a failure of one endpoint.
+const ACCOUNT_FLOOR_MILLI_RETRIES: u64 = 2 * MILLI_RETRIES_PER_RETRY;
+/// Budget of a router without any success.
+const ROUTER_FLOOR_MILLI_RETRIES: u64 = 10 * MILLI_RETRIES_PER_RETRY;
+/// Time in which an empty budget refills to its floor.
+const FLOOR_REFILL_TIME: Duration = Duration::from_secs(20);
 /// Longest backoff.
 const MAX_BACKOFF: Duration = Duration::from_secs(1);
-/// Most doublings of the backoff.
+/// Maximum number of doublings of the backoff.
 const MAX_DOUBLINGS: u32 = 16;
 
-/// Why an attempt is to be repeated.
+/// Failure after which an attempt may be retried.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum RetryReason {
     /// No connection could be opened.
     ConnectFailed,
-    /// The endpoint refused before it started.
+    /// The endpoint refused the request before starting it.
     NotStarted,
     /// The endpoint answered with a server error.
     ServerError,
     /// The connection was lost.
     ConnectionLost,
-    /// The answer went silent.
+    /// No more data of the answer arrived.
     StreamSilent,
     /// The answer belonged to another attempt.
     AnswerCrossed,
@@ -87,14 +88,14 @@
     }
 }
 
-/// A failed attempt whose request may be tried again.
+/// A failed attempt whose request may be retried.
 #[derive(Debug, Clone, Copy)]
 pub struct FailedAttempt<'a> {
     /// The client account.
     pub account: &'a AccountId,
-    /// What went wrong.
+    /// Kind of the failure.
     pub reason: RetryReason,
-    /// Attempts made so far, the failed one included.
+    /// Number of attempts made so far, including the failed one.
     pub attempts: u32,
     /// Whether the request may run more than once.
     pub repeatable: bool,
@@ -102,24 +103,24 @@
     pub deadline: Duration,
 }
 
-/// Whether a further attempt is made.
+/// Decision on a further attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetryDecision {
-    /// Try again after a pause.
+    /// Retry after a delay.
     Retry {
-        /// The pause.
+        /// Delay before the retry.
         backoff: Duration,
     },
     /// Give up.
     Denied(RetryDenial),
 }
 
-/// Why no further attempt is made.
+/// Reason for which no further attempt is made.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum RetryDenial {
-    /// The request may have run and may not be repeated.
+    /// The request may have run and is not repeatable.
     NotRepeatable,
-    /// The request had all its attempts.
+    /// The request used all its attempts.
     AttemptsUsed,
     /// The deadline would pass during the backoff.
     DeadlineNear,
@@ -148,48 +149,52 @@
     }
 }
 
-/// Budget filled by successes, with a floor that refills by time.
+/// Budget that successes fill, with a floor to which it refills over time.
 #[derive(Debug)]
 struct Bucket {
     milli_retries: u64,
-    floor: u64,
-    cap: u64,
+    floor_milli_retries: u64,
+    cap_milli_retries: u64,
     refilled_at: Duration,
 }
 
 impl Bucket {
-    fn new(now: Duration, floor: u64, cap: u64) -> Self {
+    fn new(now: Duration, floor_milli_retries: u64, cap_milli_retries: u64) -> Self {
         Self {
-            milli_retries: floor,
-            floor,
-            cap,
+            milli_retries: floor_milli_retries,
+            floor_milli_retries,
+            cap_milli_retries,
             refilled_at: now,
         }
     }
 
     fn refill(&mut self, now: Duration) {
         let elapsed = now.saturating_sub(self.refilled_at);
-        let trickle = u128::from(self.floor) * elapsed.as_micros() / FLOOR_REFILL.as_micros();
-        if trickle == 0 {
+        let refill = u128::from(self.floor_milli_retries) * elapsed.as_micros()
+            / FLOOR_REFILL_TIME.as_micros();
+        if refill == 0 {
             return;
         }
         self.refilled_at = now;
-        if self.milli_retries < self.floor {
-            let trickle = u64::try_from(trickle).unwrap_or(self.floor);
-            self.milli_retries = self.milli_retries.saturating_add(trickle).min(self.floor);
+        if self.milli_retries < self.floor_milli_retries {
+            let refill = u64::try_from(refill).unwrap_or(self.floor_milli_retries);
+            self.milli_retries = self
+                .milli_retries
+                .saturating_add(refill)
+                .min(self.floor_milli_retries);
         }
     }
 
     fn deposit(&mut self, amount: u64) {
-        self.milli_retries = (self.milli_retries + amount).min(self.cap);
+        self.milli_retries = (self.milli_retries + amount).min(self.cap_milli_retries);
     }
 
     fn affords_one(&self) -> bool {
-        self.milli_retries >= MILLI_RETRIES
+        self.milli_retries >= MILLI_RETRIES_PER_RETRY
     }
 
     fn withdraw_one(&mut self) {
-        self.milli_retries -= MILLI_RETRIES;
+        self.milli_retries -= MILLI_RETRIES_PER_RETRY;
     }
 }
 
@@ -211,36 +216,36 @@
 ///     repeatable: true,
 ///     deadline: Duration::from_secs(5),
 /// };
-/// let decision = budgets.may_retry(Duration::ZERO, failed);
+/// let decision = budgets.decide_retry(Duration::ZERO, failed);
 /// assert!(matches!(decision, RetryDecision::Retry { .. }));
 /// ```
 #[derive(Debug)]
 pub struct RetryBudgets {
     settings: RetrySettings,
     random: SeededRandom,
-    router: Option<Bucket>,
-    accounts: BTreeMap<AccountId, Bucket>,
+    router_bucket: Option<Bucket>,
+    account_buckets: BTreeMap<AccountId, Bucket>,
     counts: BTreeMap<(RetryReason, Option<RetryDenial>), u64>,
 }
 
 impl RetryBudgets {
-    /// Creates the budgets; `seed` feeds the jitter.
+    /// Creates the budgets; `seed` seeds the jitter.
     pub fn new(settings: RetrySettings, seed: u64) -> Self {
         Self {
             settings,
             random: SeededRandom::new(seed),
-            router: None,
-            accounts: BTreeMap::new(),
+            router_bucket: None,
+            account_buckets: BTreeMap::new(),
             counts: BTreeMap::new(),
         }
     }
 
-    /// Adopts changed settings; what was saved up stays.
+    /// Applies changed settings; the budgets keep their contents.
     pub fn configure(&mut self, settings: RetrySettings) {
         self.settings = settings;
     }
 
-    /// Counts a whole answer given to `account`, which pays for later retries.
+    /// Records a whole answer given to `account`, which adds to its retry budget.
     ///
     /// ```
     /// use std::time::Duration;
@@ -252,13 +257,13 @@
     /// budgets.on_success(Duration::ZERO, &AccountId::from("crew-07"));
     /// ```
     pub fn on_success(&mut self, now: Duration, account: &AccountId) {
-        let amount = u64::from(self.settings.budget_percent) * MILLI_RETRIES / 100;
-        let (router, bucket) = self.buckets(now, account);
-        router.deposit(amount);
-        bucket.deposit(amount);
+        let amount = u64::from(self.settings.budget_percent) * MILLI_RETRIES_PER_RETRY / 100;
+        let (router_bucket, account_bucket) = self.buckets(now, account);
+        router_bucket.deposit(amount);
+        account_bucket.deposit(amount);
     }
 
-    /// Decides whether a failed attempt is repeated; a granted retry is paid for at once.
+    /// Decides whether a failed attempt is retried; a retry is withdrawn from the budgets at once.
     ///
     /// Each decision is counted, see [`counts`](Self::counts).
     ///
@@ -278,10 +283,10 @@
     ///     deadline: Duration::from_secs(5),
     /// };
     /// let mut budgets = RetryBudgets::new(RetrySettings::default(), 1);
-    /// let decision = budgets.may_retry(Duration::ZERO, deposit_charge);
+    /// let decision = budgets.decide_retry(Duration::ZERO, deposit_charge);
     /// assert_eq!(decision, RetryDecision::Denied(RetryDenial::NotRepeatable));
     /// ```
-    pub fn may_retry(&mut self, now: Duration, failed: FailedAttempt<'_>) -> RetryDecision {
+    pub fn decide_retry(&mut self, now: Duration, failed: FailedAttempt<'_>) -> RetryDecision {
         let decision = match self.decide(now, failed) {
             Ok(backoff) => RetryDecision::Retry { backoff },
             Err(denial) => RetryDecision::Denied(denial),
@@ -294,7 +299,7 @@
         decision
     }
 
-    /// Returns how often each reason was decided in which way; no denial means a retry.
+    /// Returns the number of decisions by reason and by denial; no denial means a retry.
     ///
     /// ```
     /// use sedgeridge_coordination::retry_budget::RetryBudgets;
@@ -328,7 +333,7 @@
         Ok(backoff)
     }
 
-    /// Drops the budgets of accounts that no longer exist.
+    /// Removes the budgets of accounts that no longer exist.
     ///
     /// ```
     /// use sedgeridge_coordination::retry_budget::RetryBudgets;
@@ -338,11 +343,12 @@
     /// budgets.retain_accounts(|account| account.as_str() != "closed");
     /// ```
     pub fn retain_accounts(&mut self, exists: impl Fn(&AccountId) -> bool) {
-        self.accounts.retain(|account, _| exists(account));
+        self.account_buckets.retain(|account, _| exists(account));
     }
 
-    // A full-jitter backoff would let a retry go out at once, into the restart it should wait for;
-    // half of the time is fixed and half is random, which still parts callers that failed together.
+    // Half of the backoff is fixed and half is random. With full jitter a retry could be sent at
+    // once, into the restart that it should wait for; the random half still spreads callers that
+    // failed together.
     fn backoff(&mut self, attempts: u32) -> Duration {
         let doublings = attempts.saturating_sub(1).min(MAX_DOUBLINGS);
         let full = Duration::from_millis(self.settings.base_backoff_ms)
@@ -353,28 +359,30 @@
     }
 
     fn withdraw(&mut self, now: Duration, account: &AccountId) -> Result<(), RetryDenial> {
-        let (router, bucket) = self.buckets(now, account);
-        if !bucket.affords_one() {
+        let (router_bucket, account_bucket) = self.buckets(now, account);
+        if !account_bucket.affords_one() {
             return Err(RetryDenial::AccountBudget);
         }
-        if !router.affords_one() {
+        if !router_bucket.affords_one() {
             return Err(RetryDenial::RouterBudget);
         }
-        bucket.withdraw_one();
-        router.withdraw_one();
+        account_bucket.withdraw_one();
+        router_bucket.withdraw_one();
         Ok(())
     }
 
     fn buckets(&mut self, now: Duration, account: &AccountId) -> (&mut Bucket, &mut Bucket) {
-        let router = self
-            .router
-            .get_or_insert_with(|| Bucket::new(now, ROUTER_FLOOR, ROUTER_CAP));
-        let bucket = self
-            .accounts
+        let router_bucket = self.router_bucket.get_or_insert_with(|| {
+            Bucket::new(now, ROUTER_FLOOR_MILLI_RETRIES, ROUTER_CAP_MILLI_RETRIES)
+        });
+        let account_bucket = self
+            .account_buckets
             .entry(account.clone())
-            .or_insert_with(|| Bucket::new(now, ACCOUNT_FLOOR, ACCOUNT_CAP));
-        router.refill(now);
-        bucket.refill(now);
-        (router, bucket)
+            .or_insert_with(|| {
+                Bucket::new(now, ACCOUNT_FLOOR_MILLI_RETRIES, ACCOUNT_CAP_MILLI_RETRIES)
+            });
+        router_bucket.refill(now);
+        account_bucket.refill(now);
+        (router_bucket, account_bucket)
     }
 }
--- a/crates/transport/src/host_start.rs
+++ b/crates/transport/src/host_start.rs
@@ -1,4 +1,4 @@
-//! Start of a process that runs on a host of the settings, up to its exit code.
+//! Starts a process that runs on a host listed in the settings, and returns its exit code.
 
 use std::env;
 use std::io;
@@ -11,38 +11,38 @@
 use thiserror::Error;
 
 use crate::event_log::start_log;
-use crate::host_options::BAD_INPUT;
+use crate::host_options::EXIT_BAD_INPUT;
 use crate::host_options::Options;
-use crate::host_options::Parsed;
+use crate::host_options::ParsedArguments;
 use crate::host_options::Program;
 use crate::host_options::parse;
 use crate::settings_files::ReadSettingsError;
 use crate::settings_files::read_settings;
 
 /// Exit code for a failure while running.
-const FAILED: u8 = 1;
+const EXIT_FAILURE: u8 = 1;
 
-/// Why the process ended with a failure.
+/// Failure of a process.
 #[derive(Debug, Error)]
 pub enum RunError {
     /// The settings cannot be used.
     #[error("settings refused, nothing started\n{0}")]
     Settings(#[from] ReadSettingsError),
-    /// A `--set` cannot be read.
+    /// A `--set` option is malformed.
     #[error(transparent)]
     Override(#[from] OverrideError),
-    /// The settings know no host of this name.
+    /// The settings have no host of this name.
     #[error("--host {0}: the settings have no section [host.{0}]")]
     UnknownHost(String),
-    /// The settings give this host no such process.
+    /// The settings of this host do not include this process.
     #[error("--host {host}: [host.{host}] has no {key}, so this process does not run there")]
     NotOnHost {
         /// The host.
         host: String,
-        /// The key that would say where it runs.
+        /// The missing key, which would contain the process's address.
         key: &'static str,
     },
-    /// Something the process needs from the system failed.
+    /// The process could not get a resource that it needs from the system.
     #[error("{0}")]
     System(#[from] io::Error),
 }
@@ -54,13 +54,13 @@
             Self::Settings(_)
             | Self::Override(_)
             | Self::UnknownHost(_)
-            | Self::NotOnHost { .. } => BAD_INPUT,
-            Self::System(_) => FAILED,
+            | Self::NotOnHost { .. } => EXIT_BAD_INPUT,
+            Self::System(_) => EXIT_FAILURE,
         }
     }
 }
 
-/// Reads the command line and the settings and runs `serve` until the process is told to stop.
+/// Parses the command line, reads the settings and runs `serve` until the process is told to stop.
 ///
 /// ```no_run
 /// use sedgeridge_transport::host_options::Program;
@@ -74,14 +74,14 @@
     serve: fn(Settings, &HostSettings) -> Result<(), RunError>,
 ) -> ExitCode {
     let options = match parse(program, env::args_os().skip(1).collect()) {
-        Ok(Parsed::Run(options)) => options,
-        Ok(Parsed::Print(text)) => {
+        Ok(ParsedArguments::Run(options)) => options,
+        Ok(ParsedArguments::Print(text)) => {
             println!("{text}");
             return ExitCode::SUCCESS;
         }
         Err(error) => {
             eprintln!("{}: {error}", program.name);
-            return ExitCode::from(BAD_INPUT);
+            return ExitCode::from(EXIT_BAD_INPUT);
         }
     };
     match run(&options, serve) {
@@ -97,14 +97,14 @@
     options: &Options,
     serve: fn(Settings, &HostSettings) -> Result<(), RunError>,
 ) -> Result<(), RunError> {
-    let settings = settings(options)?;
+    let settings = load_settings(options)?;
     let host = settings.host(&options.host).cloned();
     let host = host.ok_or_else(|| RunError::UnknownHost(options.host.clone()))?;
     start_log();
     serve(settings, &host)
 }
 
-fn settings(options: &Options) -> Result<Settings, RunError> {
+fn load_settings(options: &Options) -> Result<Settings, RunError> {
     let mut overrides = Vec::new();
     for text in &options.overrides {
         overrides.push(Override::parse(text)?);
