--- a/crates/soak/src/callers.rs
+++ b/crates/soak/src/callers.rs
@@ -118,8 +118,8 @@
     }
 }
 
-/// Returns the open connection if it is still usable, otherwise opens one to a router that is
-/// ready.
+/// Returns the open connection while it is usable, since callers keep theirs until the router
+/// process ends; otherwise opens a new one.
 async fn ensure_open<'a, C: Clock>(
     shared: &SharedState<C>,
     random: &mut SeededRandom,
