--- a/crates/soak/src/callers.rs
+++ b/crates/soak/src/callers.rs
@@ -41,7 +41,7 @@
 const RETRY_PAUSE: Duration = Duration::from_millis(60);
 /// Bounds of the pause between two requests of a caller.
 const REQUEST_PAUSE_MS: (u64, u64) = (10, 70);
-/// Share of requests that present a revoked key.
+/// Percentage of requests that present a revoked key.
 const REVOKED_PERCENT: u64 = 4;
 /// One in this many requests of a caller has a long body, as long as the longest usual prompt,
 /// because the memory of a router depends on the longest bodies rather than on average ones.
--- a/crates/soak/src/records.rs
+++ b/crates/soak/src/records.rs
@@ -103,7 +103,7 @@
     pub disturbances: Vec<Disturbance>,
     /// Stops after the quiet period, while no fault is active.
     pub stops: Vec<PlannedStop>,
-    /// Routers that exited without a request: index and exit status.
+    /// Routers that exited without being asked to stop: index and exit status.
     pub unexpected_exits: Vec<(usize, String)>,
     /// Start and end of the period after all faults in which everything must work.
     pub quiet_period: (Duration, Duration),
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -44,7 +44,7 @@
 const SETTLE_TIME: Duration = Duration::from_secs(5);
 /// Duration of the quiet period.
 const QUIET_TIME: Duration = Duration::from_secs(3);
-/// Interval between checks of process_ids and readiness.
+/// Interval between checks of processes and readiness.
 const WATCH_INTERVAL: Duration = Duration::from_millis(40);
 /// Time after the end of a disturbance in which it may still affect requests.
 const AFTEREFFECT_TIME: Duration = Duration::from_millis(1_500);
