--- a/crates/standins/src/objects.rs
+++ b/crates/standins/src/objects.rs
@@ -20,9 +20,9 @@
 use crate::reply::Reply;
 use crate::server;
 use crate::server::Call;
-use crate::server::Running;
+use crate::server::RunningServer;
 use crate::server::Service;
-use crate::server::Shared;
+use crate::server::SharedState;
 
 const PREFIX_QUERY: &str = "prefix=";
 
@@ -35,7 +35,7 @@
 /// assert_ne!(objects.address().port(), 0);
 /// # Ok::<(), std::io::Error>(())
 /// ```
-pub fn spawn(config: TableConfig) -> io::Result<Running> {
+pub fn spawn(config: TableConfig) -> io::Result<RunningServer> {
     server::spawn(config.listen, move |shared| {
         Ok(Objects::new(&config, shared))
     })
@@ -43,14 +43,14 @@
 
 #[derive(Debug)]
 struct Objects {
-    shared: Rc<Shared>,
+    shared: Rc<SharedState>,
     objects: RefCell<BTreeMap<String, Bytes>>,
     writes: RefCell<RateLimit>,
     reads: RefCell<RateLimit>,
 }
 
 impl Objects {
-    fn new(config: &TableConfig, shared: Rc<Shared>) -> Self {
+    fn new(config: &TableConfig, shared: Rc<SharedState>) -> Self {
         Self {
             shared,
             objects: RefCell::default(),
--- a/crates/standins/src/table.rs
+++ b/crates/standins/src/table.rs
@@ -19,9 +19,9 @@
 use crate::reply::Reply;
 use crate::server;
 use crate::server::Call;
-use crate::server::Running;
+use crate::server::RunningServer;
 use crate::server::Service;
-use crate::server::Shared;
+use crate::server::SharedState;
 use crate::table_store::TableStore;
 
 /// Starts the stand-in.
@@ -33,20 +33,20 @@
 /// assert_ne!(table.address().port(), 0);
 /// # Ok::<(), std::io::Error>(())
 /// ```
-pub fn spawn(config: TableConfig) -> io::Result<Running> {
+pub fn spawn(config: TableConfig) -> io::Result<RunningServer> {
     server::spawn(config.listen, move |shared| Ok(Table::new(&config, shared)))
 }
 
 #[derive(Debug)]
 struct Table {
-    shared: Rc<Shared>,
+    shared: Rc<SharedState>,
     store: RefCell<TableStore>,
     writes: RefCell<RateLimit>,
     reads: RefCell<RateLimit>,
 }
 
 impl Table {
-    fn new(config: &TableConfig, shared: Rc<Shared>) -> Self {
+    fn new(config: &TableConfig, shared: Rc<SharedState>) -> Self {
         Self {
             shared,
             store: RefCell::default(),
@@ -67,10 +67,10 @@
         let read = parse(call)?;
         permit(&self.reads, &self.shared)?;
         let store = self.store.borrow();
-        let answer = if call.plan.stale.is_zero() {
+        let answer = if call.plan.read_age.is_zero() {
             store.read(&read)
         } else {
-            let at = self.shared.now().saturating_sub(call.plan.stale);
+            let at = self.shared.now().saturating_sub(call.plan.read_age);
             store.read_as_of(at, &read)
         };
         Ok(reply::json(StatusCode::OK, &answer))
