--- a/crates/load/src/answer_reader.rs
+++ b/crates/load/src/answer_reader.rs
@@ -31,7 +31,7 @@
     Error,
     /// The connection ended in order, but without a marker.
     #[default]
-    Silent,
+    Unmarked,
     /// The connection broke or went silent.
     Broken,
 }
@@ -61,7 +61,7 @@
         let Some(data) = line.strip_prefix(EVENT_DATA) else {
             continue;
         };
-        match event(data.trim()) {
+        match parse_event(data.trim()) {
             Event::Text(text) if text.is_empty() => {}
             Event::Text(text) => {
                 on_text();
@@ -91,7 +91,7 @@
     Error,
 }
 
-fn event(data: &str) -> Event {
+fn parse_event(data: &str) -> Event {
     if data == STREAM_END {
         return Event::End;
     }
@@ -105,21 +105,21 @@
 }
 
 /// Judges a stream.
-pub fn judge_stream(read: &StreamText, expected: &str) -> Ending {
+pub fn classify_stream(read: &StreamText, expected: &str) -> Ending {
     if !expected.starts_with(&read.text) {
         return Ending::Foreign;
     }
     let whole = read.text.len() == expected.len();
     match (read.end, whole) {
         (StreamEnd::Marked, true) => Ending::Whole,
-        (StreamEnd::Marked | StreamEnd::Silent, _) => Ending::Short,
+        (StreamEnd::Marked | StreamEnd::Unmarked, _) => Ending::Short,
         (StreamEnd::Error, _) => Ending::Partial,
         (StreamEnd::Broken, _) => Ending::Broken,
     }
 }
 
 /// Reads and judges an answer that comes at once.
-pub fn judge_chat(body: impl Read, expected: &str) -> Ending {
+pub fn classify_chat(body: impl Read, expected: &str) -> Ending {
     let Ok(text) = io::read_to_string(body) else {
         return Ending::Broken;
     };
@@ -129,7 +129,7 @@
             .into_iter()
             .map(|c| c.message.content)
             .collect();
-        return judge_text(&message, expected);
+        return classify_text(&message, expected);
     }
     match serde_json::from_str::<Value>(&text) {
         Ok(value) if value.get("error").is_some() => Ending::Partial,
@@ -138,14 +138,14 @@
 }
 
 /// Reads and judges the answer of a plain service.
-pub fn judge_plain(body: impl Read, expected: &str) -> Ending {
+pub fn classify_plain(body: impl Read, expected: &str) -> Ending {
     match io::read_to_string(body) {
-        Ok(text) => judge_text(&text, expected),
+        Ok(text) => classify_text(&text, expected),
         Err(_) => Ending::Broken,
     }
 }
 
-fn judge_text(text: &str, expected: &str) -> Ending {
+fn classify_text(text: &str, expected: &str) -> Ending {
     if text == expected {
         Ending::Whole
     } else if expected.starts_with(text) {
--- a/crates/load/src/callers.rs
+++ b/crates/load/src/callers.rs
@@ -39,13 +39,13 @@
 /// Share of work with a key that is sent a second time, through another router.
 const REPEAT_SHARE: f64 = 0.2;
 /// Work numbers that each caller has for itself.
-const NUMBERS_PER_CALLER: u64 = 1 << 24;
+const WORK_NUMBERS_PER_CALLER: u64 = 1 << 24;
 /// How far apart callers start, so that they do not all arrive at once.
-const START_SPREAD_MS: u64 = 200;
+const MAX_START_DELAY_MS: u64 = 200;
 /// Number of the caller who sends poison; others count from 0.
-const POISON_CALLER: u64 = 1 << 20;
+const POISON_CALLER_INDEX: u64 = 1 << 20;
 /// Number of the first caller of a flood.
-const FLOOD_CALLER: u64 = 1 << 19;
+const FIRST_FLOOD_CALLER_INDEX: u64 = 1 << 19;
 /// Callers of a flood for each slot of the pool.
 const FLOOD_CALLERS_PER_SLOT: u64 = 4;
 /// Time between two calls with the same poison.
@@ -69,7 +69,7 @@
     /// When no new work is sent any more.
     pub stop_at: Duration,
     /// Length of sending.
-    pub sending: Duration,
+    pub sending_time: Duration,
 }
 
 /// One caller of a demand.
@@ -109,7 +109,7 @@
             account,
             service,
             random,
-            first_number: index * NUMBERS_PER_CALLER,
+            first_number: index * WORK_NUMBERS_PER_CALLER,
             turn,
         }
     }
@@ -148,21 +148,21 @@
     }
 
     fn closed_loop(&self, mut caller: Caller<'a>) {
-        let start_ms = caller.random.between(0, START_SPREAD_MS);
+        let start_ms = caller.random.between(0, MAX_START_DELAY_MS);
         self.sleep(Duration::from_millis(start_ms));
-        self.work_until(&mut caller, self.stop_at);
+        self.send_work_until(&mut caller, self.stop_at);
     }
 
-    fn work_until(&self, caller: &mut Caller<'a>, end: Duration) {
+    fn send_work_until(&self, caller: &mut Caller<'a>, end: Duration) {
         let mut number = caller.first_number;
         while self.clock.now() < end {
-            self.one_work(caller, number);
+            self.run_work(caller, number);
             number += 1;
         }
     }
 
     /// Has the first large account send many times its share for the middle third of the run.
-    pub fn flood<'scope>(&'scope self, scope: &'scope Scope<'scope, '_>) {
+    pub fn start_flood<'scope>(&'scope self, scope: &'scope Scope<'scope, '_>) {
         let accounts = self.plan.accounts.iter();
         let mut large = accounts.flat_map(|account| {
             let demands = account.demands.iter();
@@ -176,13 +176,13 @@
             return;
         };
         let callers = FLOOD_CALLERS_PER_SLOT * u64::from(self.plan.pool_slots(&service.pool));
-        let third = self.sending / 3;
+        let third = self.sending_time / 3;
         for index in 0..callers {
-            let mut caller = self.caller(FLOOD_CALLER + index, account, service);
+            let mut caller = self.caller(FIRST_FLOOD_CALLER_INDEX + index, account, service);
             scope.spawn(move || {
                 let begin = self.stop_at - 2 * third;
                 thread::sleep(begin.saturating_sub(self.clock.now()));
-                self.work_until(&mut caller, self.stop_at - third);
+                self.send_work_until(&mut caller, self.stop_at - third);
             });
         }
     }
@@ -194,7 +194,7 @@
             loop {
                 let gap_s = caller.random.arrival_gap_s(rate_per_s);
                 self.sleep(Duration::from_secs_f64(gap_s));
-                if !self.sending() {
+                if !self.is_sending() {
                     return;
                 }
                 if open.load(Ordering::Relaxed) >= MAX_OPEN_CALLS {
@@ -207,14 +207,14 @@
                 let open = &open;
                 open.fetch_add(1, Ordering::Relaxed);
                 scope.spawn(move || {
-                    self.one_work(&mut one, number);
+                    self.run_work(&mut one, number);
                     open.fetch_sub(1, Ordering::Relaxed);
                 });
             }
         });
     }
 
-    fn sending(&self) -> bool {
+    fn is_sending(&self) -> bool {
         self.clock.now() < self.stop_at
     }
 
@@ -224,11 +224,11 @@
         thread::sleep(time.min(left));
     }
 
-    fn one_work(&self, caller: &mut Caller<'a>, number: u64) {
+    fn run_work(&self, caller: &mut Caller<'a>, number: u64) {
         let Caller {
             account, service, ..
         } = *caller;
-        let work = work::draw(&mut caller.random, number, &account.name, service);
+        let work = work::generate(&mut caller.random, number, &account.name, service);
         let repeated = work.idempotency_key.is_some() && caller.random.happens(REPEAT_SHARE);
         let at_once = repeated && caller.random.happens(0.5);
         let turn = caller.turn;
@@ -241,7 +241,7 @@
             if at_once {
                 scope.spawn(|| repeat(turn + 1));
             }
-            self.until_final(caller, &work, turn);
+            self.call_until_final(caller, &work, turn);
         });
         if repeated && !at_once {
             repeat(turn + 1);
@@ -250,7 +250,7 @@
 
     /// Calls until the fleet says how the work ended. A caller whose connection broke goes to the
     /// next router, as the balancer would send it.
-    fn until_final(&self, caller: &Caller<'a>, work: &Work, turn: usize) {
+    fn call_until_final(&self, caller: &Caller<'a>, work: &Work, turn: usize) {
         let routers = self.plan.routers.len();
         let mut router = caller.account.spread.router(turn, routers);
         for attempt in 1..=MAX_CALLS {
@@ -258,9 +258,9 @@
                 self.call(caller, work, &attempt.to_string(), router, false);
             match next_step(&record) {
                 NextStep::Done => return,
-                NextStep::OtherRouter => router = (router + 1) % routers,
-                NextStep::ComeBack if !self.sending() => return,
-                NextStep::ComeBack => {}
+                NextStep::RetryNextRouter => router = (router + 1) % routers,
+                NextStep::RetrySameRouter if !self.is_sending() => return,
+                NextStep::RetrySameRouter => {}
             }
             let wait = retry_after.unwrap_or(DEFAULT_RETRY_AFTER);
             thread::sleep(wait.min(MAX_RETRY_AFTER));
@@ -274,11 +274,12 @@
         let (Some(service), Some(account)) = (models.next(), self.plan.accounts.last()) else {
             return;
         };
-        let mut caller = self.caller(POISON_CALLER, account, service);
+        let mut caller = self.caller(POISON_CALLER_INDEX, account, service);
         let number = caller.first_number;
-        let work = work::draw_poisoned(&mut caller.random, number, &account.name, service, POISON);
+        let work =
+            work::generate_poisoned(&mut caller.random, number, &account.name, service, POISON);
         let mut attempt = 0;
-        while self.sending() {
+        while self.is_sending() {
             let router = attempt % self.plan.routers.len();
             attempt += 1;
             self.call(&caller, &work, &attempt.to_string(), router, false);
@@ -295,7 +296,7 @@
         repeat: bool,
     ) -> (CallRecord, Option<Duration>) {
         let request_id = format!("load-{}-{}-{attempt}", self.seed, work.number);
-        self.recorder.sent();
+        self.recorder.record_sent();
         let call = Call {
             account: caller.account,
             service: &caller.service.name,
@@ -305,21 +306,21 @@
             repeat,
         };
         let result = client::call(&self.agent, call);
-        self.recorder.ended(result.record.clone());
+        self.recorder.record_ended(result.record.clone());
         (result.record, result.retry_after)
     }
 }
 
 enum NextStep {
     Done,
-    ComeBack,
-    OtherRouter,
+    RetrySameRouter,
+    RetryNextRouter,
 }
 
 fn next_step(record: &CallRecord) -> NextStep {
     match (record.ending, record.outcome) {
-        (Ending::Broken, _) => NextStep::OtherRouter,
-        (Ending::Refused, Some(Outcome::NotRun)) => NextStep::ComeBack,
+        (Ending::Broken, _) => NextStep::RetryNextRouter,
+        (Ending::Refused, Some(Outcome::NotRun)) => NextStep::RetrySameRouter,
         _ => NextStep::Done,
     }
 }
--- a/crates/load/src/client.rs
+++ b/crates/load/src/client.rs
@@ -10,9 +10,9 @@
 use ureq::Body;
 use ureq::http::Response;
 
-use crate::answer_reader::judge_chat;
-use crate::answer_reader::judge_plain;
-use crate::answer_reader::judge_stream;
+use crate::answer_reader::classify_chat;
+use crate::answer_reader::classify_plain;
+use crate::answer_reader::classify_stream;
 use crate::answer_reader::read_stream;
 use crate::history::CallRecord;
 use crate::history::Ending;
@@ -23,13 +23,13 @@
 use crate::work::Work;
 
 /// Deadline that callers name.
-const DEADLINE_MS: u64 = 20_000;
+const REQUEST_DEADLINE_MS: u64 = 20_000;
 /// Time after which a caller gives up on a connection. It is longer than the deadline, so that
 /// the fleet has the time to say how the request ended.
-const GIVE_UP: Duration = Duration::from_secs(25);
+const CALL_TIMEOUT: Duration = Duration::from_secs(25);
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Kept-alive connections to each router.
-const IDLE_CONNECTIONS: usize = 256;
+const MAX_IDLE_CONNECTIONS_PER_ROUTER: usize = 256;
 
 /// One call to make.
 #[derive(Debug, Clone, Copy)]
@@ -68,9 +68,9 @@
     let config = Agent::config_builder()
         .http_status_as_error(false)
         .timeout_connect(Some(CONNECT_TIMEOUT))
-        .timeout_global(Some(GIVE_UP))
-        .max_idle_connections(IDLE_CONNECTIONS * 16)
-        .max_idle_connections_per_host(IDLE_CONNECTIONS)
+        .timeout_global(Some(CALL_TIMEOUT))
+        .max_idle_connections(MAX_IDLE_CONNECTIONS_PER_ROUTER * 16)
+        .max_idle_connections_per_host(MAX_IDLE_CONNECTIONS_PER_ROUTER)
         .build();
     Agent::new_with_config(config)
 }
@@ -115,7 +115,7 @@
         .header("Authorization", format!("Bearer {}", call.account.key))
         .header("Content-Type", "application/json")
         .header(headers::REQUEST_ID, call.request_id)
-        .header(headers::DEADLINE_MS, DEADLINE_MS);
+        .header(headers::DEADLINE_MS, REQUEST_DEADLINE_MS);
     if let Some(key) = &call.work.idempotency_key {
         request = request.header(headers::IDEMPOTENCY_KEY, key);
     }
@@ -136,14 +136,14 @@
     record.ending = match (call.work.kind, call.work.stream) {
         _ if other_id => Ending::Foreign,
         _ if refused => Ending::Refused,
-        (PoolKind::Plain, _) => judge_plain(body, &call.work.answer),
-        (PoolKind::Model, false) => judge_chat(body, &call.work.answer),
+        (PoolKind::Plain, _) => classify_plain(body, &call.work.answer),
+        (PoolKind::Model, false) => classify_chat(body, &call.work.answer),
         (PoolKind::Model, true) => {
             let first_us = &mut record.first_token_at_us;
             let read = read_stream(body, || {
                 first_us.get_or_insert_with(now_us);
             });
-            judge_stream(&read, &call.work.answer)
+            classify_stream(&read, &call.work.answer)
         }
     };
 }
--- a/crates/load/src/config_watch.rs
+++ b/crates/load/src/config_watch.rs
@@ -24,7 +24,7 @@
 
 /// What one look at a router showed.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Sighting {
+pub struct GenerationSample {
     /// When.
     pub at_us: u64,
     /// Host of the router.
@@ -36,7 +36,7 @@
 /// Sightings of every router so far.
 #[derive(Debug, Default)]
 pub struct ConfigWatch {
-    sightings: Mutex<Vec<Sighting>>,
+    samples: Mutex<Vec<GenerationSample>>,
 }
 
 impl ConfigWatch {
@@ -45,7 +45,7 @@
     pub fn watch(&self, agent: &Agent, router: &RouterPlan, done: &AtomicBool) {
         while !done.load(Ordering::Relaxed) {
             if let Some(status) = status(agent, router).filter(|status| status.ready) {
-                self.lock().push(Sighting {
+                self.lock().push(GenerationSample {
                     at_us: now_us(),
                     host: router.name.clone(),
                     generation: status.config_generation,
@@ -57,28 +57,26 @@
 
     /// Whether every router was seen with this generation or a later one.
     pub fn in_force_everywhere(&self, routers: &[RouterPlan], generation: u64) -> bool {
-        let sightings = self.lock();
-        let there: HashSet<&str> = sightings
+        let samples = self.lock();
+        let hosts: HashSet<&str> = samples
             .iter()
             .filter(|s| s.generation >= generation)
             .map(|s| s.host.as_str())
             .collect();
-        routers.iter().all(|r| there.contains(r.name.as_str()))
+        routers.iter().all(|r| hosts.contains(r.name.as_str()))
     }
 
-    /// Takes the sightings out, in order of time.
-    pub fn into_sightings(self) -> Vec<Sighting> {
-        let sightings = self.sightings.into_inner();
-        let mut sightings = sightings.unwrap_or_else(PoisonError::into_inner);
-        sightings.sort_by_key(|s| s.at_us);
-        sightings
+    /// Takes the samples out, in order of time.
+    pub fn into_samples(self) -> Vec<GenerationSample> {
+        let samples = self.samples.into_inner();
+        let mut samples = samples.unwrap_or_else(PoisonError::into_inner);
+        samples.sort_by_key(|s| s.at_us);
+        samples
     }
 
-    fn lock(&self) -> std::sync::MutexGuard<'_, Vec<Sighting>> {
-        // Only whole sightings are pushed, so a panic elsewhere leaves nothing half done.
-        self.sightings
-            .lock()
-            .unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> std::sync::MutexGuard<'_, Vec<GenerationSample>> {
+        // Only whole samples are pushed, so a panic elsewhere leaves nothing half done.
+        self.samples.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
@@ -96,7 +94,7 @@
     /// How the changes ended for their operators.
     pub outcomes: &'a [ChangeOutcome],
     /// Sightings in order of time.
-    pub sightings: &'a [Sighting],
+    pub samples: &'a [GenerationSample],
     /// Every router.
     pub routers: &'a [RouterPlan],
     /// When a cut was healed, if there was one.
@@ -107,7 +105,7 @@
     /// Works out the figures of the configuration.
     pub fn figures(&self) -> FaultFigures {
         let mut figures = FaultFigures {
-            config_reversions: Some(reversions(self.sightings)),
+            config_reversions: Some(reversions(self.samples)),
             ..FaultFigures::default()
         };
         if self.outcomes.is_empty() {
@@ -122,12 +120,12 @@
         figures.config_conflicts = count(|o| *o == ChangeOutcome::Conflict);
         figures.config_failures = count(|o| matches!(o, ChangeOutcome::Failed(_)));
         figures.config_won_twice = Some((accepted.len() - generations.len()) as u64);
-        let from_acceptance = self.times(&accepted, 0);
+        let from_acceptance = self.in_force_delays_us(&accepted, 0);
         let missing = from_acceptance.iter().filter(|t| t.is_none()).count();
         figures.config_not_in_force = Some(missing as u64);
         figures.config_in_force_p99_ms = p99_ms(from_acceptance);
         if let Some(healed_at_us) = self.healed_at_us {
-            let times = self.times(&accepted, healed_at_us);
+            let times = self.in_force_delays_us(&accepted, healed_at_us);
             figures.config_in_force_after_heal_p99_ms = p99_ms(times);
         }
         figures
@@ -145,11 +143,11 @@
     }
 
     /// Time of each change at each router, from its acceptance or `not_before_us`.
-    fn times(&self, accepted: &[(u64, u64)], not_before_us: u64) -> Vec<Option<u64>> {
+    fn in_force_delays_us(&self, accepted: &[(u64, u64)], not_before_us: u64) -> Vec<Option<u64>> {
         let mut times = Vec::new();
         for (generation, told_at_us) in accepted {
             for router in self.routers {
-                let seen = self.sightings.iter().find(|s| {
+                let seen = self.samples.iter().find(|s| {
                     s.host == router.name && s.generation >= *generation && s.at_us >= *told_at_us
                 });
                 let from_us = (*told_at_us).max(not_before_us);
@@ -160,22 +158,22 @@
     }
 }
 
-/// Counts falls of the generation at any one host, restarts included.
+/// Counts decreases of the generation at any one host, restarts included.
 ///
 /// ```
-/// use sedgeridge_load::config_watch::Sighting;
+/// use sedgeridge_load::config_watch::GenerationSample;
 /// use sedgeridge_load::config_watch::reversions;
-/// let seen = |generation| Sighting { at_us: 0, host: "router-1".into(), generation };
+/// let seen = |generation| GenerationSample { at_us: 0, host: "router-1".into(), generation };
 /// assert_eq!(reversions(&[seen(1), seen(2), seen(1), seen(1)]), 1);
 /// ```
-pub fn reversions(sightings: &[Sighting]) -> u64 {
+pub fn reversions(samples: &[GenerationSample]) -> u64 {
     let mut last: HashMap<&str, u64> = HashMap::new();
-    let mut falls = 0;
-    for sighting in sightings {
-        let before = last.insert(&sighting.host, sighting.generation);
-        falls += u64::from(before.is_some_and(|before| before > sighting.generation));
+    let mut decreases = 0;
+    for sample in samples {
+        let before = last.insert(&sample.host, sample.generation);
+        decreases += u64::from(before.is_some_and(|before| before > sample.generation));
     }
-    falls
+    decreases
 }
 
 fn p99_ms(times: Vec<Option<u64>>) -> Option<f64> {
--- a/crates/load/src/control_bytes.rs
+++ b/crates/load/src/control_bytes.rs
@@ -35,7 +35,7 @@
     pub fn read(agent: &Agent, routers: &[RouterPlan]) -> Self {
         let pages: Vec<Option<String>> = routers.iter().map(|r| metrics(agent, r)).collect();
         let sums = |counter: &str| {
-            let sum = |page: &Option<String>| sum_of(page.as_deref()?, counter);
+            let sum = |page: &Option<String>| sum_counter(page.as_deref()?, counter);
             pages.iter().map(sum).collect()
         };
         Self {
@@ -65,12 +65,12 @@
 /// Adds up a counter over its labels; absent when the page does not have it.
 ///
 /// ```
-/// use sedgeridge_load::control_bytes::sum_of;
+/// use sedgeridge_load::control_bytes::sum_counter;
 /// let page = "sent{direction=\"in\"} 2\nsent{direction=\"out\"} 3\nsent_more 9\n";
-/// assert_eq!(sum_of(page, "sent"), Some(5.0));
-/// assert_eq!(sum_of(page, "other"), None);
+/// assert_eq!(sum_counter(page, "sent"), Some(5.0));
+/// assert_eq!(sum_counter(page, "other"), None);
 /// ```
-pub fn sum_of(page: &str, counter: &str) -> Option<f64> {
+pub fn sum_counter(page: &str, counter: &str) -> Option<f64> {
     let values = page.lines().filter_map(|line| {
         let rest = line.strip_prefix(counter)?;
         let labelled = rest.starts_with('{') || rest.starts_with(' ');
@@ -82,7 +82,7 @@
 
 /// A counter that fell belongs to a router that restarted and counts from 0.
 fn mean_rate(before: &[Option<f64>], after: &[Option<f64>], seconds: f64) -> Option<f64> {
-    let grown = before.iter().zip(after).filter_map(|(before, after)| {
+    let increases = before.iter().zip(after).filter_map(|(before, after)| {
         let after = (*after)?;
         let before = before.unwrap_or(0.0);
         Some(if after < before {
@@ -91,9 +91,9 @@
             after - before
         })
     });
-    let grown: Vec<f64> = grown.collect();
-    if grown.is_empty() {
+    let increases: Vec<f64> = increases.collect();
+    if increases.is_empty() {
         return None;
     }
-    Some(grown.iter().sum::<f64>() / grown.len() as f64 / seconds)
+    Some(increases.iter().sum::<f64>() / increases.len() as f64 / seconds)
 }
--- a/crates/load/src/deployment.rs
+++ b/crates/load/src/deployment.rs
@@ -25,16 +25,16 @@
     /// Delay of a message between two sites, one way.
     pub link_delay_us: u64,
     /// Pools with their endpoints.
-    pub pools: Vec<PoolDesign>,
+    pub pools: Vec<PoolSpec>,
     /// Services on those pools.
-    pub services: Vec<ServiceDesign>,
+    pub services: Vec<ServiceSpec>,
     /// Client accounts.
-    pub accounts: Vec<AccountDesign>,
+    pub accounts: Vec<AccountSpec>,
 }
 
 /// One pool of a [`Deployment`].
 #[derive(Debug, Clone, PartialEq)]
-pub struct PoolDesign {
+pub struct PoolSpec {
     /// Name of the pool.
     pub name: &'static str,
     /// What its endpoints speak.
@@ -49,7 +49,7 @@
 
 /// One service of a [`Deployment`].
 #[derive(Debug, Clone, PartialEq)]
-pub struct ServiceDesign {
+pub struct ServiceSpec {
     /// Name of the service.
     pub name: &'static str,
     /// Pool that runs it.
@@ -62,7 +62,7 @@
 
 /// One client account of a [`Deployment`].
 #[derive(Debug, Clone, PartialEq)]
-pub struct AccountDesign {
+pub struct AccountSpec {
     /// Name of the account.
     pub name: String,
     /// Share relative to others.
@@ -91,8 +91,8 @@
     }
 }
 
-fn model_pool(name: &'static str, endpoint_prefix: &'static str, endpoints: usize) -> PoolDesign {
-    PoolDesign {
+fn model_pool(name: &'static str, endpoint_prefix: &'static str, endpoints: usize) -> PoolSpec {
+    PoolSpec {
         name,
         kind: PoolKind::Model,
         endpoint_prefix,
@@ -101,8 +101,8 @@
     }
 }
 
-fn plain_pool(name: &'static str, endpoint_prefix: &'static str, endpoints: usize) -> PoolDesign {
-    PoolDesign {
+fn plain_pool(name: &'static str, endpoint_prefix: &'static str, endpoints: usize) -> PoolSpec {
+    PoolSpec {
         name,
         kind: PoolKind::Plain,
         endpoint_prefix,
@@ -116,8 +116,8 @@
     pool: &'static str,
     repeatable: bool,
     class: &'static str,
-) -> ServiceDesign {
-    ServiceDesign {
+) -> ServiceSpec {
+    ServiceSpec {
         name,
         pool,
         repeatable,
@@ -125,8 +125,8 @@
     }
 }
 
-fn account(name: &str, weight: u32, spread: Spread, demands: Vec<Demand>) -> AccountDesign {
-    AccountDesign {
+fn account(name: &str, weight: u32, spread: Spread, demands: Vec<Demand>) -> AccountSpec {
+    AccountSpec {
         name: name.to_owned(),
         weight,
         spread,
--- a/crates/load/src/fairness.rs
+++ b/crates/load/src/fairness.rs
@@ -20,12 +20,12 @@
 /// Input is charged when a run starts, output evenly over the run.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct ServiceCurve {
-    corners: Vec<Corner>,
+    breakpoints: Vec<Breakpoint>,
 }
 
 /// A point where the curve jumps or bends.
 #[derive(Debug, Clone, Copy, PartialEq)]
-struct Corner {
+struct Breakpoint {
     at_us: u64,
     before: f64,
     after: f64,
@@ -62,60 +62,64 @@
             changes.entry(span.end_us).or_default().slope -= slope;
         }
         Self {
-            corners: corners(&changes),
+            breakpoints: breakpoints(&changes),
         }
     }
 
     /// Value just before and just after the jump at `at_us`.
-    fn around(&self, at_us: u64) -> (f64, f64) {
-        let next = self.corners.partition_point(|c| c.at_us <= at_us);
-        let Some(corner) = next.checked_sub(1).map(|last| self.corners[last]) else {
+    fn values_around(&self, at_us: u64) -> (f64, f64) {
+        let next = self.breakpoints.partition_point(|c| c.at_us <= at_us);
+        let Some(breakpoint) = next.checked_sub(1).map(|last| self.breakpoints[last]) else {
             return (0.0, 0.0);
         };
-        if corner.at_us == at_us {
-            return (corner.before, corner.after);
+        if breakpoint.at_us == at_us {
+            return (breakpoint.before, breakpoint.after);
         }
-        let value = corner.after + corner.slope_after * (at_us - corner.at_us) as f64;
+        let value = breakpoint.after + breakpoint.slope_after * (at_us - breakpoint.at_us) as f64;
         (value, value)
     }
 
-    fn corners_within(&self, span: Span) -> impl Iterator<Item = u64> {
-        let first = self.corners.partition_point(|c| c.at_us < span.start_us);
-        let inside = self.corners[first..].iter().map(|c| c.at_us);
+    fn breakpoints_within(&self, span: Span) -> impl Iterator<Item = u64> {
+        let first = self
+            .breakpoints
+            .partition_point(|c| c.at_us < span.start_us);
+        let inside = self.breakpoints[first..].iter().map(|c| c.at_us);
         inside.take_while(move |at_us| *at_us <= span.end_us)
     }
 }
 
-fn corners(changes: &BTreeMap<u64, Change>) -> Vec<Corner> {
+fn breakpoints(changes: &BTreeMap<u64, Change>) -> Vec<Breakpoint> {
     let mut value = 0.0;
     let mut slope = 0.0;
     let mut last_us = 0;
-    let mut corners = Vec::with_capacity(changes.len());
+    let mut breakpoints = Vec::with_capacity(changes.len());
     for (&at_us, change) in changes {
         value += slope * (at_us - last_us) as f64;
         let before = value;
         value += change.jump;
         slope += change.slope;
         last_us = at_us;
-        corners.push(Corner {
+        breakpoints.push(Breakpoint {
             at_us,
             before,
             after: value,
             slope_after: slope,
         });
     }
-    corners
+    breakpoints
 }
 
 /// Largest change of the difference of two curves over any part of `span`.
 pub fn curve_gap(one: &ServiceCurve, other: &ServiceCurve, span: Span) -> f64 {
     let ends = [span.start_us, span.end_us];
-    let corners = one.corners_within(span).chain(other.corners_within(span));
+    let breakpoints = one
+        .breakpoints_within(span)
+        .chain(other.breakpoints_within(span));
     let mut low = f64::INFINITY;
     let mut high = f64::NEG_INFINITY;
-    for at_us in corners.chain(ends) {
-        let (one_before, one_after) = one.around(at_us);
-        let (other_before, other_after) = other.around(at_us);
+    for at_us in breakpoints.chain(ends) {
+        let (one_before, one_after) = one.values_around(at_us);
+        let (other_before, other_after) = other.values_around(at_us);
         let mut seen = vec![one_after - other_after];
         if at_us > span.start_us {
             seen.push(one_before - other_before);
@@ -249,7 +253,7 @@
 impl PoolAccount {
     /// Weighted service received within a span.
     pub fn served_within(&self, span: Span) -> f64 {
-        self.served.around(span.end_us).0 - self.served.around(span.start_us).1
+        self.served.values_around(span.end_us).0 - self.served.values_around(span.start_us).1
     }
 
     /// Share of a span in which some request of the account waited.
--- a/crates/load/src/fault_figures.rs
+++ b/crates/load/src/fault_figures.rs
@@ -47,9 +47,9 @@
     ///
     /// ```
     /// use sedgeridge_load::fault_figures::FaultFigures;
-    /// assert!(!FaultFigures::default().violated());
+    /// assert!(!FaultFigures::default().has_violations());
     /// ```
-    pub fn violated(&self) -> bool {
+    pub fn has_violations(&self) -> bool {
         let must_be_zero = [
             self.runs_after_leaving,
             self.config_won_twice,
--- a/crates/load/src/saboteur.rs
+++ b/crates/load/src/fault_injector.rs
@@ -52,7 +52,7 @@
 
 /// Carries out the steps of a fault.
 #[derive(Debug)]
-pub struct Saboteur<'a> {
+pub struct FaultInjector<'a> {
     /// The run.
     pub plan: &'a LoadPlan,
     /// Its processes.
@@ -62,38 +62,38 @@
     /// Start of sending.
     pub start: Instant,
     /// Length of sending.
-    pub sending: Duration,
+    pub sending_time: Duration,
     /// Operators at the command line.
     pub operators: Operators,
     /// What was done.
     pub log: &'a FaultLog,
 }
 
-impl Saboteur<'_> {
+impl FaultInjector<'_> {
     /// Carries out every step at its time; ends with the sending time at the latest.
-    pub fn carry_out(&self, steps: &[Step]) {
+    pub fn run_steps(&self, steps: &[Step]) {
         for step in steps {
-            let at = self.start + self.sending.mul_f64(step.at_fraction);
+            let at = self.start + self.sending_time.mul_f64(step.at_fraction);
             thread::sleep(at.saturating_duration_since(Instant::now()));
             println!("fault: {:?}", step.action);
-            if let Err(error) = self.act(&step.action) {
+            if let Err(error) = self.execute(&step.action) {
                 println!("fault: {error}");
             }
         }
     }
 
-    fn act(&self, action: &Action) -> Result<(), ActionError> {
+    fn execute(&self, action: &Action) -> Result<(), ActionError> {
         match action {
             Action::Signal(name, signal) => self.processes.signal(name, *signal)?,
             Action::Start(name) => self.start_again(name)?,
-            Action::Misbehave(target, order) => self.misbehave(target, order)?,
+            Action::Misbehave(target, order) => self.inject(target, order)?,
             Action::Links(site, order) => self.order_links(site, order)?,
             Action::ReviveEngines(order) => self.revive_engines(order)?,
-            Action::Leave(name) => self.leave(name)?,
-            Action::Changes(changes) => self.change(changes)?,
+            Action::Leave(name) => self.announce_leaving(name)?,
+            Action::Changes(changes) => self.apply_changes(changes)?,
             Action::Order(endpoint, number) => {
-                let accepted = self.operators.order(endpoint, *number)?;
-                self.log.notes().orders.push(accepted);
+                let accepted = self.operators.submit_order(endpoint, *number)?;
+                self.log.lock().orders.push(accepted);
             }
             Action::SignalHolder(signal) => self.signal_holder(*signal)?,
         }
@@ -110,29 +110,29 @@
         self.processes.start(name)
     }
 
-    fn leave(&self, name: &str) -> Result<(), ureq::Error> {
+    fn announce_leaving(&self, name: &str) -> Result<(), ureq::Error> {
         let order = FaultOrder::new(Fault::Leaving);
-        self.misbehave(&Target::Endpoint(name.to_owned()), &order)?;
-        let left_at_us = &mut self.log.notes().left_at_us;
+        self.inject(&Target::Endpoint(name.to_owned()), &order)?;
+        let left_at_us = &mut self.log.lock().left_at_us;
         left_at_us.insert(name.to_owned(), now_us());
         Ok(())
     }
 
-    fn change(&self, changes: &[ConfigChange]) -> io::Result<()> {
-        let outcomes = self.operators.change(changes)?;
+    fn apply_changes(&self, changes: &[ConfigChange]) -> io::Result<()> {
+        let outcomes = self.operators.apply_changes(changes)?;
         for outcome in &outcomes {
             println!("fault: {outcome:?}");
         }
-        self.log.notes().changes.extend(outcomes);
+        self.log.lock().changes.extend(outcomes);
         Ok(())
     }
 
     fn signal_holder(&self, signal: Signal) -> io::Result<()> {
-        let frozen = self.log.notes().frozen_holder.clone();
+        let frozen = self.log.lock().frozen_holder.clone();
         let holder = frozen.or_else(|| self.lease_holder());
         let holder = holder.ok_or_else(|| io::Error::other("no coordinator holds the lease"))?;
         self.processes.signal(&holder, signal)?;
-        self.log.notes().frozen_holder = Some(holder);
+        self.log.lock().frozen_holder = Some(holder);
         Ok(())
     }
 
@@ -152,7 +152,7 @@
     }
 
     /// Orders every target; one that does not answer keeps none of the others from theirs.
-    fn misbehave(&self, target: &Target, order: &FaultOrder) -> Result<(), ureq::Error> {
+    fn inject(&self, target: &Target, order: &FaultOrder) -> Result<(), ureq::Error> {
         let addresses: Vec<_> = match target {
             Target::Table => vec![self.plan.table_address],
             Target::Endpoints => self.plan.endpoints.iter().map(|e| e.address).collect(),
@@ -162,22 +162,22 @@
                 named.map(|e| e.address).collect()
             }
         };
-        let orders = addresses.into_iter().map(|a| self.order(a, order));
+        let orders = addresses.into_iter().map(|a| self.send_order(a, order));
         orders.fold(Ok(()), Result::and)
     }
 
     fn order_links(&self, site: &str, order: &RelayOrder) -> Result<(), ureq::Error> {
         let touches = |link: &&LinkPlan| link.from_site == site || link.to_site == site;
         for link in self.plan.links.iter().filter(touches) {
-            self.order(link.control_address, order)?;
+            self.send_order(link.control_address, order)?;
         }
         if *order == RelayOrder::Heal {
-            self.log.notes().healed_at_us = Some(now_us());
+            self.log.lock().healed_at_us = Some(now_us());
         }
         Ok(())
     }
 
-    fn order(&self, address: SocketAddr, order: &impl Serialize) -> Result<(), ureq::Error> {
+    fn send_order(&self, address: SocketAddr, order: &impl Serialize) -> Result<(), ureq::Error> {
         let url = format!("http://{address}{CONTROL_PATH}");
         let body = serde_json::to_string(order).expect("an order is plain data");
         let request = self.agent.post(url).config();
@@ -191,11 +191,11 @@
     }
 
     fn revive_engines(&self, order: &FaultOrder) -> io::Result<()> {
-        let end = self.start + self.sending;
+        let end = self.start + self.sending_time;
         while Instant::now() < end {
             for address in self.revive_endpoints()? {
                 // An engine that crashes again before it has the order is revived again.
-                let _ = self.order(address, order);
+                let _ = self.send_order(address, order);
             }
             thread::sleep(REVIVE_INTERVAL);
         }
@@ -213,9 +213,9 @@
         for endpoint in &crashed {
             self.processes.start(&endpoint.name)?;
         }
-        let give_up = Instant::now() + REVIVE_TIMEOUT;
+        let deadline = Instant::now() + REVIVE_TIMEOUT;
         let addresses: Vec<_> = crashed.iter().map(|e| e.address).collect();
-        while !addresses.iter().all(|a| listens(*a)) && Instant::now() < give_up {
+        while !addresses.iter().all(|a| listens(*a)) && Instant::now() < deadline {
             thread::sleep(REVIVE_POLL_INTERVAL);
         }
         Ok(addresses)
--- a/crates/load/src/fault_log.rs
+++ b/crates/load/src/fault_log.rs
@@ -10,12 +10,12 @@
 /// Notes of all faults of a run.
 #[derive(Debug, Default)]
 pub struct FaultLog {
-    notes: Mutex<FaultNotes>,
+    events: Mutex<FaultEvents>,
 }
 
 /// The notes themselves.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct FaultNotes {
+pub struct FaultEvents {
     /// When endpoints began to report that they are leaving.
     pub left_at_us: BTreeMap<String, u64>,
     /// How changes of the configuration ended.
@@ -30,8 +30,8 @@
 
 impl FaultLog {
     /// Opens the notes.
-    pub fn notes(&self) -> MutexGuard<'_, FaultNotes> {
+    pub fn lock(&self) -> MutexGuard<'_, FaultEvents> {
         // Each note is one step, so a panic elsewhere leaves nothing half done.
-        self.notes.lock().unwrap_or_else(PoisonError::into_inner)
+        self.events.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/load/src/faults.rs
+++ b/crates/load/src/faults.rs
@@ -18,9 +18,9 @@
 /// Operators who add an account at the same time.
 const RACING_OPERATORS: usize = 4;
 /// When they do so.
-const RACE_TIMES: [f64; 4] = [0.2, 0.35, 0.5, 0.65];
+const RACE_FRACTIONS: [f64; 4] = [0.2, 0.35, 0.5, 0.65];
 /// When orders to engines are given; the third comes while the holder of the lease is frozen.
-const ORDER_TIMES: [f64; 6] = [0.08, 0.14, 0.25, 0.45, 0.6, 0.7];
+const ORDER_FRACTIONS: [f64; 6] = [0.08, 0.14, 0.25, 0.45, 0.6, 0.7];
 
 /// Share of answers that get lost.
 const LOST_ANSWER_PROBABILITY: f64 = 0.05;
@@ -144,7 +144,7 @@
 
 fn table_down(sending: Duration) -> Vec<Step> {
     let order = FaultOrder {
-        duration_ms: Some(share_ms(sending, 0.3)),
+        duration_ms: Some(fraction_ms(sending, 0.3)),
         ..FaultOrder::new(Fault::Outage)
     };
     vec![step(0.3, Action::Misbehave(Target::Table, order))]
@@ -153,7 +153,7 @@
 fn lost_answers(sending: Duration) -> Vec<Step> {
     let order = |probability| FaultOrder {
         probability: Some(probability),
-        duration_ms: Some(share_ms(sending, 0.6)),
+        duration_ms: Some(fraction_ms(sending, 0.6)),
         ..FaultOrder::new(Fault::DropAnswer)
     };
     let endpoints = order(LOST_ANSWER_PROBABILITY);
@@ -203,7 +203,7 @@
         }
         step(at_fraction, Action::Changes(changes))
     };
-    let times = RACE_TIMES.iter().enumerate();
+    let times = RACE_FRACTIONS.iter().enumerate();
     times.map(|(index, at)| round(index, *at)).collect()
 }
 
@@ -227,7 +227,7 @@
         let engine = &engines[index % engines.len()];
         step(*at, Action::Order(engine.name.clone(), index as u64 + 1))
     };
-    let mut steps: Vec<Step> = ORDER_TIMES.iter().enumerate().map(order).collect();
+    let mut steps: Vec<Step> = ORDER_FRACTIONS.iter().enumerate().map(order).collect();
     steps.push(step(0.15, Action::SignalHolder(Signal::Stop)));
     steps.push(step(0.65, Action::SignalHolder(Signal::Continue)));
     steps.sort_by(|a, b| a.at_fraction.total_cmp(&b.at_fraction));
@@ -245,6 +245,6 @@
     chosen
 }
 
-fn share_ms(sending: Duration, share: f64) -> u64 {
+fn fraction_ms(sending: Duration, share: f64) -> u64 {
     sending.mul_f64(share).as_millis() as u64
 }
--- a/crates/load/src/join.rs
+++ b/crates/load/src/join.rs
@@ -42,7 +42,7 @@
 
 impl Counts {
     /// Whether anything happened that must never happen.
-    pub fn violated(&self) -> bool {
+    pub fn has_violations(&self) -> bool {
         let must_be_zero = [
             self.lost,
             self.doubled,
@@ -86,10 +86,10 @@
         }
         let wanted = calls.iter().filter(|call| !call.repeat);
         let last = wanted.max_by_key(|call| call.ended_at_us);
-        *self.bucket(last.copied()) += 1;
+        *self.outcome_counter(last.copied()) += 1;
     }
 
-    fn bucket(&mut self, last: Option<&CallRecord>) -> &mut u64 {
+    fn outcome_counter(&mut self, last: Option<&CallRecord>) -> &mut u64 {
         let Some(last) = last else {
             return &mut self.lost;
         };
--- a/crates/load/src/ledgers.rs
+++ b/crates/load/src/ledgers.rs
@@ -39,7 +39,7 @@
 }
 
 /// Reads the ledgers of all endpoints.
-pub fn read_all(agent: &Agent, plan: &LoadPlan) -> Result<Vec<RunRecord>, LedgerError> {
+pub fn read_runs(agent: &Agent, plan: &LoadPlan) -> Result<Vec<RunRecord>, LedgerError> {
     let mut runs = Vec::new();
     for endpoint in &plan.endpoints {
         let text = read(agent, endpoint)?;
--- a/crates/load/src/main.rs
+++ b/crates/load/src/main.rs
@@ -20,7 +20,7 @@
 /// Exit code of a command line that cannot be used.
 const EXIT_USAGE: u8 = 2;
 /// Exit code of a run in which something happened that must never happen.
-const EXIT_VIOLATED: u8 = 1;
+const EXIT_VIOLATION: u8 = 1;
 /// Offered load as a multiple of the capacity, when the command line names none.
 const DEFAULT_OVERLOAD: f64 = 1.3;
 const DEFAULT_SEED: u64 = 1;
@@ -91,7 +91,7 @@
     {
         return Err(format!("--fault {fault}: needs a deployment with more than one site").into());
     }
-    topology.bring_about(faults, &dir);
+    topology.set_faults(faults, &dir);
     let taken = ready::taken_addresses(&topology.load);
     if !taken.is_empty() {
         return Err(format!("addresses in use: {}", taken.join(", ")).into());
@@ -106,7 +106,7 @@
     let seconds = args.opt_value_from_str("--seconds")?;
     finish(args)?;
     let timeout = Duration::from_secs(seconds.unwrap_or(DEFAULT_READY_SECONDS));
-    let missing = ready::wait(&LoadPlan::read(&dir)?, stage, timeout);
+    let missing = ready::wait_until_ready(&LoadPlan::read(&dir)?, stage, timeout);
     if missing.is_empty() {
         return Ok(ExitCode::SUCCESS);
     }
@@ -137,8 +137,8 @@
 fn print_report(report: &Report) -> Result<ExitCode, Box<dyn Error>> {
     println!("\n{report}");
     println!("{}", serde_json::to_string(report)?);
-    if report.violated() {
-        return Ok(ExitCode::from(EXIT_VIOLATED));
+    if report.has_violations() {
+        return Ok(ExitCode::from(EXIT_VIOLATION));
     }
     Ok(ExitCode::SUCCESS)
 }
--- a/crates/load/src/operators.rs
+++ b/crates/load/src/operators.rs
@@ -16,13 +16,13 @@
 use crate::process_plan::BASE_FILE;
 use crate::topology::sha256_hex;
 
-const COMMAND_LINE: &str = "sedgeridge";
+const COMMAND_LINE_PROGRAM: &str = "sedgeridge";
 /// Begins the answer to an accepted change; the generation follows.
-const ACCEPTED: &str = "accepted as generation ";
+const ACCEPTED_PREFIX: &str = "accepted as generation ";
 /// Begins the answer to a change that lost against another one.
-const CONFLICT: &str = "conflict:";
+const CONFLICT_MARKER: &str = "conflict:";
 /// Names what orders are about; the number of the order follows.
-pub const ORDER_SUBJECT: &str = "adapter-";
+pub const ORDER_SUBJECT_PREFIX: &str = "adapter-";
 
 /// How a change of the configuration ended for its operator.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -49,7 +49,7 @@
     /// assert_eq!(accepted, ChangeOutcome::Accepted { generation: 7, told_at_us: 5 });
     /// ```
     pub fn read(stdout: &str, stderr: &str, told_at_us: u64) -> Self {
-        let digits = stdout.strip_prefix(ACCEPTED);
+        let digits = stdout.strip_prefix(ACCEPTED_PREFIX);
         let digits = digits.and_then(|rest| rest.split(',').next());
         if let Some(generation) = digits.and_then(|digits| digits.parse().ok()) {
             return Self::Accepted {
@@ -57,7 +57,7 @@
                 told_at_us,
             };
         }
-        match stderr.contains(CONFLICT) {
+        match stderr.contains(CONFLICT_MARKER) {
             true => Self::Conflict,
             false => Self::Failed(stderr.trim().to_owned()),
         }
@@ -81,14 +81,14 @@
     }
 
     /// Makes all changes at the same time, a process for each.
-    pub fn change(&self, changes: &[ConfigChange]) -> io::Result<Vec<ChangeOutcome>> {
+    pub fn apply_changes(&self, changes: &[ConfigChange]) -> io::Result<Vec<ChangeOutcome>> {
         let commands = changes.iter().map(|change| self.change_args(change));
         let commands: Vec<Vec<String>> = commands.collect::<io::Result<_>>()?;
         let children = commands.iter().map(|args| start(args));
         let children: Vec<Child> = children.collect::<io::Result<_>>()?;
         let waits: Vec<_> = children
             .into_iter()
-            .map(|child| std::thread::spawn(move || outcome(child)))
+            .map(|child| std::thread::spawn(move || wait_for_outcome(child)))
             .collect();
         waits
             .into_iter()
@@ -97,9 +97,9 @@
     }
 
     /// Orders an engine to withdraw an adapter; gives whether the order was accepted.
-    pub fn order(&self, endpoint: &str, number: u64) -> io::Result<bool> {
+    pub fn submit_order(&self, endpoint: &str, number: u64) -> io::Result<bool> {
         let base = self.dir.join(BASE_FILE).display().to_string();
-        let subject = format!("{ORDER_SUBJECT}{number}");
+        let subject = format!("{ORDER_SUBJECT_PREFIX}{number}");
         let args = [
             "orders",
             "add",
@@ -159,7 +159,7 @@
 
 fn start(args: &[String]) -> io::Result<Child> {
     let binaries = std::env::current_exe()?;
-    Command::new(binaries.with_file_name(COMMAND_LINE))
+    Command::new(binaries.with_file_name(COMMAND_LINE_PROGRAM))
         .args(args)
         .stdin(Stdio::null())
         .stdout(Stdio::piped())
@@ -167,7 +167,7 @@
         .spawn()
 }
 
-fn outcome(child: Child) -> io::Result<ChangeOutcome> {
+fn wait_for_outcome(child: Child) -> io::Result<ChangeOutcome> {
     let Output { stdout, stderr, .. } = child.wait_with_output()?;
     Ok(ChangeOutcome::read(
         &text(&stdout),
--- a/crates/load/src/order_check.rs
+++ b/crates/load/src/order_check.rs
@@ -5,7 +5,7 @@
 
 use sedgeridge_protocol::ledger::OrderRecord;
 
-use crate::operators::ORDER_SUBJECT;
+use crate::operators::ORDER_SUBJECT_PREFIX;
 
 /// Orders as engines obeyed them.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -13,7 +13,7 @@
     /// Different orders that took effect.
     pub in_effect: u64,
     /// Times that one took effect after a newer one, or under a number that was superseded.
-    pub wrong: u64,
+    pub stale: u64,
 }
 
 /// Counts over the ledgers of all engines, each in order of time.
@@ -29,21 +29,21 @@
 pub fn count(orders: &[OrderRecord]) -> OrderCounts {
     let mut newest: HashMap<&str, (u64, u64)> = HashMap::new();
     let mut obeyed = HashSet::new();
-    let mut wrong = 0;
+    let mut stale = 0;
     for order in orders.iter().filter(|order| order.accepted) {
-        let number = order.order.target.strip_prefix(ORDER_SUBJECT);
+        let number = order.order.target.strip_prefix(ORDER_SUBJECT_PREFIX);
         let Some(number) = number.and_then(|digits| digits.parse::<u64>().ok()) else {
             continue;
         };
         obeyed.insert(number);
         let (last_number, last_fencing) = newest.entry(&order.endpoint).or_default();
         let superseded = order.order.fencing < *last_fencing;
-        wrong += u64::from(superseded || number < *last_number);
+        stale += u64::from(superseded || number < *last_number);
         *last_number = number.max(*last_number);
         *last_fencing = order.order.fencing.max(*last_fencing);
     }
     OrderCounts {
         in_effect: obeyed.len() as u64,
-        wrong,
+        stale,
     }
 }
--- a/crates/load/src/ready.rs
+++ b/crates/load/src/ready.rs
@@ -59,11 +59,11 @@
 }
 
 /// Waits for a stage; gives the names of those that are not ready in time.
-pub fn wait(plan: &LoadPlan, stage: Stage, timeout: Duration) -> Vec<String> {
-    let give_up = Instant::now() + timeout;
+pub fn wait_until_ready(plan: &LoadPlan, stage: Stage, timeout: Duration) -> Vec<String> {
+    let deadline = Instant::now() + timeout;
     loop {
         let missing = not_ready(plan, stage);
-        if missing.is_empty() || Instant::now() >= give_up {
+        if missing.is_empty() || Instant::now() >= deadline {
             return missing;
         }
         thread::sleep(POLL_INTERVAL);
--- a/crates/load/src/recorder.rs
+++ b/crates/load/src/recorder.rs
@@ -41,12 +41,12 @@
 
 impl Recorder {
     /// Notes that a call is sent.
-    pub fn sent(&self) {
+    pub fn record_sent(&self) {
         self.sent.fetch_add(1, Ordering::Relaxed);
     }
 
     /// Keeps the record of a call that ended.
-    pub fn ended(&self, record: CallRecord) {
+    pub fn record_ended(&self, record: CallRecord) {
         let counter = match record.ending {
             Ending::Whole => &self.whole,
             Ending::Refused => &self.refused,
--- a/crates/load/src/report.rs
+++ b/crates/load/src/report.rs
@@ -26,11 +26,11 @@
 use crate::utilisation::pool_slot_time;
 
 /// Significant digits of recorded times.
-const TIME_DIGITS: u8 = 3;
+const TIME_SIGNIFICANT_DIGITS: u8 = 3;
 /// Key that the table of figures leaves to a table of its own.
 const SHARES_KEY: &str = "shares";
 /// Longest time told apart; longer ones count as this.
-const LONGEST_TIME_US: u64 = 600_000_000;
+const MAX_RECORDED_TIME_US: u64 = 600_000_000;
 
 /// Everything that one run showed. A figure that was not measured is `null`.
 #[derive(Debug, Clone, PartialEq, Serialize)]
@@ -105,7 +105,7 @@
 
 /// What names a run.
 #[derive(Debug, Clone, PartialEq)]
-pub struct RunName {
+pub struct RunInfo {
     /// Time in which load was offered.
     pub seconds: u64,
     /// Seed of the load.
@@ -118,7 +118,7 @@
 
 impl Report {
     /// Works out every figure.
-    pub fn new(plan: &LoadPlan, history: &History, name: RunName, peers: PeerRate) -> Self {
+    pub fn new(plan: &LoadPlan, history: &History, info: RunInfo, peers: PeerRate) -> Self {
         let accounts = pool_accounts(plan, history);
         let gap = |window| fairness_gap_tokens(&accounts, window);
         let pools = slot_times(plan, history);
@@ -128,11 +128,11 @@
         let charges = history.runs.iter().map(|run| run.charge_tokens());
         Self {
             deployment: plan.deployment.clone(),
-            seconds: name.seconds,
-            seed: name.seed,
-            fault: name.fault,
+            seconds: info.seconds,
+            seed: info.seed,
+            fault: info.fault,
             counts: count(&history.calls, &history.runs),
-            faults: name.faults,
+            faults: info.faults,
             fairness_gap_tokens: round(gap(history.steady)),
             fairness_gap_q2_tokens: round(gap(quarter(history.sending, 1))),
             fairness_gap_q4_tokens: round(gap(quarter(history.sending, 3))),
@@ -156,8 +156,8 @@
     }
 
     /// Whether anything happened that must never happen.
-    pub fn violated(&self) -> bool {
-        self.counts.violated() || self.faults.violated()
+    pub fn has_violations(&self) -> bool {
+        self.counts.has_violations() || self.faults.has_violations()
     }
 }
 
@@ -228,7 +228,7 @@
 }
 
 fn first_token_times(history: &History, chosen: impl Fn(&CallRecord) -> bool) -> Histogram<u64> {
-    let times = Histogram::new_with_bounds(1, LONGEST_TIME_US, TIME_DIGITS);
+    let times = Histogram::new_with_bounds(1, MAX_RECORDED_TIME_US, TIME_SIGNIFICANT_DIGITS);
     let mut times = times.expect("bounds and digits are in range");
     let calls = history.calls.iter().filter(|call| chosen(call));
     for call in calls.filter(|call| call.ending == Ending::Whole) {
--- a/crates/load/src/run.rs
+++ b/crates/load/src/run.rs
@@ -27,8 +27,9 @@
 use crate::control_bytes::PeerRate;
 use crate::fault_figures::FaultFigures;
 use crate::fault_figures::runs_after_leaving;
+use crate::fault_injector::FaultInjector;
+use crate::fault_log::FaultEvents;
 use crate::fault_log::FaultLog;
-use crate::fault_log::FaultNotes;
 use crate::fault_name::FaultName;
 use crate::faults;
 use crate::history::CallRecord;
@@ -46,8 +47,7 @@
 use crate::processes::Processes;
 use crate::recorder::Recorder;
 use crate::report::Report;
-use crate::report::RunName;
-use crate::saboteur::Saboteur;
+use crate::report::RunInfo;
 
 /// File of the callers' records within a run's directory.
 const CALLS_FILE: &str = "calls.jsonl";
@@ -58,9 +58,9 @@
 /// Part of the sending time that is not judged, because queues are still filling.
 const WARM_UP_SHARE: f64 = 0.2;
 /// Longest wait for a change to come into force after the load.
-const IN_FORCE_PATIENCE: Duration = Duration::from_secs(10);
+const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(10);
 /// Time for cancelled runs to end before ledgers are read.
-const SETTLE: Duration = Duration::from_millis(500);
+const CANCELLATION_DELAY: Duration = Duration::from_millis(500);
 
 /// What to run.
 #[derive(Debug, Clone, PartialEq)]
@@ -114,11 +114,11 @@
     let after = PeerBytes::read(&agent, &plan.routers);
     let rate = before.rate_until(&after);
     write_lines(&options.dir.join(CALLS_FILE), &calls)?;
-    thread::sleep(SETTLE);
-    let runs = ledgers::read_all(&agent, &plan)?;
+    thread::sleep(CANCELLATION_DELAY);
+    let runs = ledgers::read_runs(&agent, &plan)?;
     write_lines(&options.dir.join(RUNS_FILE), &runs)?;
-    let notes = log.notes().clone();
-    let faults = fault_figures(&agent, &plan, &notes, &runs, watch)?;
+    let events = log.lock().clone();
+    let faults = fault_figures(&agent, &plan, &events, &runs, watch)?;
     let window = Window {
         seconds: options.seconds,
         seed: options.seed,
@@ -146,13 +146,13 @@
         payload_per_node_s: window.payload_per_node_s,
         wire_per_node_s: window.wire_per_node_s,
     };
-    let name = RunName {
+    let info = RunInfo {
         seconds: window.seconds,
         seed: window.seed,
         fault: (!plan.faults.is_empty()).then(|| plan.faults.to_string()),
         faults: window.faults,
     };
-    Ok(Report::new(&plan, &history, name, peers))
+    Ok(Report::new(&plan, &history, info, peers))
 }
 
 fn steady(sending: Span) -> Span {
@@ -163,29 +163,29 @@
 fn fault_figures(
     agent: &Agent,
     plan: &LoadPlan,
-    notes: &FaultNotes,
+    events: &FaultEvents,
     runs: &[RunRecord],
     watch: ConfigWatch,
 ) -> Result<FaultFigures, LedgerError> {
     if plan.faults.is_empty() {
         return Ok(FaultFigures::default());
     }
-    let sightings = watch.into_sightings();
+    let samples = watch.into_samples();
     let record = ConfigRecord {
-        outcomes: &notes.changes,
-        sightings: &sightings,
+        outcomes: &events.changes,
+        samples: &samples,
         routers: &plan.routers,
-        healed_at_us: notes.healed_at_us,
+        healed_at_us: events.healed_at_us,
     };
     let mut figures = record.figures();
-    figures.runs_after_leaving = runs_after_leaving(runs, &notes.left_at_us);
-    if !notes.orders.is_empty() {
+    figures.runs_after_leaving = runs_after_leaving(runs, &events.left_at_us);
+    if !events.orders.is_empty() {
         let orders = order_check::count(&ledgers::read_orders(agent, plan)?);
-        let accepted = notes.orders.iter().filter(|accepted| **accepted).count();
+        let accepted = events.orders.iter().filter(|accepted| **accepted).count();
         figures.orders_accepted = Some(accepted as u64);
-        figures.orders_failed = Some((notes.orders.len() - accepted) as u64);
+        figures.orders_failed = Some((events.orders.len() - accepted) as u64);
         figures.orders_in_effect = Some(orders.in_effect);
-        figures.orders_wrong = Some(orders.wrong);
+        figures.orders_wrong = Some(orders.stale);
     }
     Ok(figures)
 }
@@ -198,7 +198,7 @@
 ) -> io::Result<Vec<CallRecord>> {
     let recorder = Recorder::default();
     let (clock, start) = (ProcessClock::start(), Instant::now());
-    let sending = Duration::from_secs(options.seconds);
+    let sending_time = Duration::from_secs(options.seconds);
     let callers = Callers {
         plan,
         agent: client::agent(),
@@ -206,15 +206,15 @@
         seed: options.seed,
         overload: options.overload,
         clock,
-        stop_at: clock.now() + sending,
-        sending,
+        stop_at: clock.now() + sending_time,
+        sending_time,
     };
-    let saboteur = Saboteur {
+    let injector = FaultInjector {
         plan,
         processes: Processes::new(&options.dir),
         agent: client::agent(),
         start,
-        sending,
+        sending_time,
         operators: Operators::new(&options.dir, plan.table_address),
         log,
     };
@@ -222,20 +222,20 @@
     thread::scope(|scope| {
         scope.spawn(|| print_progress(&recorder, &done));
         if !plan.faults.is_empty() {
-            let (agent, done) = (&saboteur.agent, &done);
+            let (agent, done) = (&injector.agent, &done);
             for router in &plan.routers {
                 scope.spawn(move || watch.watch(agent, router, done));
             }
         }
         thread::scope(|load_scope| {
             callers.start(load_scope);
-            start_faults(load_scope, plan, &saboteur, &callers);
+            start_faults(load_scope, plan, &injector, &callers);
         });
-        await_configuration(plan, &log.notes().changes, watch);
+        wait_for_configuration(plan, &log.lock().changes, watch);
         done.store(true, Ordering::Relaxed);
     });
     if !plan.faults.is_empty() {
-        saboteur.revive_endpoints()?;
+        injector.revive_endpoints()?;
     }
     Ok(recorder.into_calls())
 }
@@ -244,24 +244,24 @@
 fn start_faults<'scope>(
     scope: &'scope Scope<'scope, '_>,
     plan: &LoadPlan,
-    saboteur: &'scope Saboteur<'scope>,
+    injector: &'scope FaultInjector<'scope>,
     callers: &'scope Callers<'scope, ProcessClock>,
 ) {
     for fault in &plan.faults.0 {
-        let steps = faults::steps(*fault, plan, saboteur.sending);
-        scope.spawn(move || saboteur.carry_out(&steps));
+        let steps = faults::steps(*fault, plan, injector.sending_time);
+        scope.spawn(move || injector.run_steps(&steps));
         match fault {
             FaultName::Poison => {
                 scope.spawn(|| callers.send_poison());
             }
-            FaultName::Flood => callers.flood(scope),
+            FaultName::Flood => callers.start_flood(scope),
             _ => {}
         }
     }
 }
 
 /// Gives routers time to put the last accepted change in force.
-fn await_configuration(plan: &LoadPlan, changes: &[ChangeOutcome], watch: &ConfigWatch) {
+fn wait_for_configuration(plan: &LoadPlan, changes: &[ChangeOutcome], watch: &ConfigWatch) {
     let generations = changes.iter().filter_map(|change| match change {
         ChangeOutcome::Accepted { generation, .. } => Some(*generation),
         ChangeOutcome::Conflict | ChangeOutcome::Failed(_) => None,
@@ -269,8 +269,8 @@
     let Some(last) = generations.max() else {
         return;
     };
-    let give_up = Instant::now() + IN_FORCE_PATIENCE;
-    while !watch.in_force_everywhere(&plan.routers, last) && Instant::now() < give_up {
+    let deadline = Instant::now() + IN_FORCE_TIMEOUT;
+    while !watch.in_force_everywhere(&plan.routers, last) && Instant::now() < deadline {
         thread::sleep(Duration::from_millis(50));
     }
 }
--- a/crates/load/src/topology.rs
+++ b/crates/load/src/topology.rs
@@ -12,10 +12,10 @@
 use sha2::Digest;
 use sha2::Sha256;
 
-use crate::deployment::AccountDesign;
+use crate::deployment::AccountSpec;
 use crate::deployment::Deployment;
-use crate::deployment::PoolDesign;
-use crate::deployment::ServiceDesign;
+use crate::deployment::PoolSpec;
+use crate::deployment::ServiceSpec;
 use crate::fault_name::FaultName;
 use crate::fault_name::FaultNames;
 use crate::ini_text::IniText;
@@ -36,7 +36,7 @@
 /// Account keys are derived from this, so that every run uses the same ones.
 const KEY_SEED: &str = "sedgeridge-load keys 1";
 /// Hosts that may run a coordinator.
-const COORDINATORS: usize = 2;
+const COORDINATOR_HOSTS: usize = 2;
 /// Default of `fair.output_token_factor`, repeated here for the judge of fairness.
 const OUTPUT_TOKEN_FACTOR: u64 = 4;
 
@@ -95,13 +95,13 @@
             load,
         };
         topology.write_settings(deployment, &mut addresses);
-        topology.lay_coordinators(deployment, &mut addresses);
+        topology.add_coordinators(deployment, &mut addresses);
         for set in overrides {
             topology.base.set(&set.section, &set.key, &*set.value);
         }
         topology.read_back_overrides();
         if deployment.link_delay_us > 0 {
-            topology.lay_links(&mut addresses);
+            topology.add_links(&mut addresses);
         }
         topology.plan_processes(deployment, dir);
         topology
@@ -152,8 +152,8 @@
         }
     }
 
-    fn lay_coordinators(&mut self, deployment: &Deployment, addresses: &mut Addresses) {
-        let hosts = self.load.routers.iter().take(COORDINATORS).enumerate();
+    fn add_coordinators(&mut self, deployment: &Deployment, addresses: &mut Addresses) {
+        let hosts = self.load.routers.iter().take(COORDINATOR_HOSTS).enumerate();
         for (index, router) in hosts {
             let address = addresses.take();
             let section = format!("host.{}", router.name);
@@ -168,7 +168,7 @@
     }
 
     /// Names the faults of the run, and adds the processes that only they need.
-    pub fn bring_about(&mut self, faults: FaultNames, dir: &Path) {
+    pub fn set_faults(&mut self, faults: FaultNames, dir: &Path) {
         if faults.contains(FaultName::LeaseFreeze) {
             let coordinators = self.load.coordinators.iter();
             let coordinators = coordinators.map(|c| process_plan::coordinator(c, dir));
@@ -199,7 +199,7 @@
 
     /// Every site reaches the processes of other sites through relays: its overlay names the
     /// relay in place of the process. The table service stands at the first site.
-    fn lay_links(&mut self, addresses: &mut Addresses) {
+    fn add_links(&mut self, addresses: &mut Addresses) {
         let hosts = self.load.routers.iter().map(|r| format!("host.{}", r.name));
         let hosts = hosts.map(|section| (section, "peer_address"));
         let endpoints = self
@@ -303,7 +303,7 @@
     }
 }
 
-fn pool_endpoints(pool: &PoolDesign) -> impl Iterator<Item = (String, &PoolDesign)> {
+fn pool_endpoints(pool: &PoolSpec) -> impl Iterator<Item = (String, &PoolSpec)> {
     (1..=pool.endpoints).map(move |number| (format!("{}-{number}", pool.endpoint_prefix), pool))
 }
 
@@ -312,7 +312,7 @@
         let pool = deployment.pools.iter().find(|p| p.name == pool);
         pool.expect("a service names a pool of its deployment").kind
     };
-    let plan = |service: &ServiceDesign| ServicePlan {
+    let plan = |service: &ServiceSpec| ServicePlan {
         name: service.name.to_owned(),
         pool: service.pool.to_owned(),
         kind: kind_of(service.pool),
@@ -322,7 +322,7 @@
 }
 
 fn account_plans(deployment: &Deployment) -> Vec<AccountPlan> {
-    let plan = |account: &AccountDesign| AccountPlan {
+    let plan = |account: &AccountSpec| AccountPlan {
         name: account.name.clone(),
         key: account_key(&account.name),
         weight: account.weight,
--- a/crates/load/src/utilisation.rs
+++ b/crates/load/src/utilisation.rs
@@ -49,48 +49,59 @@
 
 /// A change of what runs or waits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Step {
-    Started(usize),
-    Ended(usize),
-    Arrived,
-    Left,
+enum SlotEvent {
+    RunStarted(usize),
+    RunEnded(usize),
+    WaitStarted,
+    WaitEnded,
 }
 
 /// Accounts for the slot-time of one pool.
 pub fn pool_slot_time(plan: &LoadPlan, history: &History, pool: &str, window: Span) -> SlotTime {
     let endpoints: Vec<_> = plan.endpoints.iter().filter(|e| e.pool == pool).collect();
     let slots: Vec<u32> = endpoints.iter().map(|e| e.slots).collect();
-    let mut steps: BTreeMap<u64, Vec<Step>> = BTreeMap::new();
+    let mut events: BTreeMap<u64, Vec<SlotEvent>> = BTreeMap::new();
     for run in &history.runs {
         let index = endpoints.iter().position(|e| e.name == run.endpoint);
         if let Some(index) = index {
-            add_run(&mut steps, run, index, window);
+            add_run(&mut events, run, index, window);
         }
     }
     for (call, span) in waiting_spans(history) {
         let in_pool = plan.service(&call.service).is_some_and(|s| s.pool == pool);
         if let Some(span) = span.intersect(window).filter(|_| in_pool) {
-            steps.entry(span.start_us).or_default().push(Step::Arrived);
-            steps.entry(span.end_us).or_default().push(Step::Left);
+            events
+                .entry(span.start_us)
+                .or_default()
+                .push(SlotEvent::WaitStarted);
+            events
+                .entry(span.end_us)
+                .or_default()
+                .push(SlotEvent::WaitEnded);
         }
     }
-    sweep(&slots, &steps, window)
+    sweep(&slots, &events, window)
 }
 
-fn add_run(steps: &mut BTreeMap<u64, Vec<Step>>, run: &RunRecord, index: usize, window: Span) {
+fn add_run(
+    events: &mut BTreeMap<u64, Vec<SlotEvent>>,
+    run: &RunRecord,
+    index: usize,
+    window: Span,
+) {
     if let Some(span) = run.span(window.end_us).intersect(window) {
-        steps
+        events
             .entry(span.start_us)
             .or_default()
-            .push(Step::Started(index));
-        steps
+            .push(SlotEvent::RunStarted(index));
+        events
             .entry(span.end_us)
             .or_default()
-            .push(Step::Ended(index));
+            .push(SlotEvent::RunEnded(index));
     }
 }
 
-fn sweep(slots: &[u32], steps: &BTreeMap<u64, Vec<Step>>, window: Span) -> SlotTime {
+fn sweep(slots: &[u32], events: &BTreeMap<u64, Vec<SlotEvent>>, window: Span) -> SlotTime {
     let total_slots: u64 = slots.iter().map(|s| u64::from(*s)).sum();
     let mut time = SlotTime {
         capacity_us: total_slots * window.length_us(),
@@ -99,19 +110,19 @@
     let mut running = vec![0i64; slots.len()];
     let mut waiting = 0u64;
     let mut last_us = window.start_us;
-    for (&at_us, steps) in steps {
+    for (&at_us, events) in events {
         let busy = busy_slots(slots, &running);
         let elapsed_us = at_us - last_us;
         time.busy_us += busy * elapsed_us;
         let wanted = (total_slots - busy).min(waiting);
         time.idle_while_waiting_us += wanted * elapsed_us;
         last_us = at_us;
-        for step in steps {
-            match step {
-                Step::Started(index) => running[*index] += 1,
-                Step::Ended(index) => running[*index] -= 1,
-                Step::Arrived => waiting += 1,
-                Step::Left => waiting -= 1,
+        for event in events {
+            match event {
+                SlotEvent::RunStarted(index) => running[*index] += 1,
+                SlotEvent::RunEnded(index) => running[*index] -= 1,
+                SlotEvent::WaitStarted => waiting += 1,
+                SlotEvent::WaitEnded => waiting -= 1,
             }
         }
     }
--- a/crates/load/src/work.rs
+++ b/crates/load/src/work.rs
@@ -16,9 +16,9 @@
 /// Prompt prefixes of one account.
 const PREFIXES_PER_ACCOUNT: u64 = 2;
 /// Words of the part that is new in each request.
-const NEW_WORDS: (u64, u64) = (5, 80);
+const NEW_WORD_COUNT_RANGE: (u64, u64) = (5, 80);
 /// Most output tokens asked for.
-const MAX_TOKENS: (u64, u64) = (16, 64);
+const MAX_TOKENS_RANGE: (u64, u64) = (16, 64);
 /// Share of model requests whose answer is streamed.
 const STREAM_SHARE: f64 = 0.8;
 
@@ -47,7 +47,7 @@
 /// use sedgeridge_load::plan::PoolKind;
 /// use sedgeridge_load::plan::ServicePlan;
 /// use sedgeridge_load::random::Random;
-/// use sedgeridge_load::work::draw;
+/// use sedgeridge_load::work::generate;
 ///
 /// let deposits = ServicePlan {
 ///     name: "deposits".into(),
@@ -55,10 +55,10 @@
 ///     kind: PoolKind::Plain,
 ///     repeatable: false,
 /// };
-/// let work = draw(&mut Random::new(1), 7, "crew-01", &deposits);
+/// let work = generate(&mut Random::new(1), 7, "crew-01", &deposits);
 /// assert_eq!(work.idempotency_key.as_deref(), Some("key-7"));
 /// ```
-pub fn draw(random: &mut Random, number: u64, account: &str, service: &ServicePlan) -> Work {
+pub fn generate(random: &mut Random, number: u64, account: &str, service: &ServicePlan) -> Work {
     let idempotency_key = (!service.repeatable).then(|| format!("key-{number}"));
     match service.kind {
         PoolKind::Model => {
@@ -70,7 +70,7 @@
 }
 
 /// Draws a piece of model work whose request holds a text that crashes engines.
-pub fn draw_poisoned(
+pub fn generate_poisoned(
     random: &mut Random,
     number: u64,
     account: &str,
@@ -88,9 +88,9 @@
     subject: &str,
 ) -> ChatRequest {
     let prefix = random.between(1, PREFIXES_PER_ACCOUNT);
-    let (least, most) = NEW_WORDS;
+    let (least, most) = NEW_WORD_COUNT_RANGE;
     let new_words = words("word", random.between(least, most));
-    let (least, most) = MAX_TOKENS;
+    let (least, most) = MAX_TOKENS_RANGE;
     ChatRequest {
         model: service.name.clone(),
         messages: vec![
--- a/crates/load/tests/answers.rs
+++ b/crates/load/tests/answers.rs
@@ -4,9 +4,9 @@
 use std::io::BufReader;
 use std::io::Read;
 
-use sedgeridge_load::answer_reader::judge_chat;
-use sedgeridge_load::answer_reader::judge_plain;
-use sedgeridge_load::answer_reader::judge_stream;
+use sedgeridge_load::answer_reader::classify_chat;
+use sedgeridge_load::answer_reader::classify_plain;
+use sedgeridge_load::answer_reader::classify_stream;
 use sedgeridge_load::answer_reader::read_stream;
 use sedgeridge_load::history::Ending;
 use yare::parameterized;
@@ -48,14 +48,14 @@
 fn judges_a_stream(texts: &[&str], end: &str, ending: Ending) {
     let body = events(texts, end);
     let read = read_stream(body.as_bytes(), || ());
-    assert_eq!(judge_stream(&read, EXPECTED), ending);
+    assert_eq!(classify_stream(&read, EXPECTED), ending);
 }
 
 #[test]
 fn a_stream_that_breaks_is_broken_and_not_short() {
     let body = events(&["lens "], "");
     let read = read_stream(BufReader::new(Breaks(body.as_bytes())), || ());
-    assert_eq!(judge_stream(&read, EXPECTED), Ending::Broken);
+    assert_eq!(classify_stream(&read, EXPECTED), Ending::Broken);
 }
 
 #[test]
@@ -77,14 +77,17 @@
     let answer = serde_json::json!({
         "id": "x", "object": "chat.completion", "choices": [choice], "usage": usage
     });
-    assert_eq!(judge_chat(answer.to_string().as_bytes(), EXPECTED), ending);
-    assert_eq!(judge_plain(text.as_bytes(), EXPECTED), ending);
+    assert_eq!(
+        classify_chat(answer.to_string().as_bytes(), EXPECTED),
+        ending
+    );
+    assert_eq!(classify_plain(text.as_bytes(), EXPECTED), ending);
 }
 
 #[test]
 fn half_a_json_answer_is_short() {
     assert_eq!(
-        judge_chat("{\"id\":\"x\"".as_bytes(), EXPECTED),
+        classify_chat("{\"id\":\"x\"".as_bytes(), EXPECTED),
         Ending::Short
     );
 }
--- a/crates/load/tests/fault_figures.rs
+++ b/crates/load/tests/fault_figures.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 use sedgeridge_load::config_watch::ConfigRecord;
-use sedgeridge_load::config_watch::Sighting;
+use sedgeridge_load::config_watch::GenerationSample;
 use sedgeridge_load::fault_figures::FaultFigures;
 use sedgeridge_load::fault_figures::LEAVING_GRACE_US;
 use sedgeridge_load::fault_figures::runs_after_leaving;
@@ -28,8 +28,8 @@
         .into()
 }
 
-fn seen(at_us: u64, host: &str, generation: u64) -> Sighting {
-    Sighting {
+fn seen(at_us: u64, host: &str, generation: u64) -> GenerationSample {
+    GenerationSample {
         at_us,
         host: host.to_owned(),
         generation,
@@ -43,10 +43,10 @@
     }
 }
 
-fn figures(outcomes: &[ChangeOutcome], sightings: &[Sighting]) -> FaultFigures {
+fn figures(outcomes: &[ChangeOutcome], samples: &[GenerationSample]) -> FaultFigures {
     let record = ConfigRecord {
         outcomes,
-        sightings,
+        samples,
         routers: &routers(),
         healed_at_us: Some(8_000),
     };
@@ -55,38 +55,38 @@
 
 #[test]
 fn a_change_is_in_force_when_each_router_shows_it() {
-    let sightings = [
+    let samples = [
         seen(1_000, "router-1", 1),
         seen(5_000, "router-1", 2),
         seen(9_000, "router-2", 3),
     ];
-    let figures = figures(&[accepted(2, 2_000), ChangeOutcome::Conflict], &sightings);
+    let figures = figures(&[accepted(2, 2_000), ChangeOutcome::Conflict], &samples);
     assert_eq!(figures.config_in_force_p99_ms, Some(7.0));
     assert_eq!(figures.config_in_force_after_heal_p99_ms, Some(1.0));
     assert_eq!(figures.config_conflicts, Some(1));
     assert_eq!(figures.config_not_in_force, Some(0));
-    assert!(!figures.violated());
+    assert!(!figures.has_violations());
 }
 
 #[test]
 fn a_router_that_never_shows_a_change_is_a_violation() {
     let figures = figures(&[accepted(2, 2_000)], &[seen(5_000, "router-1", 2)]);
     assert_eq!(figures.config_not_in_force, Some(1));
-    assert!(figures.violated());
+    assert!(figures.has_violations());
 }
 
 #[test]
 fn one_generation_won_by_two_operators_is_a_violation() {
-    let sightings = [seen(5_000, "router-1", 2), seen(5_000, "router-2", 2)];
-    let figures = figures(&[accepted(2, 1_000), accepted(2, 2_000)], &sightings);
+    let samples = [seen(5_000, "router-1", 2), seen(5_000, "router-2", 2)];
+    let figures = figures(&[accepted(2, 1_000), accepted(2, 2_000)], &samples);
     assert_eq!(figures.config_won_twice, Some(1));
-    assert!(figures.violated());
+    assert!(figures.has_violations());
 }
 
 #[test]
 fn a_lower_generation_at_the_same_host_is_a_reversion() {
-    let sightings = [seen(1, "router-1", 2), seen(2, "router-1", 1)];
-    assert_eq!(figures(&[], &sightings).config_reversions, Some(1));
+    let samples = [seen(1, "router-1", 2), seen(2, "router-1", 1)];
+    assert_eq!(figures(&[], &samples).config_reversions, Some(1));
 }
 
 #[parameterized(
@@ -118,8 +118,8 @@
     older_number = { &[order(2, 2, true), order(2, 1, true)], 1, 1 },
     older_order = { &[order(2, 2, true), order(1, 2, true)], 2, 1 },
 )]
-fn orders_that_took_effect_late_are_wrong(orders: &[OrderRecord], in_effect: u64, wrong: u64) {
-    assert_eq!(order_check::count(orders), OrderCounts { in_effect, wrong });
+fn orders_that_took_effect_late_are_wrong(orders: &[OrderRecord], in_effect: u64, stale: u64) {
+    assert_eq!(order_check::count(orders), OrderCounts { in_effect, stale });
 }
 
 #[test]
--- a/crates/load/tests/faults.rs
+++ b/crates/load/tests/faults.rs
@@ -87,7 +87,7 @@
 fn coordinators_run_only_for_their_fault(faults: &str, expected: usize) {
     let mut topology = topology("small");
     let faults = faults.parse().expect("known faults");
-    topology.bring_about(faults, Path::new("run/test"));
+    topology.set_faults(faults, Path::new("run/test"));
     let programs = topology.processes.iter().map(|p| p.program);
     let coordinators = programs.filter(|p| *p == "sedgeridge-coordinator");
     assert_eq!(coordinators.count(), expected);
--- a/crates/load/tests/join.rs
+++ b/crates/load/tests/join.rs
@@ -36,7 +36,7 @@
         ..Counts::default()
     };
     assert_eq!(counts, expected);
-    assert!(!counts.violated());
+    assert!(!counts.has_violations());
 }
 
 /// The caller's connection breaks and no later call tells it how the work ended.
@@ -68,7 +68,7 @@
     let calls = [keyed(call("r1", 1)), keyed(call("r2", 1))];
     let counts = count(&calls, &[run("r1", 0, 9), run("r2", 10, 19)]);
     assert_eq!(counts.doubled, 1);
-    assert!(counts.violated());
+    assert!(counts.has_violations());
 }
 
 /// A router dispatches one request twice, so both runs carry the same request id.
@@ -114,7 +114,7 @@
 #[test]
 fn a_marked_partial_answer_is_no_violation() {
     let counts = count(&[ending("r1", Ending::Partial)], &[]);
-    assert_eq!((counts.partial, counts.violated()), (1, false));
+    assert_eq!((counts.partial, counts.has_violations()), (1, false));
 }
 
 /// The caller is told "not run", but an endpoint started the request.
--- a/crates/load/tests/report.rs
+++ b/crates/load/tests/report.rs
@@ -8,7 +8,7 @@
 use sedgeridge_load::history::Outcome;
 use sedgeridge_load::history::RunRecord;
 use sedgeridge_load::report::Report;
-use sedgeridge_load::report::RunName;
+use sedgeridge_load::report::RunInfo;
 use support::call;
 use support::history;
 use support::plan;
@@ -16,7 +16,7 @@
 use support::run;
 
 fn report(calls: Vec<CallRecord>, runs: Vec<RunRecord>) -> Report {
-    let name = RunName {
+    let name = RunInfo {
         seconds: 1,
         seed: 1,
         fault: None,
