--- a/crates/load/src/answer_reader.rs
+++ b/crates/load/src/answer_reader.rs
@@ -1,4 +1,4 @@
-//! Reads an answer and judges it against the one right answer.
+//! Reads an answer and compares it with the expected answer.
 
 use std::io;
 use std::io::BufRead;
@@ -13,10 +13,10 @@
 
 const EVENT_DATA: &str = "data:";
 
-/// What a stream gave.
+/// Text of a stream and how the stream ended.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct StreamText {
-    /// All new text in order.
+    /// Texts of all chunks, concatenated in order.
     pub text: String,
     /// How it ended.
     pub end: StreamEnd,
@@ -29,14 +29,14 @@
     Marked,
     /// With an error event.
     Error,
-    /// The connection ended in order, but without a marker.
+    /// The connection closed normally, but without the end marker.
     #[default]
     Unmarked,
-    /// The connection broke or went silent.
+    /// The connection broke or timed out.
     Broken,
 }
 
-/// Reads server-sent events until the end; `on_text` is called for each new text.
+/// Reads server-sent events until the stream ends; `on_text` is called for each non-empty text.
 ///
 /// ```
 /// use sedgeridge_load::answer_reader::StreamEnd;
@@ -80,7 +80,7 @@
     }
 }
 
-/// Reads what follows the marker, so that the connection can be used again.
+/// Reads the rest of the body after the end marker, so that the connection can be reused.
 fn drain(mut body: impl BufRead) {
     let _ = io::copy(&mut body, &mut io::sink());
 }
@@ -104,7 +104,7 @@
     }
 }
 
-/// Judges a stream.
+/// Compares a stream with the expected answer.
 pub fn classify_stream(read: &StreamText, expected: &str) -> Ending {
     if !expected.starts_with(&read.text) {
         return Ending::Foreign;
@@ -118,7 +118,7 @@
     }
 }
 
-/// Reads and judges an answer that comes at once.
+/// Reads a non-streamed chat answer and compares it with the expected answer.
 pub fn classify_chat(body: impl Read, expected: &str) -> Ending {
     let Ok(text) = io::read_to_string(body) else {
         return Ending::Broken;
@@ -137,7 +137,7 @@
     }
 }
 
-/// Reads and judges the answer of a plain service.
+/// Reads the answer of a plain service and compares it with the expected answer.
 pub fn classify_plain(body: impl Read, expected: &str) -> Ending {
     match io::read_to_string(body) {
         Ok(text) => classify_text(&text, expected),
--- a/crates/load/src/callers.rs
+++ b/crates/load/src/callers.rs
@@ -1,4 +1,4 @@
-//! Callers: threads that ask for work and come back as the fleet tells them to.
+//! Callers: threads that send requests and retry them as the fleet's answers say.
 
 use std::sync::atomic::AtomicUsize;
 use std::sync::atomic::Ordering;
@@ -26,47 +26,47 @@
 use crate::work;
 use crate::work::Work;
 
-/// Most calls for one piece of work.
+/// Maximum number of calls for one piece of work.
 const MAX_CALLS: u32 = 6;
-/// Wait before the next call when the fleet names none.
+/// Wait before the next call when the answer has no `Retry-After`.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(200);
 /// Longest wait before the next call.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(3);
-/// Most open calls of one open-loop demand.
+/// Maximum number of calls in progress of one open-loop demand.
 const MAX_OPEN_CALLS: usize = 64;
-/// Callers of a closed-loop demand beyond its share of the slots.
+/// Callers of a closed-loop demand in addition to its share of the slots.
 const SPARE_CALLERS: usize = 4;
 /// Share of work with a key that is sent a second time, through another router.
 const REPEAT_SHARE: f64 = 0.2;
-/// Work numbers that each caller has for itself.
+/// Size of the range of work numbers reserved for each caller.
 const WORK_NUMBERS_PER_CALLER: u64 = 1 << 24;
-/// How far apart callers start, so that they do not all arrive at once.
+/// Maximum random start delay of a caller, so that callers do not all arrive at once.
 const MAX_START_DELAY_MS: u64 = 200;
-/// Number of the caller who sends poison; others count from 0.
+/// Index of the caller that sends poisoned requests; ordinary callers count from 0.
 const POISON_CALLER_INDEX: u64 = 1 << 20;
-/// Number of the first caller of a flood.
+/// Index of the first caller of a flood.
 const FIRST_FLOOD_CALLER_INDEX: u64 = 1 << 19;
 /// Callers of a flood for each slot of the pool.
 const FLOOD_CALLERS_PER_SLOT: u64 = 4;
 /// Time between two calls with the same poison.
 const POISON_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What all callers share.
+/// State that all callers share.
 #[derive(Debug)]
 pub struct Callers<'a, C> {
-    /// What they call.
+    /// The deployment that they call.
     pub plan: &'a LoadPlan,
     /// Their HTTP client.
     pub agent: Agent,
-    /// Where their records go.
+    /// Collects their call records.
     pub recorder: &'a Recorder,
-    /// Seed of everything drawn.
+    /// Seed of all random choices.
     pub seed: u64,
     /// Offered load as a multiple of the capacity.
     pub overload: f64,
-    /// Tells the time.
+    /// Source of the current time.
     pub clock: C,
-    /// When no new work is sent any more.
+    /// Time at which callers stop sending new work.
     pub stop_at: Duration,
     /// Length of sending.
     pub sending_time: Duration,
@@ -79,7 +79,7 @@
     service: &'a ServicePlan,
     random: Random,
     first_number: u64,
-    turn: usize,
+    round_robin_index: usize,
 }
 
 impl<'a, C: Clock + Sync> Callers<'a, C> {
@@ -104,18 +104,18 @@
 
     fn caller(&self, index: u64, account: &'a AccountPlan, service: &'a ServicePlan) -> Caller<'a> {
         let mut random = Random::new(self.seed ^ (index << 32));
-        let turn = random.next_u64() as usize % self.plan.routers.len();
+        let round_robin_index = random.next_u64() as usize % self.plan.routers.len();
         Caller {
             account,
             service,
             random,
             first_number: index * WORK_NUMBERS_PER_CALLER,
-            turn,
+            round_robin_index,
         }
     }
 
-    /// A backlogged account gets callers for its share of the overloaded slots, and some more: its
-    /// waiting requests may not run out while answers travel.
+    /// Number of callers of a demand. A backlogged account gets its share of the overloaded slots
+    /// plus some spare callers: it must have waiting requests also while answers are in transit.
     fn caller_threads(
         &self,
         account: &AccountPlan,
@@ -161,7 +161,8 @@
         }
     }
 
-    /// Has the first large account send many times its share for the middle third of the run.
+    /// Makes the first backlogged account send many times its share for the middle third of the
+    /// run.
     pub fn start_flood<'scope>(&'scope self, scope: &'scope Scope<'scope, '_>) {
         let accounts = self.plan.accounts.iter();
         let mut large = accounts.flat_map(|account| {
@@ -188,7 +189,7 @@
     }
 
     fn open_loop(&self, mut caller: Caller<'a>, rate_per_s: f64) {
-        let open = AtomicUsize::new(0);
+        let open_calls = AtomicUsize::new(0);
         let mut number = caller.first_number;
         thread::scope(|scope| {
             loop {
@@ -197,18 +198,18 @@
                 if !self.is_sending() {
                     return;
                 }
-                if open.load(Ordering::Relaxed) >= MAX_OPEN_CALLS {
+                if open_calls.load(Ordering::Relaxed) >= MAX_OPEN_CALLS {
                     continue;
                 }
-                let mut one = caller.clone();
-                one.random = Random::new(caller.random.next_u64());
-                caller.turn += 1;
+                let mut single_caller = caller.clone();
+                single_caller.random = Random::new(caller.random.next_u64());
+                caller.round_robin_index += 1;
                 number += 1;
-                let open = &open;
-                open.fetch_add(1, Ordering::Relaxed);
+                let open_calls = &open_calls;
+                open_calls.fetch_add(1, Ordering::Relaxed);
                 scope.spawn(move || {
-                    self.run_work(&mut one, number);
-                    open.fetch_sub(1, Ordering::Relaxed);
+                    self.run_work(&mut single_caller, number);
+                    open_calls.fetch_sub(1, Ordering::Relaxed);
                 });
             }
         });
@@ -218,7 +219,7 @@
         self.clock.now() < self.stop_at
     }
 
-    /// Sleeps, but not beyond the end of sending.
+    /// Sleeps, but not beyond `stop_at`.
     fn sleep(&self, time: Duration) {
         let left = self.stop_at.saturating_sub(self.clock.now());
         thread::sleep(time.min(left));
@@ -230,29 +231,29 @@
         } = *caller;
         let work = work::generate(&mut caller.random, number, &account.name, service);
         let repeated = work.idempotency_key.is_some() && caller.random.happens(REPEAT_SHARE);
-        let at_once = repeated && caller.random.happens(0.5);
-        let turn = caller.turn;
-        caller.turn += 1;
-        let repeat = |turn| {
-            let router = turn % self.plan.routers.len();
+        let repeat_at_once = repeated && caller.random.happens(0.5);
+        let round_robin_index = caller.round_robin_index;
+        caller.round_robin_index += 1;
+        let repeat = |round_robin_index| {
+            let router = round_robin_index % self.plan.routers.len();
             self.call(caller, &work, "repeat", router, true);
         };
         thread::scope(|scope| {
-            if at_once {
-                scope.spawn(|| repeat(turn + 1));
+            if repeat_at_once {
+                scope.spawn(|| repeat(round_robin_index + 1));
             }
-            self.call_until_final(caller, &work, turn);
+            self.call_until_final(caller, &work, round_robin_index);
         });
-        if repeated && !at_once {
-            repeat(turn + 1);
+        if repeated && !repeat_at_once {
+            repeat(round_robin_index + 1);
         }
     }
 
-    /// Calls until the fleet says how the work ended. A caller whose connection broke goes to the
-    /// next router, as the balancer would send it.
-    fn call_until_final(&self, caller: &Caller<'a>, work: &Work, turn: usize) {
+    /// Calls until the fleet reports a final outcome. After a broken connection the caller goes to
+    /// the next router, as a load balancer would send it.
+    fn call_until_final(&self, caller: &Caller<'a>, work: &Work, round_robin_index: usize) {
         let routers = self.plan.routers.len();
-        let mut router = caller.account.spread.router(turn, routers);
+        let mut router = caller.account.spread.router(round_robin_index, routers);
         for attempt in 1..=MAX_CALLS {
             let (record, retry_after) =
                 self.call(caller, work, &attempt.to_string(), router, false);
@@ -267,7 +268,7 @@
         }
     }
 
-    /// Sends one poisoned request again and again until the end of sending.
+    /// Repeats one poisoned request until `stop_at`.
     pub fn send_poison(&self) {
         let models = self.plan.services.iter();
         let mut models = models.filter(|s| s.kind == PoolKind::Model && s.repeatable);
--- a/crates/load/src/client.rs
+++ b/crates/load/src/client.rs
@@ -1,4 +1,4 @@
-//! One call of one router, with the record of what its caller saw.
+//! Makes a single call to a router and records the result as the caller saw it.
 
 use std::io::BufReader;
 use std::time::Duration;
@@ -22,13 +22,13 @@
 use crate::plan::RouterPlan;
 use crate::work::Work;
 
-/// Deadline that callers name.
+/// Deadline that callers send with each request.
 const REQUEST_DEADLINE_MS: u64 = 20_000;
-/// Time after which a caller gives up on a connection. It is longer than the deadline, so that
-/// the fleet has the time to say how the request ended.
+/// Timeout of a whole call. It is longer than the deadline, so that the fleet has time to report
+/// how the request ended.
 const CALL_TIMEOUT: Duration = Duration::from_secs(25);
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Kept-alive connections to each router.
+/// Maximum number of keep-alive connections to each router.
 const MAX_IDLE_CONNECTIONS_PER_ROUTER: usize = 256;
 
 /// One call to make.
@@ -48,12 +48,12 @@
     pub repeat: bool,
 }
 
-/// What came of a call.
+/// Result of a call.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CallResult {
     /// The caller's record.
     pub record: CallRecord,
-    /// When the fleet says that coming back makes sense.
+    /// Wait that the fleet asks for before a retry.
     pub retry_after: Option<Duration>,
 }
 
--- a/crates/load/src/config_watch.rs
+++ b/crates/load/src/config_watch.rs
@@ -1,4 +1,4 @@
-//! Watches which generation of the configuration each router has in force.
+//! Polls which generation of the configuration each router has in force.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -18,14 +18,15 @@
 use crate::operators::ChangeOutcome;
 use crate::plan::RouterPlan;
 
-/// Time between two looks at a router; in-force times are late by at most this and the answer.
+/// Time between two status requests to a router; in-force times are late by at most this interval
+/// plus the time of the answer.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 const STATUS_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What one look at a router showed.
+/// Generation that a router reported at one time.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct GenerationSample {
-    /// When.
+    /// Time of the report.
     pub at_us: u64,
     /// Host of the router.
     pub host: String,
@@ -33,15 +34,15 @@
     pub generation: u64,
 }
 
-/// Sightings of every router so far.
+/// Samples of every router so far.
 #[derive(Debug, Default)]
 pub struct ConfigWatch {
     samples: Mutex<Vec<GenerationSample>>,
 }
 
 impl ConfigWatch {
-    /// Looks at one router until told to stop. A router that is not ready may have no
-    /// configuration yet, so it is not judged.
+    /// Polls one router until `done` is set. A router that is not ready may have no configuration
+    /// yet, so its reports are skipped.
     pub fn watch(&self, agent: &Agent, router: &RouterPlan, done: &AtomicBool) {
         while !done.load(Ordering::Relaxed) {
             if let Some(status) = status(agent, router).filter(|status| status.ready) {
@@ -66,7 +67,7 @@
         routers.iter().all(|r| hosts.contains(r.name.as_str()))
     }
 
-    /// Takes the samples out, in order of time.
+    /// Samples in order of time.
     pub fn into_samples(self) -> Vec<GenerationSample> {
         let samples = self.samples.into_inner();
         let mut samples = samples.unwrap_or_else(PoisonError::into_inner);
@@ -75,7 +76,7 @@
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, Vec<GenerationSample>> {
-        // Only whole samples are pushed, so a panic elsewhere leaves nothing half done.
+        // Only complete samples are pushed, so a poisoned lock still holds valid data.
         self.samples.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
@@ -88,21 +89,21 @@
     serde_json::from_str(&text).ok()
 }
 
-/// Changes of one run and what routers made of them.
+/// Configuration changes of one run and the generations that routers reported.
 #[derive(Debug, Clone, Copy)]
 pub struct ConfigRecord<'a> {
     /// How the changes ended for their operators.
     pub outcomes: &'a [ChangeOutcome],
-    /// Sightings in order of time.
+    /// Samples in order of time.
     pub samples: &'a [GenerationSample],
     /// Every router.
     pub routers: &'a [RouterPlan],
-    /// When a cut was healed, if there was one.
+    /// End of the network partition, if there was one.
     pub healed_at_us: Option<u64>,
 }
 
 impl ConfigRecord<'_> {
-    /// Works out the figures of the configuration.
+    /// Computes the figures about configuration changes.
     pub fn figures(&self) -> FaultFigures {
         let mut figures = FaultFigures {
             config_reversions: Some(reversions(self.samples)),
@@ -142,7 +143,8 @@
         accepted.collect()
     }
 
-    /// Time of each change at each router, from its acceptance or `not_before_us`.
+    /// Time until each change is in force at each router, counted from its acceptance or from
+    /// `not_before_us`, whichever is later; absent if the router never had it in force.
     fn in_force_delays_us(&self, accepted: &[(u64, u64)], not_before_us: u64) -> Vec<Option<u64>> {
         let mut times = Vec::new();
         for (generation, told_at_us) in accepted {
@@ -158,7 +160,7 @@
     }
 }
 
-/// Counts decreases of the generation at any one host, restarts included.
+/// Counts how often a host reported a lower generation than before, restarts included.
 ///
 /// ```
 /// use sedgeridge_load::config_watch::GenerationSample;
--- a/crates/load/src/control_bytes.rs
+++ b/crates/load/src/control_bytes.rs
@@ -1,4 +1,4 @@
-//! Bytes that routers exchange, read from their metrics.
+//! Traffic between routers, read from their metrics.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -9,11 +9,11 @@
 
 /// Counter of peer message payload.
 const PAYLOAD_COUNTER: &str = "sedgeridge_peer_bytes_total";
-/// Counter or estimate of the same on the wire.
+/// Counter or estimate of the bytes on the wire for the same messages.
 const WIRE_COUNTER: &str = "sedgeridge_peer_wire_bytes_total";
 const METRICS_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Counters of all routers at one instant; absent where a router gave none.
+/// Counters of all routers at one instant; absent for a router that did not report them.
 #[derive(Debug, Clone)]
 pub struct PeerBytes {
     taken_at: Instant,
@@ -62,7 +62,7 @@
     request.call().ok()?.body_mut().read_to_string().ok()
 }
 
-/// Adds up a counter over its labels; absent when the page does not have it.
+/// Sums a counter over its labels; absent when the page does not have it.
 ///
 /// ```
 /// use sedgeridge_load::control_bytes::sum_counter;
@@ -80,7 +80,8 @@
     values.reduce(|sum, value| sum + value)
 }
 
-/// A counter that fell belongs to a router that restarted and counts from 0.
+/// Mean rate over the routers. A counter that decreased belongs to a router that restarted, so it
+/// counts from 0.
 fn mean_rate(before: &[Option<f64>], after: &[Option<f64>], seconds: f64) -> Option<f64> {
     let increases = before.iter().zip(after).filter_map(|(before, after)| {
         let after = (*after)?;
--- a/crates/load/src/deployment.rs
+++ b/crates/load/src/deployment.rs
@@ -13,14 +13,14 @@
 /// Request slots of one plain service stand-in.
 const PLAIN_SLOTS: u32 = 4;
 
-/// What stands where, before addresses are given out.
+/// Layout of a deployment, before addresses are assigned.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Deployment {
     /// Name on the command line.
     pub name: &'static str,
     /// Routers started unless the command line says otherwise.
     pub routers: usize,
-    /// Sites; routers and endpoints go round them.
+    /// Sites; routers and endpoints are distributed round-robin over them.
     pub sites: Vec<&'static str>,
     /// Delay of a message between two sites, one way.
     pub link_delay_us: u64,
@@ -37,13 +37,13 @@
 pub struct PoolSpec {
     /// Name of the pool.
     pub name: &'static str,
-    /// What its endpoints speak.
+    /// Protocol of its endpoints.
     pub kind: PoolKind,
-    /// Endpoints are named by this and a number.
+    /// Endpoint names consist of this prefix and a number.
     pub endpoint_prefix: &'static str,
     /// Number of endpoints.
     pub endpoints: usize,
-    /// Slots of each.
+    /// Request slots of each endpoint.
     pub slots: u32,
 }
 
@@ -65,15 +65,15 @@
 pub struct AccountSpec {
     /// Name of the account.
     pub name: String,
-    /// Share relative to others.
+    /// Share relative to other accounts.
     pub weight: u32,
     /// Routers that its callers use.
     pub spread: Spread,
-    /// What its callers ask for.
+    /// Requests that its callers send.
     pub demands: Vec<Demand>,
 }
 
-/// A deployment that does not exist.
+/// The name of the deployment is unknown.
 #[derive(Debug, Error, PartialEq, Eq)]
 #[error("--deployment {0}: expected one of small, luce, malardalen")]
 pub struct UnknownDeployment(pub String);
@@ -134,7 +134,7 @@
     }
 }
 
-/// Three routers before four engines and one plain service.
+/// Three routers in front of four engines and one plain service.
 fn small() -> Deployment {
     let assistant = "assistant";
     let orders = "orders";
--- a/crates/load/src/fairness.rs
+++ b/crates/load/src/fairness.rs
@@ -1,7 +1,7 @@
-//! The fairness gap between client accounts, from what endpoints served.
+//! Computes the fairness gap between client accounts from the runs that endpoints recorded.
 //!
 //! Accounts are compared within one pool: a pool's capacity cannot serve another pool's work, so
-//! only accounts that wait for the same pool can be owed the same.
+//! only accounts that wait for the same pool are entitled to equal weighted service.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -23,7 +23,7 @@
     breakpoints: Vec<Breakpoint>,
 }
 
-/// A point where the curve jumps or bends.
+/// A point where the curve jumps or changes its slope.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct Breakpoint {
     at_us: u64,
@@ -32,7 +32,7 @@
     slope_after: f64,
 }
 
-/// What changes at one instant.
+/// Change of the curve at one instant.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 struct Change {
     jump: f64,
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Value just before and just after the jump at `at_us`.
+    /// Values just before and just after a possible jump at `at_us`.
     fn values_around(&self, at_us: u64) -> (f64, f64) {
         let next = self.breakpoints.partition_point(|c| c.at_us <= at_us);
         let Some(breakpoint) = next.checked_sub(1).map(|last| self.breakpoints[last]) else {
@@ -109,7 +109,7 @@
     breakpoints
 }
 
-/// Largest change of the difference of two curves over any part of `span`.
+/// Largest change of the difference between two curves over any part of `span`.
 pub fn curve_gap(one: &ServiceCurve, other: &ServiceCurve, span: Span) -> f64 {
     let ends = [span.start_us, span.end_us];
     let breakpoints = one
@@ -132,7 +132,7 @@
     high - low
 }
 
-/// Joins overlapping or touching spans.
+/// Merges overlapping or adjacent spans.
 ///
 /// ```
 /// use sedgeridge_load::fairness::union;
@@ -159,7 +159,7 @@
     pairs.filter_map(|(a, b)| a.intersect(*b)).collect()
 }
 
-/// When each call waited: from its sending to the start of its first run, or to its end.
+/// Waiting time of each call: from its sending to the start of its first run, or to its end.
 pub fn waiting_spans<'a>(history: &'a History) -> Vec<(&'a CallRecord, Span)> {
     let mut starts: HashMap<&str, u64> = HashMap::new();
     for run in &history.runs {
@@ -172,8 +172,8 @@
         let end_us = served_us.unwrap_or(call.ended_at_us);
         (call, Span::new(call.sent_at_us, end_us))
     };
-    let wanted = history.calls.iter().filter(|call| !call.repeat);
-    wanted.map(span).collect()
+    let non_repeats = history.calls.iter().filter(|call| !call.repeat);
+    non_repeats.map(span).collect()
 }
 
 /// One account's demand and service in one pool.
@@ -183,9 +183,9 @@
     pub account: String,
     /// Name of the pool.
     pub pool: String,
-    /// When some request of the account waited.
+    /// Spans in which some request of the account waited.
     pub backlogged: Vec<Span>,
-    /// What it received, divided by its weight.
+    /// Service that it received, divided by its weight.
     pub served: ServiceCurve,
 }
 
@@ -212,7 +212,8 @@
     both.map(collect).collect()
 }
 
-/// A run belongs to the account whose caller sent it, whatever its endpoint was told.
+/// Groups runs by pool and account. A run belongs to the account whose caller sent the request,
+/// whatever account the endpoint recorded.
 fn runs_by_pool_account<'a>(
     plan: &'a LoadPlan,
     history: &'a History,
@@ -264,7 +265,7 @@
     }
 }
 
-/// Largest gap between two accounts over any time in which both waited for the same pool.
+/// Largest gap between two accounts over any span in which both waited for the same pool.
 pub fn fairness_gap_tokens(accounts: &[PoolAccount], window: Span) -> f64 {
     let gaps = worst_pairs(accounts, window).into_iter();
     gaps.map(|pair| pair.gap_tokens).fold(0.0, f64::max)
@@ -275,13 +276,13 @@
 pub struct WorstPair {
     /// The pool.
     pub pool: String,
-    /// Largest gap over any time in which both accounts waited.
+    /// Largest gap over any span in which both accounts waited.
     pub gap_tokens: f64,
     /// The accounts.
     pub accounts: [String; 2],
-    /// Start of the time, from the start of the window.
+    /// Start of that span, from the start of the window.
     pub from_ms: u64,
-    /// Length of the time.
+    /// Length of that span.
     pub length_ms: u64,
 }
 
--- a/crates/load/src/fault_figures.rs
+++ b/crates/load/src/fault_figures.rs
@@ -1,4 +1,4 @@
-//! What a run with faults shows beside the figures of every run.
+//! Figures that are only measured in runs with faults.
 
 use std::collections::BTreeMap;
 
@@ -7,10 +7,10 @@
 
 use crate::history::RunRecord;
 
-/// Time after a load report says `leaving` from which on no run may start.
+/// Grace time after a load report says `leaving`; no run may start later.
 pub const LEAVING_GRACE_US: u64 = 3_000_000;
 
-/// Figures of faults; absent when the run had no fault that they are about.
+/// Figures about faults; each is absent when the run had no fault that it is about.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct FaultFigures {
@@ -18,19 +18,19 @@
     pub runs_after_leaving: Option<u64>,
     /// Changes of the configuration that were accepted during the run.
     pub config_changes: Option<u64>,
-    /// Changes that lost against another one.
+    /// Changes that were rejected because another change came first.
     pub config_conflicts: Option<u64>,
     /// Changes that failed in any other way.
     pub config_failures: Option<u64>,
-    /// Generations that more than one operator was told to have made.
+    /// Acceptances beyond the first one of the same generation.
     pub config_won_twice: Option<u64>,
     /// Time from the acceptance until a router has the generation in force.
     pub config_in_force_p99_ms: Option<f64>,
-    /// The same, counted from the end of the cut for changes that were accepted before it.
+    /// The same, counted from the end of the network partition for changes accepted before it.
     pub config_in_force_after_heal_p99_ms: Option<f64>,
-    /// Pairs of router and change that never came into force.
+    /// Pairs of router and change where the change never came into force at the router.
     pub config_not_in_force: Option<u64>,
-    /// Times at which a ready router had a lower generation in force than before.
+    /// How often a ready router had a lower generation in force than before.
     pub config_reversions: Option<u64>,
     /// Orders to engines that the command line accepted.
     pub orders_accepted: Option<u64>,
@@ -38,12 +38,12 @@
     pub orders_failed: Option<u64>,
     /// Accepted orders that took effect.
     pub orders_in_effect: Option<u64>,
-    /// Orders that took effect after a newer one or under an older fencing number than one seen.
+    /// Orders that took effect after a newer one or under a fencing number older than one seen.
     pub orders_wrong: Option<u64>,
 }
 
 impl FaultFigures {
-    /// Whether anything happened that must never happen.
+    /// Whether any count that must be 0 is greater.
     ///
     /// ```
     /// use sedgeridge_load::fault_figures::FaultFigures;
@@ -61,7 +61,7 @@
     }
 }
 
-/// Counts runs that started too late after their endpoint reported as leaving.
+/// Counts runs that started after the grace time of their endpoint that reported as leaving.
 ///
 /// ```
 /// use std::collections::BTreeMap;
--- a/crates/load/src/fault_injector.rs
+++ b/crates/load/src/fault_injector.rs
@@ -1,4 +1,4 @@
-//! Carries out the actions of a fault at their times.
+//! Executes the actions of a fault at their scheduled times.
 
 use std::io;
 use std::net::SocketAddr;
@@ -33,15 +33,15 @@
 use crate::processes::listens;
 
 const CONTROL_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time between looks for endpoints that crashed.
+/// Time between checks for crashed endpoints.
 const REVIVE_INTERVAL: Duration = Duration::from_millis(300);
-/// Time that the platform takes to start a crashed endpoint again.
+/// Delay before a crashed endpoint is restarted, as the platform would take.
 const REVIVE_DELAY: Duration = Duration::from_millis(500);
-/// Time that a revived endpoint has to listen again.
+/// Maximum wait for restarted endpoints to listen.
 const REVIVE_TIMEOUT: Duration = Duration::from_secs(3);
 const REVIVE_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Why an action had no effect.
+/// An action failed.
 #[derive(Debug, Error)]
 enum ActionError {
     #[error("{0}")]
@@ -50,34 +50,35 @@
     Order(#[from] ureq::Error),
 }
 
-/// Carries out the steps of a fault.
+/// Executes the steps of a fault.
 #[derive(Debug)]
 pub struct FaultInjector<'a> {
-    /// The run.
+    /// Plan of the run.
     pub plan: &'a LoadPlan,
     /// Its processes.
     pub processes: Processes,
-    /// For orders to misbehave.
+    /// HTTP client for orders to stand-ins.
     pub agent: Agent,
     /// Start of sending.
     pub start: Instant,
     /// Length of sending.
     pub sending_time: Duration,
-    /// Operators at the command line.
+    /// Operators that use the command-line tool.
     pub operators: Operators,
-    /// What was done.
+    /// Log of injected faults.
     pub log: &'a FaultLog,
 }
 
 impl FaultInjector<'_> {
-    /// Carries out every step at its time; ends with the sending time at the latest.
+    /// Executes every step at its time within the sending time. A failed action is printed and the
+    /// remaining steps still run.
     pub fn run_steps(&self, steps: &[Step]) {
         for step in steps {
             let at = self.start + self.sending_time.mul_f64(step.at_fraction);
             thread::sleep(at.saturating_duration_since(Instant::now()));
             println!("fault: {:?}", step.action);
             if let Err(error) = self.execute(&step.action) {
-                println!("fault: {error}");
+                println!("fault: action failed: {error}");
             }
         }
     }
@@ -100,8 +101,9 @@
         Ok(())
     }
 
-    /// Another fault of the same run may have started the endpoint already; a second process would
-    /// write into the first one's ledger before it finds the address taken.
+    /// Restarts a process unless it is an endpoint that listens already: another fault of the same
+    /// run may have restarted it, and a second process would write into the first one's ledger
+    /// before it finds the address in use.
     fn start_again(&self, name: &str) -> io::Result<()> {
         let endpoint = self.plan.endpoints.iter().find(|e| e.name == name);
         if endpoint.is_some_and(|e| listens(e.address)) {
@@ -151,7 +153,7 @@
         holder.map(|coordinator| coordinator.name.clone())
     }
 
-    /// Orders every target; one that does not answer keeps none of the others from theirs.
+    /// Sends an order to every target, also after one of them did not answer.
     fn inject(&self, target: &Target, order: &FaultOrder) -> Result<(), ureq::Error> {
         let addresses: Vec<_> = match target {
             Target::Table => vec![self.plan.table_address],
@@ -194,7 +196,8 @@
         let end = self.start + self.sending_time;
         while Instant::now() < end {
             for address in self.revive_endpoints()? {
-                // An engine that crashes again before it has the order is revived again.
+                // An engine that crashes before it receives the order is restarted in a later
+                // round.
                 let _ = self.send_order(address, order);
             }
             thread::sleep(REVIVE_INTERVAL);
@@ -202,7 +205,7 @@
         Ok(())
     }
 
-    /// Starts endpoints that do not listen any more, as the platform would; gives their addresses.
+    /// Restarts endpoints that no longer listen, as the platform would. Returns their addresses.
     pub fn revive_endpoints(&self) -> io::Result<Vec<SocketAddr>> {
         let endpoints = self.plan.endpoints.iter();
         let crashed: Vec<_> = endpoints.filter(|e| !listens(e.address)).collect();
--- a/crates/load/src/fault_log.rs
+++ b/crates/load/src/fault_log.rs
@@ -1,4 +1,4 @@
-//! What was done to a run, for its judges.
+//! Log of the faults injected into a run, read when its figures are computed.
 
 use std::collections::BTreeMap;
 use std::sync::Mutex;
@@ -7,20 +7,20 @@
 
 use crate::operators::ChangeOutcome;
 
-/// Notes of all faults of a run.
+/// Events of all faults of a run, shared by the threads that inject them.
 #[derive(Debug, Default)]
 pub struct FaultLog {
     events: Mutex<FaultEvents>,
 }
 
-/// The notes themselves.
+/// Events that the figures of a run need.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct FaultEvents {
-    /// When endpoints began to report that they are leaving.
+    /// Time at which each endpoint was told to report that it is leaving.
     pub left_at_us: BTreeMap<String, u64>,
-    /// How changes of the configuration ended.
+    /// Outcomes of configuration changes.
     pub changes: Vec<ChangeOutcome>,
-    /// When a cut was healed.
+    /// End of the network partition.
     pub healed_at_us: Option<u64>,
     /// Whether each order to an engine was accepted.
     pub orders: Vec<bool>,
@@ -29,9 +29,9 @@
 }
 
 impl FaultLog {
-    /// Opens the notes.
+    /// Locks the events for reading or writing.
     pub fn lock(&self) -> MutexGuard<'_, FaultEvents> {
-        // Each note is one step, so a panic elsewhere leaves nothing half done.
+        // Each event is a single write, so a poisoned lock still holds valid data.
         self.events.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/load/src/fault_name.rs
+++ b/crates/load/src/fault_name.rs
@@ -1,4 +1,4 @@
-//! Names of the faults that can be brought about.
+//! Names of the faults that can be injected.
 
 use std::fmt;
 use std::str::FromStr;
@@ -11,29 +11,30 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultName {
-    /// One router is killed and comes back with no memory.
+    /// One router is killed and restarted with no state.
     RouterKill,
-    /// One router is frozen for longer than a stream may be idle, then runs on.
+    /// One router is frozen for longer than a stream may be idle, then continues.
     RouterFreeze,
-    /// One endpoint of each pool is killed and comes back.
+    /// One endpoint of each pool is killed and restarted.
     EngineCrash,
     /// One request crashes every engine that runs it, and its caller sends it again.
     Poison,
     /// The table service answers nothing but 503.
     TableDown,
-    /// Endpoints and the table service do the work, but some answers are lost.
+    /// Endpoints and the table service do the work, but some of their answers are lost.
     LostAnswers,
-    /// One site is cut off from the others and from the table service, then the cut heals.
+    /// One site is partitioned from the others and from the table service, then reconnected.
     SiteCut,
     /// One account sends many times its share for the middle third of the run.
     Flood,
     /// One endpoint of each pool reports that it is leaving.
     EndpointLeave,
-    /// Open connections of some endpoints, links and the table service go silent; new ones work.
+    /// Open connections of some endpoints, links and the table service stop delivering data; new
+    /// connections work.
     SilentConnection,
     /// Operators change the configuration at the same time.
     OperatorRace,
-    /// The configuration changes while a site is cut off.
+    /// The configuration changes while a site is partitioned from the others.
     ConfigUnderPartition,
     /// The coordinator that holds the lease is frozen for longer than its lease.
     LeaseFreeze,
@@ -76,7 +77,7 @@
         }
     }
 
-    /// Whether it cuts a site off, so that it needs a deployment of several sites.
+    /// Whether it partitions a site, so that it needs a deployment of several sites.
     pub fn needs_links(self) -> bool {
         matches!(self, Self::SiteCut | Self::ConfigUnderPartition)
     }
@@ -88,7 +89,7 @@
     }
 }
 
-/// A fault that does not exist.
+/// The name of the fault is unknown.
 #[derive(Debug, Error, PartialEq, Eq)]
 #[error("--fault {0}: expected one of {known}", known = known_names())]
 pub struct UnknownFault(pub String);
@@ -111,10 +112,10 @@
     }
 }
 
-/// Separates faults that are brought about together.
+/// Separates the names of faults that are injected in the same run.
 const SEPARATOR: char = '+';
 
-/// Faults that are brought about in the same run.
+/// Faults that are injected in the same run.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct FaultNames(pub Vec<FaultName>);
--- a/crates/load/src/faults.rs
+++ b/crates/load/src/faults.rs
@@ -1,4 +1,4 @@
-//! Faults that can be brought about during a run: tables of timed actions.
+//! Faults that can be injected during a run, each as a list of timed actions.
 
 use std::time::Duration;
 
@@ -12,41 +12,42 @@
 use crate::plan::PoolKind;
 use crate::processes::Signal;
 
-/// Text in a request that crashes an endpoint once the endpoint is told so.
+/// Request text that crashes an endpoint which was ordered to crash on it.
 pub const POISON: &str = "poison-pill";
 
-/// Operators who add an account at the same time.
+/// Number of operators that add an account at the same time.
 const RACING_OPERATORS: usize = 4;
-/// When they do so.
+/// Times of the races as fractions of the sending time.
 const RACE_FRACTIONS: [f64; 4] = [0.2, 0.35, 0.5, 0.65];
-/// When orders to engines are given; the third comes while the holder of the lease is frozen.
+/// Times of orders to engines as fractions of the sending time; the third comes while the lease
+/// holder is frozen.
 const ORDER_FRACTIONS: [f64; 6] = [0.08, 0.14, 0.25, 0.45, 0.6, 0.7];
 
-/// Share of answers that get lost.
+/// Probability that an endpoint's answer is lost.
 const LOST_ANSWER_PROBABILITY: f64 = 0.05;
-/// Share of the table service's answers that get lost.
+/// Probability that an answer of the table service is lost.
 const LOST_TABLE_ANSWER_PROBABILITY: f64 = 0.2;
 
 /// One action of a fault.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Signal a process.
+    /// Send a signal to a process.
     Signal(String, Signal),
-    /// Start a process again.
+    /// Restart a process.
     Start(String),
-    /// Tell a stand-in to misbehave until the end of the run, or for a time.
+    /// Order stand-ins to show a fault until the end of the run, or for a given time.
     Misbehave(Target, FaultOrder),
-    /// Tell every link from or to a site.
+    /// Send an order to every link from or to a site.
     Links(String, RelayOrder),
-    /// Start crashed engines again, and give them the same order, until the end of the run.
+    /// Restart crashed endpoints and repeat the order to them, until the end of the run.
     ReviveEngines(FaultOrder),
-    /// Tell an endpoint to report that it is leaving, and note when.
+    /// Order an endpoint to report that it is leaving, and log the time.
     Leave(String),
-    /// Run changes of the configuration at the same time, through the operators' command line.
+    /// Make configuration changes at the same time, through the operators' command line.
     Changes(Vec<ConfigChange>),
-    /// Give an engine the order of this number through the operators' command line.
+    /// Send the order of this number to an engine through the operators' command line.
     Order(String, u64),
-    /// Signal the coordinator that holds the lease, or the one that was signalled before.
+    /// Send a signal to the coordinator that was signalled before, or else to the lease holder.
     SignalHolder(Signal),
 }
 
@@ -59,7 +60,7 @@
     ApplyFiles(String),
 }
 
-/// Stand-ins that are told to misbehave.
+/// Stand-ins that a fault order goes to.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Target {
     /// The table service.
@@ -72,12 +73,12 @@
     Endpoint(String),
 }
 
-/// An action at a part of the sending time.
+/// An action at a given time of the run.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Step {
-    /// From 0 at the start to 1 at the end.
+    /// Time as a fraction of the sending time: 0 at the start, 1 at the end.
     pub at_fraction: f64,
-    /// What is done.
+    /// Action to take.
     pub action: Action,
 }
 
@@ -192,8 +193,8 @@
     endpoints.chain(links).chain([table]).collect()
 }
 
-/// The first round has both kinds of change; files refuse to remove accounts added by command, so
-/// the later rounds have only one kind.
+/// The first round has both kinds of change. Applying files is refused if that would remove
+/// accounts added by command, so the later rounds only add accounts.
 fn operator_race() -> Vec<Step> {
     let round = |index: usize, at_fraction| {
         let add = |operator| ConfigChange::AddAccount(format!("race-{index}-{operator}"));
@@ -217,8 +218,8 @@
     steps
 }
 
-/// Orders are withdrawals of adapters that no engine has: they change nothing that the load needs,
-/// and the weight store's interval between loads does not bound them.
+/// Orders unload adapters that no engine has: they do not affect the load, and the weight store's
+/// minimum interval between loads does not apply to them.
 fn lease_freeze(plan: &LoadPlan) -> Vec<Step> {
     let engines = plan.endpoints.iter();
     let engines = engines.filter(|e| plan.pool_kind(&e.pool) == PoolKind::Model);
--- a/crates/load/src/history.rs
+++ b/crates/load/src/history.rs
@@ -1,4 +1,4 @@
-//! Records of one run: what each caller saw and what each endpoint did.
+//! Records of one run: calls as callers saw them and runs as endpoints recorded them.
 
 use std::fs;
 use std::fs::File;
@@ -11,12 +11,12 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// A span of time in microseconds since the Unix epoch; the end is not part of it.
+/// A half-open span of time in microseconds since the Unix epoch.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Span {
     /// First instant.
     pub start_us: u64,
-    /// Instant after the last.
+    /// First instant after the span.
     pub end_us: u64,
 }
 
@@ -26,7 +26,7 @@
         Self { start_us, end_us }
     }
 
-    /// Length, 0 when the ends are crossed.
+    /// Length, 0 when the end is before the start.
     pub fn length_us(self) -> u64 {
         self.end_us.saturating_sub(self.start_us)
     }
@@ -45,7 +45,7 @@
     }
 }
 
-/// Final outcome that the fleet told a caller.
+/// Final outcome that the fleet reported to a caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
@@ -53,7 +53,7 @@
     Ran,
     /// The request did not run and will not.
     NotRun,
-    /// Nobody can tell.
+    /// The fleet cannot tell whether the request ran.
     Unknown,
 }
 
@@ -69,21 +69,21 @@
     }
 }
 
-/// How a call ended, judged against the one right answer.
+/// How a call ended, compared with the expected answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Ending {
-    /// The right answer, byte for byte.
+    /// The expected answer, byte for byte.
     Whole,
-    /// An answer that is not the beginning of the right one.
+    /// An answer that is not a prefix of the expected one.
     Foreign,
-    /// The beginning of the right answer, then an end like that of a whole one.
+    /// A prefix of the expected answer without a mark that it is partial.
     Short,
-    /// The beginning of the right answer, then a clear mark that it is partial.
+    /// A prefix of the expected answer, then an explicit mark that it is partial.
     Partial,
     /// An error status.
     Refused,
-    /// No connection, or one that broke or went silent.
+    /// No connection, or one that broke or timed out.
     Broken,
 }
 
@@ -106,13 +106,13 @@
     pub repeat: bool,
     /// When the call was sent.
     pub sent_at_us: u64,
-    /// When the first part of the answer came.
+    /// When the first part of the answer arrived.
     pub first_token_at_us: Option<u64>,
     /// When the call ended.
     pub ended_at_us: u64,
-    /// HTTP status, if any came.
+    /// HTTP status, if a response arrived.
     pub status: Option<u16>,
-    /// Outcome told by the fleet, if any came.
+    /// Outcome reported by the fleet, if any.
     pub outcome: Option<Outcome>,
     /// Reason of a refusal, or error of a call that got no response.
     pub reason: Option<String>,
@@ -123,15 +123,15 @@
 /// One run of a request as its endpoint recorded it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RunRecord {
-    /// Request id that the endpoint was given; empty when it was given none.
+    /// Request id that the endpoint received; empty when it received none.
     pub request_id: String,
-    /// The client account; empty when the endpoint was given none.
+    /// The client account; empty when the endpoint received none.
     pub account: String,
     /// The endpoint.
     pub endpoint: String,
     /// When it started on a slot.
     pub started_at_us: u64,
-    /// When it left the slot; absent while it runs.
+    /// When it released the slot; absent while it runs.
     pub ended_at_us: Option<u64>,
     /// Service tokens for the input that was not in the prefix cache.
     pub input_charge_tokens: u64,
@@ -142,7 +142,7 @@
 }
 
 impl RunRecord {
-    /// Service tokens in all.
+    /// Total service tokens.
     pub fn charge_tokens(&self) -> u64 {
         self.input_charge_tokens + self.output_charge_tokens
     }
@@ -153,27 +153,27 @@
     }
 }
 
-/// Both sides of one run.
+/// Records of callers and endpoints of one run.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct History {
-    /// Callers' side.
+    /// Calls as callers saw them.
     pub calls: Vec<CallRecord>,
-    /// Endpoints' side.
+    /// Runs as endpoints recorded them.
     pub runs: Vec<RunRecord>,
     /// Time in which load was offered.
     pub sending: Span,
-    /// The part of `sending` that is judged: without the warm-up.
+    /// The part of `sending` after the warm-up; figures of the steady state cover only this.
     pub steady: Span,
 }
 
-/// Reads records back, one JSON object a line.
+/// Reads records from a file, one JSON object per line.
 pub fn read_lines<T: DeserializeOwned>(path: &Path) -> io::Result<Vec<T>> {
     let text = fs::read_to_string(path)?;
     let records = text.lines().map(serde_json::from_str);
     Ok(records.collect::<Result<_, _>>()?)
 }
 
-/// Writes records to a file, one JSON object a line.
+/// Writes records to a file, one JSON object per line.
 pub fn write_lines<T: Serialize>(path: &Path, records: &[T]) -> io::Result<()> {
     let mut file = BufWriter::new(File::create(path)?);
     for record in records {
--- a/crates/load/src/ini_text.rs
+++ b/crates/load/src/ini_text.rs
@@ -1,8 +1,8 @@
-//! Writing INI files: ordered sections of ordered keys.
+//! Builds INI files with ordered sections and keys.
 
 use std::fmt;
 
-/// An INI file in the making.
+/// Contents of an INI file.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct IniText {
     sections: Vec<IniSection>,
@@ -47,7 +47,7 @@
         });
     }
 
-    /// Reads a value back.
+    /// Value of a key, if it was set.
     pub fn get(&self, section: &str, key: &str) -> Option<&str> {
         let section = self.sections.iter().find(|s| s.name == section)?;
         let entry = section.entries.iter().find(|e| e.key == key)?;
--- a/crates/load/src/join.rs
+++ b/crates/load/src/join.rs
@@ -1,4 +1,4 @@
-//! Joins callers' and endpoints' records and counts what must never happen.
+//! Joins callers' and endpoints' records, and counts outcomes and violations.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -11,37 +11,37 @@
 use crate::history::Outcome;
 use crate::history::RunRecord;
 
-/// Work by how it ended for its caller, and violations.
+/// Numbers of pieces of work by outcome for the caller, and of violations.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
 pub struct Counts {
-    /// Pieces of work that callers asked for.
+    /// Pieces of work that callers requested.
     pub requests: u64,
-    /// Right answer received.
+    /// The caller received the expected answer.
     pub answered: u64,
-    /// Last told: not run.
+    /// The last reported outcome is that the request did not run.
     pub refused_not_run: u64,
-    /// Last told: unknown whether it ran.
+    /// The last reported outcome is that it is unknown whether the request ran.
     pub unknown: u64,
-    /// Ended with a clear mark that the answer is partial.
+    /// The answer ended with an explicit mark that it is partial.
     pub partial: u64,
-    /// Ran, and the endpoint answered with an error.
+    /// The request ran, and the endpoint answered with an error.
     pub failed: u64,
-    /// Its caller was never told how it ended.
+    /// The caller never received a final outcome.
     pub lost: u64,
-    /// Work that may not be repeated, that is work with a key, and has more than one run.
+    /// Work with more than one run that must not be repeated, that is work with an idempotency key.
     pub doubled: u64,
-    /// Calls that received something other than the beginning of their answer.
+    /// Calls that received text that is not a prefix of their expected answer.
     pub crossed: u64,
-    /// Calls that received the beginning of their answer as if it were whole.
+    /// Calls that received an incomplete answer that was not marked as partial.
     pub truncated: u64,
-    /// Calls told `not-run` that have a run.
+    /// Calls with the outcome `not-run` that have a run.
     pub not_run_but_ran: u64,
     /// Runs of a request that no caller sent.
     pub unmatched_runs: u64,
 }
 
 impl Counts {
-    /// Whether anything happened that must never happen.
+    /// Whether any count that must be 0 is greater.
     pub fn has_violations(&self) -> bool {
         let must_be_zero = [
             self.lost,
@@ -54,7 +54,7 @@
     }
 }
 
-/// Counts over a whole run.
+/// Counts outcomes and violations of a whole run.
 pub fn count(calls: &[CallRecord], runs: &[RunRecord]) -> Counts {
     let mut counts = Counts::default();
     for calls in by_work(calls).values() {
@@ -77,15 +77,16 @@
 }
 
 impl Counts {
-    /// Books one piece of work under the best that its caller learnt.
+    /// Counts one piece of work as answered if any call got the expected answer, otherwise under
+    /// the outcome of the last call that was not a deliberate repeat.
     fn add_work(&mut self, calls: &[&CallRecord]) {
         self.requests += 1;
         if calls.iter().any(|call| call.ending == Ending::Whole) {
             self.answered += 1;
             return;
         }
-        let wanted = calls.iter().filter(|call| !call.repeat);
-        let last = wanted.max_by_key(|call| call.ended_at_us);
+        let non_repeats = calls.iter().filter(|call| !call.repeat);
+        let last = non_repeats.max_by_key(|call| call.ended_at_us);
         *self.outcome_counter(last.copied()) += 1;
     }
 
@@ -108,13 +109,13 @@
             Ending::Short => self.truncated += 1,
             Ending::Whole | Ending::Partial | Ending::Refused | Ending::Broken => {}
         }
-        let told_not_run = call.outcome == Some(Outcome::NotRun);
-        if told_not_run && ran.contains(call.request_id.as_str()) {
+        let reported_not_run = call.outcome == Some(Outcome::NotRun);
+        if reported_not_run && ran.contains(call.request_id.as_str()) {
             self.not_run_but_ran += 1;
         }
     }
 
-    /// A repeated call has the key of the first one, so runs are counted by account and key.
+    /// Counts runs by account and key, since a repeated call has the key of the first one.
     fn add_runs(&mut self, calls: &[CallRecord], runs: &[RunRecord]) {
         let sent: HashMap<&str, &CallRecord> =
             calls.iter().map(|c| (c.request_id.as_str(), c)).collect();
--- a/crates/load/src/ledgers.rs
+++ b/crates/load/src/ledgers.rs
@@ -1,4 +1,4 @@
-//! Reads what endpoints recorded about their runs.
+//! Reads the ledgers in which endpoints record their runs and orders.
 
 use std::time::Duration;
 
@@ -17,11 +17,11 @@
 const LEDGER_TIMEOUT: Duration = Duration::from_secs(10);
 const MAX_LEDGER_BYTES: u64 = 1 << 30;
 
-/// A ledger that cannot be read; without it nothing can be judged.
+/// A ledger cannot be read; a report needs the ledgers of all endpoints.
 #[derive(Debug, Error)]
 pub enum LedgerError {
     /// The endpoint did not answer.
-    #[error("ledger of {endpoint}: {error}")]
+    #[error("cannot fetch the ledger of {endpoint}: {error}")]
     Unreachable {
         /// The endpoint.
         endpoint: String,
@@ -29,7 +29,7 @@
         error: Box<ureq::Error>,
     },
     /// A line is not a ledger record.
-    #[error("ledger of {endpoint}: {error}")]
+    #[error("ledger of {endpoint} has a malformed line: {error}")]
     Malformed {
         /// The endpoint.
         endpoint: String,
@@ -38,7 +38,7 @@
     },
 }
 
-/// Reads the ledgers of all endpoints.
+/// Reads the runs that all endpoints recorded.
 pub fn read_runs(agent: &Agent, plan: &LoadPlan) -> Result<Vec<RunRecord>, LedgerError> {
     let mut runs = Vec::new();
     for endpoint in &plan.endpoints {
@@ -54,7 +54,7 @@
     Ok(runs)
 }
 
-/// Reads the orders that all endpoints received, each endpoint's in order of time.
+/// Reads the orders that all endpoints received, in order of time for each endpoint.
 pub fn read_orders(agent: &Agent, plan: &LoadPlan) -> Result<Vec<OrderRecord>, LedgerError> {
     let mut orders = Vec::new();
     for endpoint in &plan.endpoints {
@@ -87,9 +87,9 @@
     })
 }
 
-/// Reads the runs from a ledger's JSON lines; orders are passed over.
+/// Reads the runs from a ledger's JSON lines and skips orders.
 ///
-/// A plain service's charge is in service tokens already, so no factor applies to it.
+/// The charge of a plain service is already in service tokens, so the factor does not apply to it.
 ///
 /// ```
 /// use sedgeridge_load::ledgers::parse;
--- a/crates/load/src/lib.rs
+++ b/crates/load/src/lib.rs
@@ -1,4 +1,5 @@
-//! Load, history recording and report: what drives a running fleet and judges what it did.
+//! Load test of a running fleet: sends load, injects faults, records the history and reports
+//! figures and violations.
 
 pub mod answer_reader;
 pub mod callers;
--- a/crates/load/src/main.rs
+++ b/crates/load/src/main.rs
@@ -1,4 +1,5 @@
-//! `sedgeridge-load`: lays out a deployment on one machine, loads it and judges what it did.
+//! `sedgeridge-load`: writes the files of a deployment on one machine, sends load to it and reports
+//! figures and violations.
 
 use std::error::Error;
 use std::path::PathBuf;
@@ -17,15 +18,15 @@
 use sedgeridge_load::topology::Topology;
 use sedgeridge_state::settings::Override;
 
-/// Exit code of a command line that cannot be used.
+/// Exit code for an unusable command line or file.
 const EXIT_USAGE: u8 = 2;
-/// Exit code of a run in which something happened that must never happen.
+/// Exit code of a run with violations.
 const EXIT_VIOLATION: u8 = 1;
-/// Offered load as a multiple of the capacity, when the command line names none.
+/// Default offered load as a multiple of the capacity.
 const DEFAULT_OVERLOAD: f64 = 1.3;
 const DEFAULT_SEED: u64 = 1;
 const DEFAULT_READY_SECONDS: u64 = 15;
-/// First port when the command line names none.
+/// Default first port.
 const DEFAULT_PORT_BASE: u16 = 21_000;
 
 const HELP: &str = "\
@@ -133,7 +134,7 @@
     print_report(&run::report(&dir)?)
 }
 
-/// Prints a table and, as the last line, one JSON object.
+/// Prints the report as a table, followed by one JSON object as the last line.
 fn print_report(report: &Report) -> Result<ExitCode, Box<dyn Error>> {
     println!("\n{report}");
     println!("{}", serde_json::to_string(report)?);
--- a/crates/load/src/operators.rs
+++ b/crates/load/src/operators.rs
@@ -1,4 +1,5 @@
-//! Operators: real processes of the command line that change the configuration or order engines.
+//! Operators: real processes of the command-line tool that change the configuration or send orders
+//! to engines.
 
 use std::fs;
 use std::io;
@@ -17,31 +18,31 @@
 use crate::topology::sha256_hex;
 
 const COMMAND_LINE_PROGRAM: &str = "sedgeridge";
-/// Begins the answer to an accepted change; the generation follows.
+/// Prefix of the output for an accepted change; the generation follows.
 const ACCEPTED_PREFIX: &str = "accepted as generation ";
-/// Begins the answer to a change that lost against another one.
+/// Marks the error output for a change that conflicts with an earlier one.
 const CONFLICT_MARKER: &str = "conflict:";
-/// Names what orders are about; the number of the order follows.
+/// Prefix of an order's subject; the number of the order follows.
 pub const ORDER_SUBJECT_PREFIX: &str = "adapter-";
 
 /// How a change of the configuration ended for its operator.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ChangeOutcome {
-    /// It is the configuration now.
+    /// The change became a new generation of the configuration.
     Accepted {
-        /// Generation that it became.
+        /// The new generation.
         generation: u64,
-        /// When its operator was told.
+        /// When its operator received the acceptance.
         told_at_us: u64,
     },
-    /// Another change was first.
+    /// Another change was accepted first.
     Conflict,
-    /// Anything else that the command line said.
+    /// Any other failure, with the error output of the command-line tool.
     Failed(String),
 }
 
 impl ChangeOutcome {
-    /// Reads what the command line printed.
+    /// Parses the output of the command-line tool.
     ///
     /// ```
     /// use sedgeridge_load::operators::ChangeOutcome;
@@ -64,7 +65,7 @@
     }
 }
 
-/// Starts the command line for one run.
+/// Starts the command-line tool for one run.
 #[derive(Debug, Clone)]
 pub struct Operators {
     dir: PathBuf,
@@ -80,7 +81,7 @@
         }
     }
 
-    /// Makes all changes at the same time, a process for each.
+    /// Makes all changes at the same time, each in its own process.
     pub fn apply_changes(&self, changes: &[ConfigChange]) -> io::Result<Vec<ChangeOutcome>> {
         let commands = changes.iter().map(|change| self.change_args(change));
         let commands: Vec<Vec<String>> = commands.collect::<io::Result<_>>()?;
@@ -96,7 +97,7 @@
             .collect()
     }
 
-    /// Orders an engine to withdraw an adapter; gives whether the order was accepted.
+    /// Orders an engine to unload an adapter; returns whether the order was accepted.
     pub fn submit_order(&self, endpoint: &str, number: u64) -> io::Result<bool> {
         let base = self.dir.join(BASE_FILE).display().to_string();
         let subject = format!("{ORDER_SUBJECT_PREFIX}{number}");
@@ -136,7 +137,7 @@
         Ok(args)
     }
 
-    /// Copies the settings files beside a base file that has one more account.
+    /// Copies the settings files to a new directory and appends one more account to the base file.
     fn copy_with_account(&self, account: &str) -> io::Result<PathBuf> {
         let copy = self.dir.join(account);
         fs::create_dir_all(&copy)?;
--- a/crates/load/src/order_check.rs
+++ b/crates/load/src/order_check.rs
@@ -1,4 +1,4 @@
-//! Judges orders to engines by what the engines recorded.
+//! Checks from the ledgers of engines that orders took effect in order.
 
 use std::collections::HashMap;
 use std::collections::HashSet;
@@ -7,19 +7,19 @@
 
 use crate::operators::ORDER_SUBJECT_PREFIX;
 
-/// Orders as engines obeyed them.
+/// Numbers of orders by effect.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct OrderCounts {
     /// Different orders that took effect.
     pub in_effect: u64,
-    /// Times that one took effect after a newer one, or under a number that was superseded.
+    /// How often an order took effect after a newer one or under a superseded fencing number.
     pub stale: u64,
 }
 
-/// Counts over the ledgers of all engines, each in order of time.
+/// Counts orders over the ledgers of all engines, each in order of time.
 ///
-/// An order may reach its engine twice, since withdrawing an adapter twice changes nothing. What
-/// must not happen is that an older order comes into effect after a newer one of the same engine.
+/// An order may reach its engine twice, since unloading an adapter twice changes nothing. An older
+/// order must not take effect after a newer one of the same engine.
 ///
 /// ```
 /// use sedgeridge_load::order_check::OrderCounts;
--- a/crates/load/src/plan.rs
+++ b/crates/load/src/plan.rs
@@ -1,4 +1,4 @@
-//! What the load needs to know of a running deployment, kept in `load.json`.
+//! Plan of a running deployment for callers and reports, stored in `load.json`.
 
 use std::fs;
 use std::io;
@@ -13,18 +13,18 @@
 /// File of the [`LoadPlan`] within a run's directory.
 pub const LOAD_PLAN_FILE: &str = "load.json";
 
-/// A running deployment as callers and judges see it.
+/// A running deployment as callers and reports need it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LoadPlan {
     /// Name of the deployment.
     pub deployment: String,
-    /// Weight of one output token against one uncached input token.
+    /// Weight of one output token relative to one uncached input token.
     pub output_token_factor: u64,
     /// Routers in order.
     pub routers: Vec<RouterPlan>,
     /// Endpoints of all pools.
     pub endpoints: Vec<EndpointPlan>,
-    /// Services that callers name.
+    /// Services that callers use.
     pub services: Vec<ServicePlan>,
     /// Client accounts with their keys.
     pub accounts: Vec<AccountPlan>,
@@ -35,7 +35,7 @@
     /// Coordinators, started only for the faults that are about them.
     #[serde(default)]
     pub coordinators: Vec<CoordinatorPlan>,
-    /// Faults to bring about.
+    /// Faults to inject.
     #[serde(default)]
     pub faults: FaultNames,
 }
@@ -47,7 +47,7 @@
         Ok(serde_json::from_str(&text)?)
     }
 
-    /// What the endpoints of a pool speak.
+    /// Protocol of the endpoints of a pool.
     pub fn pool_kind(&self, pool: &str) -> PoolKind {
         let service = self.services.iter().find(|s| s.pool == pool);
         service.map_or(PoolKind::Model, |s| s.kind)
@@ -85,32 +85,32 @@
     pub host: String,
     /// Its site.
     pub site: String,
-    /// Where its pages are.
+    /// Address of its HTTP pages.
     pub address: SocketAddr,
 }
 
-/// A relay that stands for the way from one site to one process at another site.
+/// A relay that represents the network path from one site to one process at another site.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LinkPlan {
     /// Name of the relay.
     pub name: String,
-    /// Site on the near side.
+    /// Site that connects through the relay.
     pub from_site: String,
-    /// Site of the process on the far side.
+    /// Site of the target process.
     pub to_site: String,
     /// Where it listens.
     pub address: SocketAddr,
     /// Where it takes orders.
     pub control_address: SocketAddr,
-    /// The process that it leads to.
+    /// Address of the target process.
     pub target: SocketAddr,
 }
 
-/// What the endpoints of a pool speak.
+/// Protocol of the endpoints of a pool.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum PoolKind {
-    /// The chat-completions form.
+    /// Chat-completions API.
     Model,
     /// Plain HTTP.
     Plain,
@@ -123,9 +123,9 @@
     pub name: String,
     /// Pool it belongs to.
     pub pool: String,
-    /// Requests it runs at once.
+    /// Maximum number of requests that it runs at once.
     pub slots: u32,
-    /// Where it listens itself, without any delay between sites.
+    /// Where it listens itself, not through a relay with the delay between sites.
     pub address: SocketAddr,
     /// Whether it refuses orders with an old fencing number.
     #[serde(default)]
@@ -139,7 +139,7 @@
     pub name: String,
     /// Pool that runs it.
     pub pool: String,
-    /// What it speaks.
+    /// Protocol of its endpoints.
     pub kind: PoolKind,
     /// Whether its requests may run more than once.
     pub repeatable: bool,
@@ -152,11 +152,11 @@
     pub name: String,
     /// Key that its callers present.
     pub key: String,
-    /// Share relative to others.
+    /// Share relative to other accounts.
     pub weight: u32,
     /// Routers that its callers use.
     pub spread: Spread,
-    /// What its callers ask for.
+    /// Requests that its callers send.
     pub demands: Vec<Demand>,
 }
 
@@ -171,16 +171,16 @@
 }
 
 impl Spread {
-    /// Router for an account's `turn`-th request.
+    /// Router for an account's request with this round-robin index.
     ///
     /// ```
     /// use sedgeridge_load::plan::Spread;
     /// assert_eq!(Spread::One(4).router(9, 3), 1);
     /// assert_eq!(Spread::All.router(5, 3), 2);
     /// ```
-    pub fn router(self, turn: usize, routers: usize) -> usize {
+    pub fn router(self, round_robin_index: usize, routers: usize) -> usize {
         match self {
-            Self::All => turn % routers,
+            Self::All => round_robin_index % routers,
             Self::One(index) => index % routers,
         }
     }
@@ -199,14 +199,14 @@
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Pace {
-    /// Closed loop with enough callers that some request always waits.
+    /// Closed loop with so many callers that some request always waits.
     Backlogged,
     /// Open loop with random arrivals at this mean rate.
     PerSecond(f64),
 }
 
 impl Demand {
-    /// Always some request waiting.
+    /// Demand with a request always waiting.
     pub fn backlogged(service: &str) -> Self {
         Self {
             service: service.to_owned(),
@@ -214,7 +214,7 @@
         }
     }
 
-    /// Random arrivals at a mean rate.
+    /// Demand with random arrivals at a mean rate.
     pub fn paced(service: &str, per_s: f64) -> Self {
         Self {
             service: service.to_owned(),
--- a/crates/load/src/process_plan.rs
+++ b/crates/load/src/process_plan.rs
@@ -1,4 +1,4 @@
-//! The processes of a deployment, in starting order.
+//! Command lines of the processes of a deployment.
 
 use std::path::Path;
 
@@ -9,9 +9,9 @@
 use crate::plan::PoolKind;
 use crate::plan::RouterPlan;
 
-/// File that lists the processes to start, one a line: name, program, arguments.
+/// File that lists the processes to start, one per line: name, program, arguments.
 pub const PROCESS_PLAN_FILE: &str = "plan";
-/// File of the settings that hold everywhere.
+/// File of the settings that apply to all sites.
 pub const BASE_FILE: &str = "base.ini";
 
 const STAND_INS: &str = "sedgeridge-standins";
@@ -23,7 +23,7 @@
 const PREFILL_US_PER_TOKEN: u64 = 100;
 /// Age of an endpoint's load report.
 const REPORT_LAG_MS: u64 = 200;
-/// Prompt prefixes that an engine stand-in keeps.
+/// Size of the prefix cache of an engine stand-in.
 const PREFIX_CACHE_TOKENS: u64 = 2_000;
 /// Mean service time of a plain stand-in.
 const SERVICE_MS: u64 = 50;
@@ -35,7 +35,7 @@
     pub name: String,
     /// Binary of this workspace.
     pub program: &'static str,
-    /// Its arguments; none holds a space.
+    /// Its arguments, without spaces.
     pub args: Vec<String>,
 }
 
@@ -49,13 +49,13 @@
     }
 }
 
-/// The table service.
+/// Process of the table service.
 pub fn table(load: &LoadPlan) -> ProcessPlan {
     let args = format!("table --listen {}", load.table_address);
     ProcessPlan::new("table", STAND_INS, &args)
 }
 
-/// The relay of a link.
+/// Process of a link's relay.
 pub fn link(link: &LinkPlan, delay_us: u64) -> ProcessPlan {
     let LinkPlan {
         name,
@@ -72,7 +72,7 @@
     ProcessPlan::new(name, STAND_INS, &args)
 }
 
-/// An endpoint.
+/// Process of an endpoint.
 pub fn endpoint(endpoint: &EndpointPlan, kind: PoolKind, dir: &Path) -> ProcessPlan {
     let EndpointPlan {
         name,
@@ -100,7 +100,7 @@
     ProcessPlan::new(name, STAND_INS, &args)
 }
 
-/// A router at a site.
+/// Process of a router at a site.
 pub fn router(router: &RouterPlan, site: &str, dir: &Path) -> ProcessPlan {
     let dir = dir.display();
     let args = format!(
@@ -110,7 +110,7 @@
     ProcessPlan::new(&router.name, ROUTER, &args)
 }
 
-/// A coordinator on the host of a router.
+/// Process of a coordinator on the host of a router.
 pub fn coordinator(coordinator: &CoordinatorPlan, dir: &Path) -> ProcessPlan {
     let CoordinatorPlan {
         name, host, site, ..
--- a/crates/load/src/processes.rs
+++ b/crates/load/src/processes.rs
@@ -1,4 +1,4 @@
-//! The processes of a run: signals to them by id, and starting them again.
+//! Signals and restarts the processes of a run by their recorded ids.
 
 use std::fs;
 use std::fs::File;
@@ -15,7 +15,7 @@
 
 use crate::process_plan::PROCESS_PLAN_FILE;
 
-/// File of process ids, one a line: name, id. The last line of a name counts.
+/// File of process ids, one per line: name, id. The last line of a name is the current one.
 pub const PIDS_FILE: &str = "pids";
 /// Directory of the processes' output.
 pub const LOGS_DIR: &str = "logs";
@@ -29,7 +29,7 @@
     Kill,
     /// Freezes a process.
     Stop,
-    /// Lets a frozen process run on.
+    /// Resumes a frozen process.
     Continue,
     /// Asks a process to stop.
     Terminate,
@@ -56,7 +56,7 @@
 }
 
 impl Processes {
-    /// Opens the lists of a run.
+    /// Processes of the run in a directory.
     pub fn new(dir: &Path) -> Self {
         Self {
             dir: dir.to_owned(),
@@ -68,7 +68,7 @@
         signal_process(self.pid(name)?, signal)
     }
 
-    /// Starts a process again as the plan says, and records its new id.
+    /// Restarts a process as the plan says, and records its new id.
     pub fn start(&self, name: &str) -> io::Result<()> {
         let plan = fs::read_to_string(self.dir.join(PROCESS_PLAN_FILE))?;
         let mut words = line_of(&plan, name)?.split_whitespace().skip(1);
@@ -95,7 +95,7 @@
         let pids = fs::read_to_string(self.dir.join(PIDS_FILE))?;
         let pid = line_of(&pids, name)?.split_whitespace().nth(1);
         let pid = pid.and_then(|pid| pid.parse().ok());
-        pid.ok_or_else(|| io::Error::other(format!("no process id of {name}")))
+        pid.ok_or_else(|| io::Error::other(format!("no process id recorded for {name}")))
     }
 }
 
@@ -103,7 +103,7 @@
 ///
 /// # Errors
 ///
-/// There is no such process any more.
+/// The process no longer exists.
 pub fn signal_process(pid: u32, signal: Signal) -> io::Result<()> {
     let status = Command::new("sh")
         .args(["-c", "kill -s \"$1\" \"$2\"", "sh"])
@@ -114,7 +114,9 @@
         return Ok(());
     }
     let signal = signal.name();
-    Err(io::Error::other(format!("cannot send {signal} to {pid}")))
+    Err(io::Error::other(format!(
+        "cannot send signal {signal} to process {pid}"
+    )))
 }
 
 fn line_of<'a>(text: &'a str, name: &str) -> io::Result<&'a str> {
--- a/crates/load/src/random.rs
+++ b/crates/load/src/random.rs
@@ -1,13 +1,13 @@
-//! A small seeded generator, so that the same seed gives the same requests.
+//! A small seeded random generator: the same seed gives the same requests.
 
-/// SplitMix64: one word of state, good enough to shape load.
+/// SplitMix64: one word of state, sufficient to generate load.
 #[derive(Debug, Clone)]
 pub struct Random {
     state: u64,
 }
 
 impl Random {
-    /// Starts a sequence.
+    /// Creates a generator from a seed.
     ///
     /// ```
     /// use sedgeridge_load::random::Random;
--- a/crates/load/src/ready.rs
+++ b/crates/load/src/ready.rs
@@ -1,4 +1,4 @@
-//! Waits until the processes of a run can take work.
+//! Waits until the processes of a run accept requests.
 
 use std::net::TcpListener;
 use std::str::FromStr;
@@ -19,13 +19,13 @@
 /// Which processes to wait for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Stage {
-    /// The platform and the endpoints.
+    /// The table service, the relays and the endpoints.
     StandIns,
     /// The routers.
     Routers,
 }
 
-/// A stage that does not exist.
+/// The name of the stage is unknown.
 #[derive(Debug, Error, PartialEq, Eq)]
 #[error("--stage {0}: expected stand-ins or routers")]
 pub struct UnknownStage(pub String);
@@ -42,8 +42,8 @@
     }
 }
 
-/// Names of the processes whose address is taken before they start. A process left over from an
-/// earlier run would answer in their place, and the figures would be those of both runs mixed.
+/// Names and addresses of processes whose address is in use before they start. A process left over
+/// from an earlier run would answer in their place, and the figures would mix both runs.
 pub fn taken_addresses(plan: &LoadPlan) -> Vec<String> {
     let endpoints = plan.endpoints.iter().map(|e| (&*e.name, e.address));
     let callers = plan.routers.iter().map(|r| (&*r.name, r.caller_address));
@@ -58,7 +58,7 @@
         .collect()
 }
 
-/// Waits for a stage; gives the names of those that are not ready in time.
+/// Waits for a stage; returns the names of processes that are not ready in time.
 pub fn wait_until_ready(plan: &LoadPlan, stage: Stage, timeout: Duration) -> Vec<String> {
     let deadline = Instant::now() + timeout;
     loop {
--- a/crates/load/src/recorder.rs
+++ b/crates/load/src/recorder.rs
@@ -18,12 +18,12 @@
     other: AtomicU64,
 }
 
-/// Calls so far.
+/// Counts of calls so far.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Progress {
     /// Calls sent.
     pub sent: u64,
-    /// Calls that got their right answer.
+    /// Calls that got their expected answer.
     pub whole: u64,
     /// Calls answered with an error status.
     pub refused: u64,
@@ -40,12 +40,12 @@
 }
 
 impl Recorder {
-    /// Notes that a call is sent.
+    /// Counts a call that is sent.
     pub fn record_sent(&self) {
         self.sent.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Keeps the record of a call that ended.
+    /// Stores the record of a call that ended.
     pub fn record_ended(&self, record: CallRecord) {
         let counter = match record.ending {
             Ending::Whole => &self.whole,
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Ends recording.
+    /// Ends recording and returns all records.
     pub fn into_calls(self) -> Vec<CallRecord> {
         self.calls
             .into_inner()
--- a/crates/load/src/report.rs
+++ b/crates/load/src/report.rs
@@ -1,4 +1,4 @@
-//! Figures of one run, from the joined history.
+//! Computes and prints the figures of one run from the joined history.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -25,14 +25,14 @@
 use crate::utilisation::SlotTime;
 use crate::utilisation::pool_slot_time;
 
-/// Significant digits of recorded times.
+/// Significant digits of recorded times in histograms.
 const TIME_SIGNIFICANT_DIGITS: u8 = 3;
-/// Key that the table of figures leaves to a table of its own.
+/// Key that is not in the table of figures but printed as a separate table.
 const SHARES_KEY: &str = "shares";
-/// Longest time told apart; longer ones count as this.
+/// Upper bound of recorded times; longer ones are recorded as this value.
 const MAX_RECORDED_TIME_US: u64 = 600_000_000;
 
-/// Everything that one run showed. A figure that was not measured is `null`.
+/// All figures of one run. A figure that was not measured is `null`.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Report {
     /// Name of the deployment.
@@ -41,12 +41,12 @@
     pub seconds: u64,
     /// Seed of the load.
     pub seed: u64,
-    /// Faults that were brought about.
+    /// Faults that were injected.
     pub fault: Option<String>,
-    /// Work by how it ended, and violations.
+    /// Numbers of pieces of work by outcome, and of violations.
     #[serde(flatten)]
     pub counts: Counts,
-    /// What only runs with faults show.
+    /// Figures of runs with faults.
     #[serde(flatten)]
     pub faults: FaultFigures,
     /// Largest fairness gap in the steady part.
@@ -59,7 +59,8 @@
     pub fairness_gap_by_pool: Vec<WorstPair>,
     /// Largest charge of a single run.
     pub largest_charge_tokens: u64,
-    /// Largest deviation from equal weighted service of accounts that waited together.
+    /// Largest deviation from equal weighted service between accounts that waited together, in
+    /// percent.
     pub weight_error_percent: Option<f64>,
     /// Busy share of the slots of the overloaded pools in the steady part.
     pub utilisation: f64,
@@ -78,19 +79,19 @@
     pub ttft_p50_ms: Option<f64>,
     /// The same, 99th percentile.
     pub ttft_p99_ms: Option<f64>,
-    /// Of accounts that are never backlogged.
+    /// Time to the first token for accounts that are never backlogged.
     pub ttft_light_p50_ms: Option<f64>,
     /// The same, 99th percentile.
     pub ttft_light_p99_ms: Option<f64>,
-    /// Time that a router adds to a call; measured by a benchmark, not under overload.
+    /// Time that a router adds to a call; measured by a benchmark without overload, `null` here.
     pub router_added_p99_ms: Option<f64>,
     /// Refused calls by reason.
     pub refusals_by_reason: BTreeMap<String, u64>,
-    /// What each account received in the steady part, pool by pool.
+    /// Service that each account received in the steady part, by pool.
     pub shares: Vec<AccountShare>,
 }
 
-/// What one account received in one pool.
+/// Service that one account received in one pool.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct AccountShare {
     /// Name of the pool.
@@ -103,21 +104,21 @@
     pub backlogged_share: f64,
 }
 
-/// What names a run.
+/// Parameters and fault figures of a run.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RunInfo {
     /// Time in which load was offered.
     pub seconds: u64,
     /// Seed of the load.
     pub seed: u64,
-    /// Faults that were brought about.
+    /// Faults that were injected.
     pub fault: Option<String>,
-    /// What only runs with faults show.
+    /// Figures of runs with faults.
     pub faults: FaultFigures,
 }
 
 impl Report {
-    /// Works out every figure.
+    /// Computes all figures.
     pub fn new(plan: &LoadPlan, history: &History, info: RunInfo, peers: PeerRate) -> Self {
         let accounts = pool_accounts(plan, history);
         let gap = |window| fairness_gap_tokens(&accounts, window);
@@ -155,7 +156,7 @@
         }
     }
 
-    /// Whether anything happened that must never happen.
+    /// Whether there was any violation.
     pub fn has_violations(&self) -> bool {
         self.counts.has_violations() || self.faults.has_violations()
     }
@@ -197,7 +198,7 @@
     sum(pools.values())
 }
 
-/// Pools with an account that is always backlogged; the others are not meant to be full.
+/// Slot-time of the pools with a backlogged account; the others are not meant to be full.
 fn overloaded(plan: &LoadPlan, pools: &BTreeMap<String, SlotTime>) -> SlotTime {
     let demands = plan.accounts.iter().flat_map(|a| &a.demands);
     let backlogged = demands.filter(|d| d.pace == Pace::Backlogged);
@@ -258,7 +259,7 @@
 }
 
 impl fmt::Display for Report {
-    /// Prints one figure a line, then one account a line.
+    /// Prints one figure per line, then one account per line.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let value = serde_json::to_value(self).map_err(|_| fmt::Error)?;
         let figures = value.as_object().ok_or(fmt::Error)?;
--- a/crates/load/src/run.rs
+++ b/crates/load/src/run.rs
@@ -1,4 +1,4 @@
-//! One run: load, records of both sides, report.
+//! Executes one run: sends load, collects the records of callers and endpoints, and reports.
 
 use std::fs;
 use std::io;
@@ -51,21 +51,21 @@
 
 /// File of the callers' records within a run's directory.
 const CALLS_FILE: &str = "calls.jsonl";
-/// File of the endpoints' records.
+/// File of the endpoints' run records.
 const RUNS_FILE: &str = "runs.jsonl";
-/// File of what is neither.
+/// File of the run's parameters and other measurements.
 const WINDOW_FILE: &str = "window.json";
-/// Part of the sending time that is not judged, because queues are still filling.
+/// Share of the sending time that steady-state figures leave out, because queues are still filling.
 const WARM_UP_SHARE: f64 = 0.2;
-/// Longest wait for a change to come into force after the load.
+/// Maximum wait after the load for a change to come into force.
 const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Time for cancelled runs to end before ledgers are read.
+/// Wait before ledgers are read, so that cancelled runs can end.
 const CANCELLATION_DELAY: Duration = Duration::from_millis(500);
 
-/// What to run.
+/// Options of a run.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RunOptions {
-    /// Directory with the load plan; records go there too.
+    /// Directory with the load plan; records are written there too.
     pub dir: PathBuf,
     /// Time in which load is offered.
     pub seconds: u64,
@@ -75,7 +75,7 @@
     pub overload: f64,
 }
 
-/// Why a run gave no report.
+/// A run failed before its report.
 #[derive(Debug, Error)]
 pub enum RunError {
     /// A file of the run cannot be read or written.
@@ -89,7 +89,7 @@
     Ledger(#[from] LedgerError),
 }
 
-/// What is kept of a run beside both histories.
+/// Parameters and measurements of a run that are not in the call and run records.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 struct Window {
     seconds: u64,
@@ -101,7 +101,7 @@
     faults: FaultFigures,
 }
 
-/// Loads the fleet, records what both sides saw, and reports.
+/// Sends load to the fleet, writes the records of callers and endpoints, and reports.
 pub fn run(options: &RunOptions) -> Result<Report, RunError> {
     let plan = LoadPlan::read(&options.dir)?;
     let agent = client::agent();
@@ -132,7 +132,7 @@
     report(&options.dir)
 }
 
-/// Reports on a run from its records.
+/// Creates the report of a run from its records.
 pub fn report(dir: &Path) -> Result<Report, RunError> {
     let plan = LoadPlan::read(dir)?;
     let window: Window = serde_json::from_str(&fs::read_to_string(dir.join(WINDOW_FILE))?)?;
@@ -240,7 +240,7 @@
     Ok(recorder.into_calls())
 }
 
-/// Faults of one run act side by side, so each has its own thread.
+/// Starts the faults of one run; they act at the same time, so each has its own thread.
 fn start_faults<'scope>(
     scope: &'scope Scope<'scope, '_>,
     plan: &LoadPlan,
@@ -260,7 +260,7 @@
     }
 }
 
-/// Gives routers time to put the last accepted change in force.
+/// Waits until all routers have the last accepted change in force, up to a timeout.
 fn wait_for_configuration(plan: &LoadPlan, changes: &[ChangeOutcome], watch: &ConfigWatch) {
     let generations = changes.iter().filter_map(|change| match change {
         ChangeOutcome::Accepted { generation, .. } => Some(*generation),
@@ -275,7 +275,7 @@
     }
 }
 
-/// Prints a line a second until load is done.
+/// Prints one line per second until the load is done.
 fn print_progress(recorder: &Recorder, done: &AtomicBool) {
     let start = Instant::now();
     for second in 1.. {
--- a/crates/load/src/topology.rs
+++ b/crates/load/src/topology.rs
@@ -1,4 +1,4 @@
-//! Writes the files of one deployment: base file, site overlays, processes to start, load plan.
+//! Creates the files of one deployment: base file, site overlays, process list and load plan.
 
 use std::fs;
 use std::io;
@@ -33,27 +33,27 @@
 use crate::process_plan::PROCESS_PLAN_FILE;
 use crate::process_plan::ProcessPlan;
 
-/// Account keys are derived from this, so that every run uses the same ones.
+/// Seed of account keys, constant so that every run uses the same keys.
 const KEY_SEED: &str = "sedgeridge-load keys 1";
-/// Hosts that may run a coordinator.
+/// Number of hosts that may run a coordinator.
 const COORDINATOR_HOSTS: usize = 2;
-/// Default of `fair.output_token_factor`, repeated here for the judge of fairness.
+/// Default of `fair.output_token_factor`, repeated here for the fairness figures.
 const OUTPUT_TOKEN_FACTOR: u64 = 4;
 
-/// Everything that is written for one deployment.
+/// Contents of all files of one deployment.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Topology {
-    /// Settings that hold everywhere.
+    /// Settings that apply to all sites.
     pub base: IniText,
     /// Overlay of each site.
     pub overlays: Vec<(String, IniText)>,
     /// Processes in starting order.
     pub processes: Vec<ProcessPlan>,
-    /// What the load needs.
+    /// Plan for the load.
     pub load: LoadPlan,
 }
 
-/// Hands out loopback addresses one after the other.
+/// Assigns loopback addresses with consecutive ports.
 #[derive(Debug)]
 struct Addresses {
     next_port: u16,
@@ -68,7 +68,7 @@
 }
 
 impl Topology {
-    /// Lays out a deployment on loopback addresses from `port_base` upwards.
+    /// Creates a deployment on loopback addresses with ports from `port_base` upwards.
     ///
     /// ```
     /// use std::path::Path;
@@ -126,7 +126,7 @@
         for pool in &deployment.pools {
             let section = format!("pool.{}", pool.name);
             base.set(&section, "kind", kind_name(pool.kind));
-            // Orders to all engines of a pool at once would else leave none serving.
+            // Without a floor, orders to all engines of a pool at once would leave none serving.
             base.set(&section, "floor", &pool.endpoints.div_ceil(2));
         }
         for service in &deployment.services {
@@ -167,7 +167,7 @@
         }
     }
 
-    /// Names the faults of the run, and adds the processes that only they need.
+    /// Sets the faults of the run, and adds the processes that only they need.
     pub fn set_faults(&mut self, faults: FaultNames, dir: &Path) {
         if faults.contains(FaultName::LeaseFreeze) {
             let coordinators = self.load.coordinators.iter();
@@ -177,7 +177,7 @@
         self.load.faults = faults;
     }
 
-    /// Overrides may change what callers and judges have to know.
+    /// Copies values into the load plan that overrides may have changed.
     fn read_back_overrides(&mut self) {
         let factor = self.base.get("fair", "output_token_factor");
         if let Some(factor) = factor.and_then(|value| value.parse().ok()) {
@@ -198,7 +198,7 @@
     }
 
     /// Every site reaches the processes of other sites through relays: its overlay names the
-    /// relay in place of the process. The table service stands at the first site.
+    /// relay in place of the process. The table service is at the first site.
     fn add_links(&mut self, addresses: &mut Addresses) {
         let hosts = self.load.routers.iter().map(|r| format!("host.{}", r.name));
         let hosts = hosts.map(|section| (section, "peer_address"));
--- a/crates/load/src/utilisation.rs
+++ b/crates/load/src/utilisation.rs
@@ -1,4 +1,4 @@
-//! How well the slots of a pool were used.
+//! Computes how much of a pool's slot-time was used.
 
 use std::collections::BTreeMap;
 
@@ -13,11 +13,11 @@
 /// Slot-time of one pool within a window.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
 pub struct SlotTime {
-    /// All slots over the whole window.
+    /// Length of the window times the number of slots.
     pub capacity_us: u64,
-    /// Slots that ran something.
+    /// Time in which slots ran a request, added up over the slots.
     pub busy_us: u64,
-    /// Free slots that a waiting request could have used: one slot for each request.
+    /// Time of free slots that a waiting request could have used, at most one slot per request.
     pub idle_while_waiting_us: u64,
 }
 
@@ -32,7 +32,7 @@
         share(self.idle_while_waiting_us, self.capacity_us)
     }
 
-    /// Adds another pool.
+    /// Adds the slot-time of another pool.
     pub fn add(&mut self, other: Self) {
         self.capacity_us += other.capacity_us;
         self.busy_us += other.busy_us;
@@ -47,7 +47,7 @@
     part as f64 / whole as f64
 }
 
-/// A change of what runs or waits.
+/// A change of the running or waiting requests; a run has the index of its endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum SlotEvent {
     RunStarted(usize),
@@ -56,7 +56,7 @@
     WaitEnded,
 }
 
-/// Accounts for the slot-time of one pool.
+/// Computes the slot-time of one pool within a window.
 pub fn pool_slot_time(plan: &LoadPlan, history: &History, pool: &str, window: Span) -> SlotTime {
     let endpoints: Vec<_> = plan.endpoints.iter().filter(|e| e.pool == pool).collect();
     let slots: Vec<u32> = endpoints.iter().map(|e| e.slots).collect();
@@ -114,8 +114,8 @@
         let busy = busy_slots(slots, &running);
         let elapsed_us = at_us - last_us;
         time.busy_us += busy * elapsed_us;
-        let wanted = (total_slots - busy).min(waiting);
-        time.idle_while_waiting_us += wanted * elapsed_us;
+        let usable_idle_slots = (total_slots - busy).min(waiting);
+        time.idle_while_waiting_us += usable_idle_slots * elapsed_us;
         last_us = at_us;
         for event in events {
             match event {
@@ -129,7 +129,7 @@
     time
 }
 
-/// An endpoint that was given more than it has slots for is full, not more than full.
+/// Number of busy slots. An endpoint that runs more requests than it has slots counts as full.
 fn busy_slots(slots: &[u32], running: &[i64]) -> u64 {
     let each = slots.iter().zip(running);
     each.map(|(slots, running)| (*running).clamp(0, i64::from(*slots)) as u64)
--- a/crates/load/src/work.rs
+++ b/crates/load/src/work.rs
@@ -1,4 +1,4 @@
-//! The work that callers ask for, with the one right answer to each piece.
+//! Generates the work that callers request, with the expected answer to each piece.
 
 use sedgeridge_protocol::chat::CHAT_PATH;
 use sedgeridge_protocol::chat::ChatMessage;
@@ -11,13 +11,13 @@
 
 /// Path within a plain service.
 const PLAIN_PATH: &str = "/calls";
-/// Words of the prompt prefix that an account's requests share.
+/// Number of words in a prompt prefix that an account's requests share.
 const PREFIX_WORDS: u64 = 60;
-/// Prompt prefixes of one account.
+/// Number of prompt prefixes of one account.
 const PREFIXES_PER_ACCOUNT: u64 = 2;
-/// Words of the part that is new in each request.
+/// Range of the number of words in the part that is new in each request.
 const NEW_WORD_COUNT_RANGE: (u64, u64) = (5, 80);
-/// Most output tokens asked for.
+/// Range of the requested maximum number of output tokens.
 const MAX_TOKENS_RANGE: (u64, u64) = (16, 64);
 /// Share of model requests whose answer is streamed.
 const STREAM_SHARE: f64 = 0.8;
@@ -33,15 +33,15 @@
     pub body: String,
     /// Whether the answer comes as server-sent events.
     pub stream: bool,
-    /// What it speaks.
+    /// Protocol of the service.
     pub kind: PoolKind,
-    /// The right answer: the text of a model's message, the body of a plain service.
+    /// Expected answer: the text of a model's message, or the body of a plain service's response.
     pub answer: String,
-    /// Key under which it may run at most once, if it may not be repeated.
+    /// Key under which it may run at most once, if it must not be repeated.
     pub idempotency_key: Option<String>,
 }
 
-/// Draws the next piece of work of an account for a service.
+/// Generates a random piece of work of an account for a service.
 ///
 /// ```
 /// use sedgeridge_load::plan::PoolKind;
@@ -69,7 +69,7 @@
     }
 }
 
-/// Draws a piece of model work whose request holds a text that crashes engines.
+/// Generates a piece of model work whose request contains a text that crashes engines.
 pub fn generate_poisoned(
     random: &mut Random,
     number: u64,
--- a/crates/load/tests/answers.rs
+++ b/crates/load/tests/answers.rs
@@ -1,4 +1,4 @@
-//! Answers are judged byte for byte.
+//! Answers are compared with the expected answer byte for byte.
 
 use std::io;
 use std::io::BufReader;
@@ -13,7 +13,7 @@
 
 const EXPECTED: &str = "lens light ";
 
-/// A body whose connection breaks after the bytes.
+/// A body whose connection breaks after the given bytes.
 struct Breaks<'a>(&'a [u8]);
 
 impl Read for Breaks<'_> {
--- a/crates/load/tests/fairness.rs
+++ b/crates/load/tests/fairness.rs
@@ -1,4 +1,4 @@
-//! The fairness gap of hand-made histories.
+//! The fairness gap of constructed histories.
 
 mod support;
 
@@ -59,7 +59,8 @@
     assert!(gap(calls, runs) < 1e-6);
 }
 
-/// Turns taken in the same order end equal; in between, one account is ahead by a whole charge.
+/// Two accounts are served one after the other and end equal; in between, one is ahead by a whole
+/// charge.
 #[test]
 fn the_gap_covers_every_part_of_the_common_time() {
     let calls = vec![waits("a", 1, 0, 1_000), waits("c", 2, 0, 1_000)];
@@ -67,7 +68,7 @@
     assert!((gap(calls, runs) - 60.0).abs() < 1e-6);
 }
 
-/// Service to an account while the other has nothing waiting is owed to nobody.
+/// Service to one account while the other has nothing waiting must not count as a gap.
 #[test]
 fn only_time_in_which_both_wait_counts() {
     let calls = vec![waits("a", 1, 0, 1_000), waits("c", 2, 600, 1_000)];
@@ -87,7 +88,7 @@
     assert_eq!(gap(calls, runs), 0.0);
 }
 
-/// A run in progress at the edge counts with the part that lies inside.
+/// A run in progress at the edge of the span counts only with the part inside.
 #[test]
 fn a_run_across_the_edge_counts_in_part() {
     let one = ServiceCurve::new(&[charged("a", 0, 100, 0, 100)], 1, 1_000);
@@ -96,7 +97,7 @@
     assert!((gap - 50.0).abs() < 1e-6);
 }
 
-/// A charge at the very start of the span belongs to the decision before it.
+/// A charge at the first instant of the span belongs to a decision before the span.
 #[test]
 fn a_jump_at_the_start_does_not_count() {
     let one = ServiceCurve::new(&[charged("a", 50, 50, 80, 0)], 1, 1_000);
@@ -119,7 +120,7 @@
     assert!((error - 20.0).abs() < 1e-6, "{error}");
 }
 
-/// The endpoint was told another account, or none; the caller knows who asked.
+/// The endpoint recorded another account, or none; the account of the caller's record counts.
 #[test]
 fn a_run_belongs_to_the_account_of_its_caller() {
     let served = CallRecord {
--- a/crates/load/tests/faults.rs
+++ b/crates/load/tests/faults.rs
@@ -1,4 +1,4 @@
-//! Fault tables and the processes they act on.
+//! The steps of faults and the processes they act on.
 
 use std::fs;
 use std::path::Path;
@@ -99,7 +99,7 @@
     dir
 }
 
-/// A process that was started again has two lines; only the newer id may be signalled.
+/// A restarted process has two lines in the pid file; only the newer id may be signalled.
 #[test]
 fn signals_the_latest_process_of_a_name() {
     let dir = run_dir("signals");
--- a/crates/load/tests/join.rs
+++ b/crates/load/tests/join.rs
@@ -1,4 +1,4 @@
-//! Each violation is found in a history that holds it.
+//! Each kind of violation is counted in a history that contains it.
 
 mod support;
 
@@ -52,14 +52,14 @@
     assert_eq!((answered_later.lost, answered_later.answered), (0, 1));
 }
 
-/// A refusal that does not say whether the request ran leaves its caller as a lost answer does.
+/// A refusal that does not say whether the request ran tells its caller no more than a lost answer.
 #[test]
 fn a_refusal_without_an_outcome_is_lost() {
-    let mute = CallRecord {
+    let without_outcome = CallRecord {
         outcome: None,
         ..refused("r1", 1, Outcome::Unknown)
     };
-    assert_eq!(count(&[mute], &[]).lost, 1);
+    assert_eq!(count(&[without_outcome], &[]).lost, 1);
 }
 
 /// The caller repeats a deposit at another router, and a second endpoint charges it again.
@@ -79,7 +79,7 @@
     assert_eq!(count(&[call("r1", 1)], &runs).doubled, 0, "repeatable");
 }
 
-/// A router dispatches under a request id of its own; the endpoint was still given the key.
+/// A router dispatches under a request id of its own, but still passes the key to the endpoint.
 #[test]
 fn a_run_under_a_foreign_request_id_is_counted_by_its_key() {
     let renamed = RunRecord {
@@ -135,7 +135,7 @@
     assert_eq!(count(&[refused("r1", 1, outcome)], &[]), expected);
 }
 
-/// The later call decides; a call that repeats the work on purpose does not.
+/// The outcome of the later call counts; that of a deliberate repeat does not.
 #[test]
 fn work_counts_once_under_its_last_wanted_call() {
     let later = CallRecord {
--- a/crates/load/tests/report.rs
+++ b/crates/load/tests/report.rs
@@ -1,4 +1,4 @@
-//! The figures that are printed.
+//! The figures of a report.
 
 mod support;
 
--- a/crates/load/tests/support/mod.rs
+++ b/crates/load/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Hand-made histories.
+//! Constructed load plans and histories for tests.
 #![allow(dead_code, reason = "each test file uses a part of this module")]
 
 use sedgeridge_load::history::CallRecord;
@@ -27,7 +27,7 @@
     serde_json::from_value(plan).expect("a load plan")
 }
 
-/// A call of account `a` that got its right answer.
+/// A call of account `a` that got its expected answer.
 pub fn call(request_id: &str, work: u64) -> CallRecord {
     CallRecord {
         request_id: request_id.to_owned(),
--- a/crates/load/tests/topology.rs
+++ b/crates/load/tests/topology.rs
@@ -95,8 +95,8 @@
     assert_eq!(found, Some(source));
 }
 
-/// Orders drain the engines that they are for. Without a floor, orders to all engines of a pool at
-/// once leave no engine serving until the drains have lapsed.
+/// An order drains its engine. Without a floor, orders to all engines of a pool at once leave no
+/// engine serving until the drains have expired.
 #[test]
 fn every_pool_has_a_floor_and_both_kinds_of_engines() {
     let topology = topology("small", &[]);
@@ -110,7 +110,7 @@
 }
 
 /// A site's own processes are reached directly, those of other sites through one relay each. The
-/// table service stands at the first site.
+/// table service is at the first site.
 #[parameterized(
     small = { "small", 0 },
     luce = { "luce", 38 },
--- a/crates/load/tests/utilisation.rs
+++ b/crates/load/tests/utilisation.rs
@@ -1,4 +1,4 @@
-//! Slot-time of hand-made histories: two endpoints with one slot each, over 1,000 microseconds.
+//! Slot-time of constructed histories: two endpoints with one slot each, over 1,000 microseconds.
 
 mod support;
 
@@ -37,7 +37,8 @@
     assert_eq!(time.utilisation(), 0.25);
 }
 
-/// Two runs at once on an endpoint with one slot: its own queue, not more capacity.
+/// Two runs at once on an endpoint with one slot: one waits in the endpoint's own queue and adds no
+/// capacity.
 #[test]
 fn an_overfilled_endpoint_counts_as_full() {
     let runs = vec![on("e1", 0, 1_000), on("e1", 0, 1_000)];
