--- a/crates/load/src/answer_reader.rs
+++ b/crates/load/src/answer_reader.rs
@@ -1,4 +1,4 @@
-//! Reads an answer and judges it against the one right answer.
+//! Reads an answer and compares it with the expected answer.
 
 use std::io;
 use std::io::BufRead;
@@ -13,10 +13,10 @@
 
 const EVENT_DATA: &str = "data:";
 
-/// What a stream gave.
+/// Text of a stream and how the stream ended.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct StreamText {
-    /// All new text in order.
+    /// Texts of all chunks, concatenated in order.
     pub text: String,
     /// How it ended.
     pub end: StreamEnd,
@@ -29,14 +29,14 @@
     Marked,
     /// With an error event.
     Error,
-    /// The connection ended in order, but without a marker.
+    /// The connection closed normally, but without the end marker.
     #[default]
-    Silent,
-    /// The connection broke or went silent.
+    Unmarked,
+    /// The connection broke or timed out.
     Broken,
 }
 
-/// Reads server-sent events until the end; `on_text` is called for each new text.
+/// Reads server-sent events until the stream ends; `on_text` is called for each non-empty text.
 ///
 /// ```
 /// use sedgeridge_load::answer_reader::StreamEnd;
@@ -61,7 +61,7 @@
         let Some(data) = line.strip_prefix(EVENT_DATA) else {
             continue;
         };
-        match event(data.trim()) {
+        match parse_event(data.trim()) {
             Event::Text(text) if text.is_empty() => {}
             Event::Text(text) => {
                 on_text();
@@ -80,7 +80,7 @@
     }
 }
 
-/// Reads what follows the marker, so that the connection can be used again.
+/// Reads the rest of the body after the end marker, so that the connection can be reused.
 fn drain(mut body: impl BufRead) {
     let _ = io::copy(&mut body, &mut io::sink());
 }
@@ -91,7 +91,7 @@
     Error,
 }
 
-fn event(data: &str) -> Event {
+fn parse_event(data: &str) -> Event {
     if data == STREAM_END {
         return Event::End;
     }
@@ -104,22 +104,22 @@
     }
 }
 
-/// Judges a stream.
-pub fn judge_stream(read: &StreamText, expected: &str) -> Ending {
+/// Compares a stream with the expected answer.
+pub fn classify_stream(read: &StreamText, expected: &str) -> Ending {
     if !expected.starts_with(&read.text) {
         return Ending::Foreign;
     }
     let whole = read.text.len() == expected.len();
     match (read.end, whole) {
         (StreamEnd::Marked, true) => Ending::Whole,
-        (StreamEnd::Marked | StreamEnd::Silent, _) => Ending::Short,
+        (StreamEnd::Marked | StreamEnd::Unmarked, _) => Ending::Short,
         (StreamEnd::Error, _) => Ending::Partial,
         (StreamEnd::Broken, _) => Ending::Broken,
     }
 }
 
-/// Reads and judges an answer that comes at once.
-pub fn judge_chat(body: impl Read, expected: &str) -> Ending {
+/// Reads a non-streamed chat answer and compares it with the expected answer.
+pub fn classify_chat(body: impl Read, expected: &str) -> Ending {
     let Ok(text) = io::read_to_string(body) else {
         return Ending::Broken;
     };
@@ -129,7 +129,7 @@
             .into_iter()
             .map(|c| c.message.content)
             .collect();
-        return judge_text(&message, expected);
+        return classify_text(&message, expected);
     }
     match serde_json::from_str::<Value>(&text) {
         Ok(value) if value.get("error").is_some() => Ending::Partial,
@@ -137,15 +137,15 @@
     }
 }
 
-/// Reads and judges the answer of a plain service.
-pub fn judge_plain(body: impl Read, expected: &str) -> Ending {
+/// Reads the answer of a plain service and compares it with the expected answer.
+pub fn classify_plain(body: impl Read, expected: &str) -> Ending {
     match io::read_to_string(body) {
-        Ok(text) => judge_text(&text, expected),
+        Ok(text) => classify_text(&text, expected),
         Err(_) => Ending::Broken,
     }
 }
 
-fn judge_text(text: &str, expected: &str) -> Ending {
+fn classify_text(text: &str, expected: &str) -> Ending {
     if text == expected {
         Ending::Whole
     } else if expected.starts_with(text) {
--- a/crates/load/src/control_bytes.rs
+++ b/crates/load/src/control_bytes.rs
@@ -1,4 +1,4 @@
-//! Bytes that routers exchange, read from their metrics.
+//! Traffic between routers, read from their metrics.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -9,11 +9,11 @@
 
 /// Counter of peer message payload.
 const PAYLOAD_COUNTER: &str = "sedgeridge_peer_bytes_total";
-/// Counter or estimate of the same on the wire.
+/// Counter or estimate of the bytes on the wire for the same messages.
 const WIRE_COUNTER: &str = "sedgeridge_peer_wire_bytes_total";
 const METRICS_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Counters of all routers at one instant; absent where a router gave none.
+/// Counters of all routers at one instant; absent for a router that did not report them.
 #[derive(Debug, Clone)]
 pub struct PeerBytes {
     taken_at: Instant,
@@ -35,7 +35,7 @@
     pub fn read(agent: &Agent, routers: &[RouterPlan]) -> Self {
         let pages: Vec<Option<String>> = routers.iter().map(|r| metrics(agent, r)).collect();
         let sums = |counter: &str| {
-            let sum = |page: &Option<String>| sum_of(page.as_deref()?, counter);
+            let sum = |page: &Option<String>| sum_counter(page.as_deref()?, counter);
             pages.iter().map(sum).collect()
         };
         Self {
@@ -62,15 +62,15 @@
     request.call().ok()?.body_mut().read_to_string().ok()
 }
 
-/// Adds up a counter over its labels; absent when the page does not have it.
+/// Sums a counter over its labels; absent when the page does not have it.
 ///
 /// ```
-/// use sedgeridge_load::control_bytes::sum_of;
+/// use sedgeridge_load::control_bytes::sum_counter;
 /// let page = "sent{direction=\"in\"} 2\nsent{direction=\"out\"} 3\nsent_more 9\n";
-/// assert_eq!(sum_of(page, "sent"), Some(5.0));
-/// assert_eq!(sum_of(page, "other"), None);
+/// assert_eq!(sum_counter(page, "sent"), Some(5.0));
+/// assert_eq!(sum_counter(page, "other"), None);
 /// ```
-pub fn sum_of(page: &str, counter: &str) -> Option<f64> {
+pub fn sum_counter(page: &str, counter: &str) -> Option<f64> {
     let values = page.lines().filter_map(|line| {
         let rest = line.strip_prefix(counter)?;
         let labelled = rest.starts_with('{') || rest.starts_with(' ');
@@ -80,9 +80,10 @@
     values.reduce(|sum, value| sum + value)
 }
 
-/// A counter that fell belongs to a router that restarted and counts from 0.
+/// Mean rate over the routers. A counter that decreased belongs to a router that restarted, so it
+/// counts from 0.
 fn mean_rate(before: &[Option<f64>], after: &[Option<f64>], seconds: f64) -> Option<f64> {
-    let grown = before.iter().zip(after).filter_map(|(before, after)| {
+    let increases = before.iter().zip(after).filter_map(|(before, after)| {
         let after = (*after)?;
         let before = before.unwrap_or(0.0);
         Some(if after < before {
@@ -91,9 +92,9 @@
             after - before
         })
     });
-    let grown: Vec<f64> = grown.collect();
-    if grown.is_empty() {
+    let increases: Vec<f64> = increases.collect();
+    if increases.is_empty() {
         return None;
     }
-    Some(grown.iter().sum::<f64>() / grown.len() as f64 / seconds)
+    Some(increases.iter().sum::<f64>() / increases.len() as f64 / seconds)
 }
--- a/crates/load/src/deployment.rs
+++ b/crates/load/src/deployment.rs
@@ -13,43 +13,43 @@
 /// Request slots of one plain service stand-in.
 const PLAIN_SLOTS: u32 = 4;
 
-/// What stands where, before addresses are given out.
+/// Layout of a deployment, before addresses are assigned.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Deployment {
     /// Name on the command line.
     pub name: &'static str,
     /// Routers started unless the command line says otherwise.
     pub routers: usize,
-    /// Sites; routers and endpoints go round them.
+    /// Sites; routers and endpoints are distributed round-robin over them.
     pub sites: Vec<&'static str>,
     /// Delay of a message between two sites, one way.
     pub link_delay_us: u64,
     /// Pools with their endpoints.
-    pub pools: Vec<PoolDesign>,
+    pub pools: Vec<PoolSpec>,
     /// Services on those pools.
-    pub services: Vec<ServiceDesign>,
+    pub services: Vec<ServiceSpec>,
     /// Client accounts.
-    pub accounts: Vec<AccountDesign>,
+    pub accounts: Vec<AccountSpec>,
 }
 
 /// One pool of a [`Deployment`].
 #[derive(Debug, Clone, PartialEq)]
-pub struct PoolDesign {
+pub struct PoolSpec {
     /// Name of the pool.
     pub name: &'static str,
-    /// What its endpoints speak.
+    /// Protocol of its endpoints.
     pub kind: PoolKind,
-    /// Endpoints are named by this and a number.
+    /// Endpoint names consist of this prefix and a number.
     pub endpoint_prefix: &'static str,
     /// Number of endpoints.
     pub endpoints: usize,
-    /// Slots of each.
+    /// Request slots of each endpoint.
     pub slots: u32,
 }
 
 /// One service of a [`Deployment`].
 #[derive(Debug, Clone, PartialEq)]
-pub struct ServiceDesign {
+pub struct ServiceSpec {
     /// Name of the service.
     pub name: &'static str,
     /// Pool that runs it.
@@ -62,18 +62,18 @@
 
 /// One client account of a [`Deployment`].
 #[derive(Debug, Clone, PartialEq)]
-pub struct AccountDesign {
+pub struct AccountSpec {
     /// Name of the account.
     pub name: String,
-    /// Share relative to others.
+    /// Share relative to other accounts.
     pub weight: u32,
     /// Routers that its callers use.
     pub spread: Spread,
-    /// What its callers ask for.
+    /// Requests that its callers send.
     pub demands: Vec<Demand>,
 }
 
-/// A deployment that does not exist.
+/// The name of the deployment is unknown.
 #[derive(Debug, Error, PartialEq, Eq)]
 #[error("--deployment {0}: expected one of small, luce, malardalen")]
 pub struct UnknownDeployment(pub String);
@@ -91,8 +91,8 @@
     }
 }
 
-fn model_pool(name: &'static str, endpoint_prefix: &'static str, endpoints: usize) -> PoolDesign {
-    PoolDesign {
+fn model_pool(name: &'static str, endpoint_prefix: &'static str, endpoints: usize) -> PoolSpec {
+    PoolSpec {
         name,
         kind: PoolKind::Model,
         endpoint_prefix,
@@ -101,8 +101,8 @@
     }
 }
 
-fn plain_pool(name: &'static str, endpoint_prefix: &'static str, endpoints: usize) -> PoolDesign {
-    PoolDesign {
+fn plain_pool(name: &'static str, endpoint_prefix: &'static str, endpoints: usize) -> PoolSpec {
+    PoolSpec {
         name,
         kind: PoolKind::Plain,
         endpoint_prefix,
@@ -116,8 +116,8 @@
     pool: &'static str,
     repeatable: bool,
     class: &'static str,
-) -> ServiceDesign {
-    ServiceDesign {
+) -> ServiceSpec {
+    ServiceSpec {
         name,
         pool,
         repeatable,
@@ -125,8 +125,8 @@
     }
 }
 
-fn account(name: &str, weight: u32, spread: Spread, demands: Vec<Demand>) -> AccountDesign {
-    AccountDesign {
+fn account(name: &str, weight: u32, spread: Spread, demands: Vec<Demand>) -> AccountSpec {
+    AccountSpec {
         name: name.to_owned(),
         weight,
         spread,
@@ -134,7 +134,7 @@
     }
 }
 
-/// Three routers before four engines and one plain service.
+/// Three routers in front of four engines and one plain service.
 fn small() -> Deployment {
     let assistant = "assistant";
     let orders = "orders";
--- a/crates/load/src/fairness.rs
+++ b/crates/load/src/fairness.rs
@@ -1,7 +1,7 @@
-//! The fairness gap between client accounts, from what endpoints served.
+//! Computes the fairness gap between client accounts from the runs that endpoints recorded.
 //!
 //! Accounts are compared within one pool: a pool's capacity cannot serve another pool's work, so
-//! only accounts that wait for the same pool can be owed the same.
+//! only accounts that wait for the same pool are entitled to equal weighted service.
 
 use std::collections::BTreeMap;
 use std::collections::HashMap;
@@ -20,19 +20,19 @@
 /// Input is charged when a run starts, output evenly over the run.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct ServiceCurve {
-    corners: Vec<Corner>,
+    breakpoints: Vec<Breakpoint>,
 }
 
-/// A point where the curve jumps or bends.
+/// A point where the curve jumps or changes its slope.
 #[derive(Debug, Clone, Copy, PartialEq)]
-struct Corner {
+struct Breakpoint {
     at_us: u64,
     before: f64,
     after: f64,
     slope_after: f64,
 }
 
-/// What changes at one instant.
+/// Change of the curve at one instant.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 struct Change {
     jump: f64,
@@ -62,60 +62,64 @@
             changes.entry(span.end_us).or_default().slope -= slope;
         }
         Self {
-            corners: corners(&changes),
+            breakpoints: breakpoints(&changes),
         }
     }
 
-    /// Value just before and just after the jump at `at_us`.
-    fn around(&self, at_us: u64) -> (f64, f64) {
-        let next = self.corners.partition_point(|c| c.at_us <= at_us);
-        let Some(corner) = next.checked_sub(1).map(|last| self.corners[last]) else {
+    /// Values just before and just after a possible jump at `at_us`.
+    fn values_around(&self, at_us: u64) -> (f64, f64) {
+        let next = self.breakpoints.partition_point(|c| c.at_us <= at_us);
+        let Some(breakpoint) = next.checked_sub(1).map(|last| self.breakpoints[last]) else {
             return (0.0, 0.0);
         };
-        if corner.at_us == at_us {
-            return (corner.before, corner.after);
+        if breakpoint.at_us == at_us {
+            return (breakpoint.before, breakpoint.after);
         }
-        let value = corner.after + corner.slope_after * (at_us - corner.at_us) as f64;
+        let value = breakpoint.after + breakpoint.slope_after * (at_us - breakpoint.at_us) as f64;
         (value, value)
     }
 
-    fn corners_within(&self, span: Span) -> impl Iterator<Item = u64> {
-        let first = self.corners.partition_point(|c| c.at_us < span.start_us);
-        let inside = self.corners[first..].iter().map(|c| c.at_us);
+    fn breakpoints_within(&self, span: Span) -> impl Iterator<Item = u64> {
+        let first = self
+            .breakpoints
+            .partition_point(|c| c.at_us < span.start_us);
+        let inside = self.breakpoints[first..].iter().map(|c| c.at_us);
         inside.take_while(move |at_us| *at_us <= span.end_us)
     }
 }
 
-fn corners(changes: &BTreeMap<u64, Change>) -> Vec<Corner> {
+fn breakpoints(changes: &BTreeMap<u64, Change>) -> Vec<Breakpoint> {
     let mut value = 0.0;
     let mut slope = 0.0;
     let mut last_us = 0;
-    let mut corners = Vec::with_capacity(changes.len());
+    let mut breakpoints = Vec::with_capacity(changes.len());
     for (&at_us, change) in changes {
         value += slope * (at_us - last_us) as f64;
         let before = value;
         value += change.jump;
         slope += change.slope;
         last_us = at_us;
-        corners.push(Corner {
+        breakpoints.push(Breakpoint {
             at_us,
             before,
             after: value,
             slope_after: slope,
         });
     }
-    corners
+    breakpoints
 }
 
-/// Largest change of the difference of two curves over any part of `span`.
+/// Largest change of the difference between two curves over any part of `span`.
 pub fn curve_gap(one: &ServiceCurve, other: &ServiceCurve, span: Span) -> f64 {
     let ends = [span.start_us, span.end_us];
-    let corners = one.corners_within(span).chain(other.corners_within(span));
+    let breakpoints = one
+        .breakpoints_within(span)
+        .chain(other.breakpoints_within(span));
     let mut low = f64::INFINITY;
     let mut high = f64::NEG_INFINITY;
-    for at_us in corners.chain(ends) {
-        let (one_before, one_after) = one.around(at_us);
-        let (other_before, other_after) = other.around(at_us);
+    for at_us in breakpoints.chain(ends) {
+        let (one_before, one_after) = one.values_around(at_us);
+        let (other_before, other_after) = other.values_around(at_us);
         let mut seen = vec![one_after - other_after];
         if at_us > span.start_us {
             seen.push(one_before - other_before);
@@ -128,7 +132,7 @@
     high - low
 }
 
-/// Joins overlapping or touching spans.
+/// Merges overlapping or adjacent spans.
 ///
 /// ```
 /// use sedgeridge_load::fairness::union;
@@ -155,7 +159,7 @@
     pairs.filter_map(|(a, b)| a.intersect(*b)).collect()
 }
 
-/// When each call waited: from its sending to the start of its first run, or to its end.
+/// Waiting time of each call: from its sending to the start of its first run, or to its end.
 pub fn waiting_spans<'a>(history: &'a History) -> Vec<(&'a CallRecord, Span)> {
     let mut starts: HashMap<&str, u64> = HashMap::new();
     for run in &history.runs {
@@ -168,8 +172,8 @@
         let end_us = served_us.unwrap_or(call.ended_at_us);
         (call, Span::new(call.sent_at_us, end_us))
     };
-    let wanted = history.calls.iter().filter(|call| !call.repeat);
-    wanted.map(span).collect()
+    let non_repeats = history.calls.iter().filter(|call| !call.repeat);
+    non_repeats.map(span).collect()
 }
 
 /// One account's demand and service in one pool.
@@ -179,9 +183,9 @@
     pub account: String,
     /// Name of the pool.
     pub pool: String,
-    /// When some request of the account waited.
+    /// Spans in which some request of the account waited.
     pub backlogged: Vec<Span>,
-    /// What it received, divided by its weight.
+    /// Service that it received, divided by its weight.
     pub served: ServiceCurve,
 }
 
@@ -208,7 +212,8 @@
     both.map(collect).collect()
 }
 
-/// A run belongs to the account whose caller sent it, whatever its endpoint was told.
+/// Groups runs by pool and account. A run belongs to the account whose caller sent the request,
+/// whatever account the endpoint recorded.
 fn runs_by_pool_account<'a>(
     plan: &'a LoadPlan,
     history: &'a History,
@@ -249,7 +254,7 @@
 impl PoolAccount {
     /// Weighted service received within a span.
     pub fn served_within(&self, span: Span) -> f64 {
-        self.served.around(span.end_us).0 - self.served.around(span.start_us).1
+        self.served.values_around(span.end_us).0 - self.served.values_around(span.start_us).1
     }
 
     /// Share of a span in which some request of the account waited.
@@ -260,7 +265,7 @@
     }
 }
 
-/// Largest gap between two accounts over any time in which both waited for the same pool.
+/// Largest gap between two accounts over any span in which both waited for the same pool.
 pub fn fairness_gap_tokens(accounts: &[PoolAccount], window: Span) -> f64 {
     let gaps = worst_pairs(accounts, window).into_iter();
     gaps.map(|pair| pair.gap_tokens).fold(0.0, f64::max)
@@ -271,13 +276,13 @@
 pub struct WorstPair {
     /// The pool.
     pub pool: String,
-    /// Largest gap over any time in which both accounts waited.
+    /// Largest gap over any span in which both accounts waited.
     pub gap_tokens: f64,
     /// The accounts.
     pub accounts: [String; 2],
-    /// Start of the time, from the start of the window.
+    /// Start of that span, from the start of the window.
     pub from_ms: u64,
-    /// Length of the time.
+    /// Length of that span.
     pub length_ms: u64,
 }
 
--- a/crates/load/src/lib.rs
+++ b/crates/load/src/lib.rs
@@ -1,4 +1,5 @@
-//! Load, history recording and report: what drives a running fleet and judges what it did.
+//! Load test of a running fleet: sends load, injects faults, records the history and reports
+//! figures and violations.
 
 pub mod answer_reader;
 pub mod callers;
@@ -8,6 +9,7 @@
 pub mod deployment;
 pub mod fairness;
 pub mod fault_figures;
+pub mod fault_injector;
 pub mod fault_log;
 pub mod fault_name;
 pub mod faults;
@@ -25,7 +27,6 @@
 pub mod recorder;
 pub mod report;
 pub mod run;
-pub mod saboteur;
 pub mod topology;
 pub mod utilisation;
 pub mod work;
--- a/crates/load/tests/faults.rs
+++ b/crates/load/tests/faults.rs
@@ -1,4 +1,4 @@
-//! Fault tables and the processes they act on.
+//! The steps of faults and the processes they act on.
 
 use std::fs;
 use std::path::Path;
@@ -87,7 +87,7 @@
 fn coordinators_run_only_for_their_fault(faults: &str, expected: usize) {
     let mut topology = topology("small");
     let faults = faults.parse().expect("known faults");
-    topology.bring_about(faults, Path::new("run/test"));
+    topology.set_faults(faults, Path::new("run/test"));
     let programs = topology.processes.iter().map(|p| p.program);
     let coordinators = programs.filter(|p| *p == "sedgeridge-coordinator");
     assert_eq!(coordinators.count(), expected);
@@ -99,7 +99,7 @@
     dir
 }
 
-/// A process that was started again has two lines; only the newer id may be signalled.
+/// A restarted process has two lines in the pid file; only the newer id may be signalled.
 #[test]
 fn signals_the_latest_process_of_a_name() {
     let dir = run_dir("signals");
