--- a/crates/slopes/src/data_paths.rs
+++ b/crates/slopes/src/data_paths.rs
@@ -58,17 +58,17 @@
             seed: 1,
             quick: false,
         };
-        print(
+        print_row(
             size,
             "sedgeridge-router",
             &(data_path::STREAMS.measure)(point),
         );
-        print(size, "sedgeridge-edge", &measure_edge(size)?);
+        print_row(size, "sedgeridge-edge", &measure_edge(size)?);
     }
     Ok(())
 }
 
-fn print(size: u64, program: &str, sample: &Sample) {
+fn print_row(size: u64, program: &str, sample: &Sample) {
     let value = |name| sample.get(name).unwrap_or(f64::NAN);
     let events_per_s = size as f64 * 1e3 / target::TOKEN_INTERVAL_MS;
     let each_us = value("cpu_ms") * 1e3 / events_per_s;
@@ -101,18 +101,25 @@
     router.start()?;
     thread::sleep(START_TIME);
     for number in 0..size {
-        let stream = open(router.callers_address(), number)?;
+        let stream = open_stream(router.callers_address(), number)?;
         thread::spawn(move || drain(stream));
     }
     thread::sleep(OPEN_TIME);
     let id = router.process();
-    let (begin, cpu, waits) = (Instant::now(), meter::process_time(id), meter::waits(id));
+    let (started_at, cpu, waits) = (
+        Instant::now(),
+        meter::process_cpu_time(id),
+        meter::voluntary_context_switches(id),
+    );
     thread::sleep(MEASURED_TIME);
-    let seconds = begin.elapsed().as_secs_f64();
+    let seconds = started_at.elapsed().as_secs_f64();
     let mut sample = Sample::default();
-    let cpu = meter::process_time(id) - cpu;
+    let cpu = meter::process_cpu_time(id) - cpu;
     sample.set("cpu_ms", cpu.as_secs_f64() * 1e3 / seconds);
-    sample.set("waits", (meter::waits(id) - waits) as f64 / seconds);
+    sample.set(
+        "waits",
+        (meter::voluntary_context_switches(id) - waits) as f64 / seconds,
+    );
     sample.set("memory_kb", router.memory_kb() as f64);
     drop(router);
     fs::remove_dir_all(&dir)?;
@@ -139,7 +146,7 @@
 }
 
 /// Sends a request and checks that its stream begins.
-fn open(address: SocketAddr, number: u64) -> io::Result<TcpStream> {
+fn open_stream(address: SocketAddr, number: u64) -> io::Result<TcpStream> {
     let mut stream = TcpStream::connect(address)?;
     let request = format!(
         "POST {STREAM_PATH} HTTP/1.1\r\nHost: desk.example\r\nAuthorization: Bearer secret\r\n\
--- a/crates/slopes/src/design.rs
+++ b/crates/slopes/src/design.rs
@@ -19,11 +19,11 @@
 use crate::target;
 
 /// Data centres.
-pub const SITES: usize = 7;
+pub const SITE_COUNT: usize = 7;
 /// Regions.
-pub const REGIONS: usize = 2;
+pub const REGION_COUNT: usize = 2;
 /// Requests that an engine runs at once: a tenth less than the peak needs, so that accounts wait.
-pub const SLOTS: u32 = 28;
+pub const SLOTS_PER_ENGINE: u32 = 28;
 
 /// How large a fleet is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -44,16 +44,16 @@
     /// ```
     /// use sedgeridge_slopes::design::FleetSize;
     ///
-    /// assert_eq!(FleetSize::of_nodes(400).accounts, 6_900);
-    /// assert_eq!(FleetSize::of_nodes(40).endpoints, 220);
+    /// assert_eq!(FleetSize::for_nodes(400).accounts, 6_900);
+    /// assert_eq!(FleetSize::for_nodes(40).endpoints, 220);
     /// ```
-    pub fn of_nodes(nodes: usize) -> Self {
-        let part = |whole: f64| (whole * nodes as f64 / target::NODES).round() as usize;
+    pub fn for_nodes(nodes: usize) -> Self {
+        let scaled = |whole: f64| (whole * nodes as f64 / target::NODES).round() as usize;
         Self {
             nodes,
-            endpoints: part(target::ENDPOINTS),
-            accounts: part(target::ACCOUNTS),
-            requests_per_s: part(target::REQUESTS_PER_S),
+            endpoints: scaled(target::ENDPOINTS),
+            accounts: scaled(target::ACCOUNTS),
+            requests_per_s: scaled(target::REQUESTS_PER_S),
         }
     }
 }
@@ -80,16 +80,16 @@
 
 /// Names the site of whatever stands at a position.
 pub fn site_id(index: usize) -> SiteId {
-    SiteId::from(format!("site-{}", index % SITES).as_str())
+    SiteId::from(format!("site-{}", index % SITE_COUNT).as_str())
 }
 
 /// Makes the settings of a fleet; addresses are placeholders on which nothing listens.
 pub fn settings(size: FleetSize) -> Settings {
     let pools = target::POOLS as usize;
     let address = SocketAddr::from((Ipv4Addr::LOCALHOST, 9));
-    let sites = (0..SITES).map(|index| SiteSettings {
+    let sites = (0..SITE_COUNT).map(|index| SiteSettings {
         id: site_id(index),
-        region: format!("region-{}", index % REGIONS),
+        region: format!("region-{}", index % REGION_COUNT),
     });
     let hosts = (0..size.nodes).map(|index| HostSettings {
         id: host_id(index),
@@ -109,7 +109,7 @@
         pool: pool_id(index % pools),
         site: site_id(index),
         address,
-        slots: SLOTS,
+        slots: SLOTS_PER_ENGINE,
         checks_fencing: true,
     });
     let accounts = (0..size.accounts).map(|index| AccountSettings {
--- a/crates/slopes/src/figures.rs
+++ b/crates/slopes/src/figures.rs
@@ -17,23 +17,26 @@
     }
 
     /// Returns all series, in the order of the benches.
-    pub fn all(&self) -> &[Series] {
+    pub fn series(&self) -> &[Series] {
         &self.series
     }
 
     /// Returns a metric at the size to design for, or not a number if it was not measured.
-    pub fn at(&self, bench: &Bench, metric: &str) -> f64 {
-        self.find(bench, metric).map_or(f64::NAN, Series::at_target)
+    pub fn at_target(&self, bench: &Bench, metric: &str) -> f64 {
+        self.find(bench, metric)
+            .map_or(f64::NAN, Series::value_at_target)
     }
 
     /// Returns how much a metric grows with one more of what the size counts.
-    pub fn slope(&self, bench: &Bench, metric: &str) -> f64 {
+    pub fn slope_at_target(&self, bench: &Bench, metric: &str) -> f64 {
         let series = self.find(bench, metric);
-        series.map_or(f64::NAN, |s| s.fit.at(s.target + 1.0) - s.fit.at(s.target))
+        series.map_or(f64::NAN, |s| {
+            s.fit.value_at(s.target + 1.0) - s.fit.value_at(s.target)
+        })
     }
 
     /// Returns the largest and the smallest value that was measured.
-    pub fn range(&self, bench: &Bench, metric: &str) -> (f64, f64) {
+    pub fn measured_range(&self, bench: &Bench, metric: &str) -> (f64, f64) {
         let values = self.find(bench, metric).map_or(&[][..], |s| &s.points);
         values.iter().fold((f64::MAX, f64::MIN), |(low, high), p| {
             (low.min(p.1), high.max(p.1))
--- a/crates/slopes/src/fit.rs
+++ b/crates/slopes/src/fit.rs
@@ -24,7 +24,7 @@
     Shape::Quadratic,
 ];
 /// A line is taken unless another shape halves its largest residual, or this one is small.
-const GOOD_RESIDUAL: f64 = 0.05;
+const ACCEPTED_LINE_RESIDUAL: f64 = 0.05;
 
 impl Shape {
     /// Returns what the factor `b` multiplies.
@@ -72,14 +72,14 @@
     ///
     /// let fit = Fit::best(&[(1.0, 3.0), (2.0, 5.0), (4.0, 9.0), (8.0, 17.0)]);
     /// assert_eq!(fit.shape, Shape::Linear);
-    /// assert!((fit.at(100.0) - 201.0).abs() < 1e-6);
+    /// assert!((fit.value_at(100.0) - 201.0).abs() < 1e-6);
     /// ```
     pub fn best(points: &[(f64, f64)]) -> Self {
-        let line = Self::of(Shape::Linear, points);
-        if line.largest_residual <= GOOD_RESIDUAL {
+        let line = Self::with_shape(Shape::Linear, points);
+        if line.largest_residual <= ACCEPTED_LINE_RESIDUAL {
             return line;
         }
-        let fits = SHAPES.iter().map(|shape| Self::of(*shape, points));
+        let fits = SHAPES.iter().map(|shape| Self::with_shape(*shape, points));
         fits.fold(line, |best, fit| {
             let clearly_better = fit.largest_residual < best.largest_residual / 2.0;
             if clearly_better { fit } else { best }
@@ -87,24 +87,30 @@
     }
 
     /// Fits one shape.
-    pub fn of(shape: Shape, points: &[(f64, f64)]) -> Self {
+    pub fn with_shape(shape: Shape, points: &[(f64, f64)]) -> Self {
         let count = points.len().max(1) as f64;
         let terms = || points.iter().map(|(n, _)| shape.term(*n));
         let mean_term = terms().sum::<f64>() / count;
         let mean = points.iter().map(|(_, value)| value).sum::<f64>() / count;
-        let spread: f64 = terms().map(|term| (term - mean_term).powi(2)).sum();
-        let joint: f64 = terms()
+        let squared_deviations: f64 = terms().map(|term| (term - mean_term).powi(2)).sum();
+        let deviation_products: f64 = terms()
             .zip(points)
             .map(|(term, (_, value))| (term - mean_term) * (value - mean))
             .sum();
-        let slope = if spread > 0.0 { joint / spread } else { 0.0 };
+        let slope = if squared_deviations > 0.0 {
+            deviation_products / squared_deviations
+        } else {
+            0.0
+        };
         let mut fit = Self {
             shape,
             intercept: mean - slope * mean_term,
             slope,
             largest_residual: 0.0,
         };
-        let residuals = points.iter().map(|(n, value)| (value - fit.at(*n)).abs());
+        let residuals = points
+            .iter()
+            .map(|(n, value)| (value - fit.value_at(*n)).abs());
         let scale = mean.abs().max(f64::MIN_POSITIVE);
         fit.largest_residual = residuals.fold(0.0, f64::max) / scale;
         fit
@@ -118,7 +124,7 @@
     }
 
     /// Returns the value of the curve at a size.
-    pub fn at(&self, n: f64) -> f64 {
+    pub fn value_at(&self, n: f64) -> f64 {
         self.intercept + self.slope * self.shape.term(n)
     }
 }
--- a/crates/slopes/src/fleet/config.rs
+++ b/crates/slopes/src/fleet/config.rs
@@ -11,8 +11,8 @@
 use sedgeridge_state::config_document::ConfigDocument;
 use sedgeridge_state::config_records::ConfigContent;
 
-use crate::fleet::Due;
 use crate::fleet::Fleet;
+use crate::fleet::PendingEvent;
 
 /// Assumption: time of one read.
 const READ_DELAY: Duration = Duration::from_millis(5);
@@ -33,13 +33,13 @@
     }
 
     /// Returns the newest generation.
-    pub fn newest(&self) -> u64 {
+    pub fn newest_generation(&self) -> u64 {
         self.accepted.len() as u64
     }
 
     /// Counts the hosts that have the newest generation in force.
-    pub fn up_to_date(&self) -> usize {
-        let newest = self.newest();
+    pub fn up_to_date_hosts(&self) -> usize {
+        let newest = self.newest_generation();
         self.in_force.values().filter(|g| **g == newest).count()
     }
 
@@ -48,7 +48,8 @@
         match read {
             ConfigRead::Head { call, .. } => ConfigEvent::HeadRead {
                 call: *call,
-                generation: (self.newest() > 0).then(|| Generation(self.newest())),
+                generation: (self.newest_generation() > 0)
+                    .then(|| Generation(self.newest_generation())),
             },
             ConfigRead::Changes { call, after, up_to } => ConfigEvent::Fetched {
                 call: *call,
@@ -59,7 +60,7 @@
 
     fn items(&self, first: u64, last: u64) -> Vec<ConfigItem<ConfigContent>> {
         let content = |generation: u64| self.accepted[generation as usize - 1].clone();
-        let generations = first..=last.min(self.newest());
+        let generations = first..=last.min(self.newest_generation());
         generations.map(|g| config_item(g, content(g))).collect()
     }
 }
@@ -73,12 +74,12 @@
     /// Answers a read of the table.
     pub(super) fn read_config(&mut self, node: usize, read: &ConfigRead) {
         let event = self.config.answer(read);
-        let due = Due::ConfigRead(Box::new(event));
-        self.schedule(self.now + READ_DELAY, node, due);
+        let pending = PendingEvent::ConfigRead(Box::new(event));
+        self.schedule(self.now + READ_DELAY, node, pending);
     }
 
     /// Notes that a generation is in force on a host.
-    pub(super) fn note_in_force(&mut self, node: usize, generation: Generation) {
+    pub(super) fn set_in_force(&mut self, node: usize, generation: Generation) {
         self.config.in_force.insert(node, generation.0);
     }
 }
--- a/crates/slopes/src/fleet/costs.rs
+++ b/crates/slopes/src/fleet/costs.rs
@@ -5,7 +5,7 @@
 
 /// Parts of a router.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Work {
+pub enum Component {
     /// Callers' requests, grants and the ends of attempts.
     Entry,
     /// Reports of entry routers to the home of a pool.
@@ -20,9 +20,9 @@
     Timers,
 }
 
-impl Work {
+impl Component {
     /// Returns the part that sends what this part receives.
-    pub fn sender(self) -> Self {
+    pub fn sending_component(self) -> Self {
         match self {
             Self::Home => Self::Entry,
             Self::Entry => Self::Home,
@@ -56,45 +56,45 @@
 #[derive(Debug, Clone, Default)]
 pub struct Costs {
     /// Processor time by part, codecs included.
-    pub time: BTreeMap<Work, Duration>,
+    pub time: BTreeMap<Component, Duration>,
     /// What was sent.
-    pub sent: BTreeMap<Work, Traffic>,
+    pub sent: BTreeMap<Component, Traffic>,
     /// What was received.
-    pub received: BTreeMap<Work, Traffic>,
+    pub received: BTreeMap<Component, Traffic>,
     /// Load reports read.
     pub load_reads: u64,
 }
 
 impl Costs {
     /// Notes the time of one event.
-    pub fn handled(&mut self, work: Work, time: Duration) {
-        *self.time.entry(work).or_default() += time;
+    pub fn add_time(&mut self, component: Component, time: Duration) {
+        *self.time.entry(component).or_default() += time;
     }
 
     /// Notes a message that was sent, and the time to encode it.
-    pub fn sent(&mut self, work: Work, bytes: usize, time: Duration) {
-        self.handled(work, time);
-        self.sent.entry(work).or_default().add(bytes);
+    pub fn add_sent(&mut self, component: Component, bytes: usize, time: Duration) {
+        self.add_time(component, time);
+        self.sent.entry(component).or_default().add(bytes);
     }
 
     /// Notes a message that was received, and the time to decode it.
-    pub fn received(&mut self, work: Work, bytes: usize, time: Duration) {
-        self.handled(work, time);
-        self.received.entry(work).or_default().add(bytes);
+    pub fn add_received(&mut self, component: Component, bytes: usize, time: Duration) {
+        self.add_time(component, time);
+        self.received.entry(component).or_default().add(bytes);
     }
 
     /// Returns the processor time of a part.
-    pub fn time_of(&self, work: Work) -> Duration {
-        self.time.get(&work).copied().unwrap_or_default()
+    pub fn time_of(&self, component: Component) -> Duration {
+        self.time.get(&component).copied().unwrap_or_default()
     }
 
     /// Returns what a part sent.
-    pub fn sent_of(&self, work: Work) -> Traffic {
-        self.sent.get(&work).copied().unwrap_or_default()
+    pub fn sent_of(&self, component: Component) -> Traffic {
+        self.sent.get(&component).copied().unwrap_or_default()
     }
 
     /// Returns what a part received.
-    pub fn received_of(&self, work: Work) -> Traffic {
-        self.received.get(&work).copied().unwrap_or_default()
+    pub fn received_of(&self, component: Component) -> Traffic {
+        self.received.get(&component).copied().unwrap_or_default()
     }
 }
--- a/crates/slopes/src/fleet/load.rs
+++ b/crates/slopes/src/fleet/load.rs
@@ -14,11 +14,11 @@
 use crate::target;
 
 /// Assumption: time to the first token at an engine.
-pub const FIRST_TOKEN: Duration = Duration::from_millis(300);
+pub const FIRST_TOKEN_DELAY: Duration = Duration::from_millis(300);
 /// Assumption: uncached input tokens of a request.
 const INPUT_TOKENS: u64 = 200;
 /// Weight of an output token, the default of `fair.output_token_factor`.
-const OUTPUT_FACTOR: u64 = 4;
+const OUTPUT_TOKEN_FACTOR: u64 = 4;
 /// Assumption: an account's callers reach this many routers.
 const ROUTERS_PER_ACCOUNT: u64 = 4;
 /// Assumption: share of the requests that comes from the backlogged accounts, in percent.
@@ -26,13 +26,13 @@
 /// Output tokens at which the first progress is told; then at each doubling.
 const FIRST_PROGRESS_TOKENS: u64 = 32;
 /// Deadline of a request: long, so that what waits is not refused.
-const DEADLINE: Duration = Duration::from_secs(600);
+const REQUEST_DEADLINE: Duration = Duration::from_secs(600);
 /// Prompt prefixes of one account.
-const PREFIXES: u64 = 4;
+const PREFIXES_PER_ACCOUNT: u64 = 4;
 
 /// Requests counted.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Counts {
+pub struct RequestCounts {
     /// Requests that came.
     pub arrived: u64,
     /// Requests that ended.
@@ -57,7 +57,7 @@
         let doublings = std::iter::successors(Some(FIRST_PROGRESS_TOKENS), |n| Some(n * 2));
         doublings
             .take_while(move |tokens| *tokens < self.output_tokens)
-            .map(|tokens| (stream_time(tokens), charge(tokens)))
+            .map(|tokens| (stream_time(tokens), charged_tokens(tokens)))
     }
 }
 
@@ -65,7 +65,7 @@
 #[derive(Debug)]
 pub struct Callers {
     /// What was counted.
-    pub counts: Counts,
+    pub counts: RequestCounts,
     size: FleetSize,
     random: Random,
     last_key: u64,
@@ -75,7 +75,7 @@
     /// Creates the callers of a fleet.
     pub fn new(size: FleetSize, seed: u64) -> Self {
         Self {
-            counts: Counts::default(),
+            counts: RequestCounts::default(),
             size,
             random: Random::new(seed),
             last_key: 0,
@@ -83,47 +83,47 @@
     }
 
     /// Returns the time to the next request.
-    pub fn pause(&mut self) -> Duration {
+    pub fn next_interarrival(&mut self) -> Duration {
         let rate = self.size.requests_per_s as f64;
-        Duration::from_secs_f64(self.random.exponential(rate))
+        Duration::from_secs_f64(self.random.exponential_interval_s(rate))
     }
 
     /// Returns the next request and the router that it reaches.
-    pub fn next(&mut self, now: Duration) -> (usize, Arrival) {
+    pub fn next_arrival(&mut self, now: Duration) -> (usize, Arrival) {
         self.counts.arrived += 1;
         self.last_key += 1;
-        let account = self.account();
+        let account = self.pick_account();
         let nth = self.random.below(ROUTERS_PER_ACCOUNT);
         let router = (account * 13 + nth * 101) % self.size.nodes as u64;
         let pool = self.random.below(target::POOLS as u64) as usize;
-        let prefix = account * PREFIXES + self.random.below(PREFIXES);
+        let prefix = account * PREFIXES_PER_ACCOUNT + self.random.below(PREFIXES_PER_ACCOUNT);
         let arrival = Arrival {
             key: RequestKey(self.last_key),
             account: design::account_id(account as usize),
             pool: design::pool_id(pool),
             class: RequestClass::Interactive,
             repeatable: true,
-            hint_tokens: charge(target::tokens_per_request() as u64),
+            hint_tokens: charged_tokens(target::tokens_per_request() as u64),
             prefix: Some(PrefixHash(prefix)),
-            fingerprint: Fingerprint(u128::from(self.random.any()) << 64),
-            deadline: now + DEADLINE,
+            fingerprint: Fingerprint(u128::from(self.random.next_u64()) << 64),
+            deadline: now + REQUEST_DEADLINE,
         };
         (router as usize, arrival)
     }
 
     /// Returns what an engine does for the next request: its output is even between half and one
     /// and a half times the mean.
-    pub fn service(&mut self) -> Service {
+    pub fn next_service(&mut self) -> Service {
         let mean = target::tokens_per_request() as u64;
         let output_tokens = mean / 2 + self.random.below(mean);
         Service {
-            duration: FIRST_TOKEN + stream_time(output_tokens),
-            charged_tokens: charge(output_tokens),
+            duration: FIRST_TOKEN_DELAY + stream_time(output_tokens),
+            charged_tokens: charged_tokens(output_tokens),
             output_tokens,
         }
     }
 
-    fn account(&mut self) -> u64 {
+    fn pick_account(&mut self) -> u64 {
         let accounts = self.size.accounts as u64;
         let backlogged = (accounts / 10).max(1);
         if self.random.below(100) < BACKLOGGED_REQUESTS_PERCENT {
@@ -134,8 +134,8 @@
     }
 }
 
-fn charge(output_tokens: u64) -> u64 {
-    INPUT_TOKENS + OUTPUT_FACTOR * output_tokens
+fn charged_tokens(output_tokens: u64) -> u64 {
+    INPUT_TOKENS + OUTPUT_TOKEN_FACTOR * output_tokens
 }
 
 fn stream_time(tokens: u64) -> Duration {
--- a/crates/slopes/src/fleet/mod.rs
+++ b/crates/slopes/src/fleet/mod.rs
@@ -36,21 +36,21 @@
 use crate::design;
 use crate::design::FleetSize;
 use crate::fleet::config::ConfigTable;
+use crate::fleet::costs::Component;
 use crate::fleet::costs::Costs;
-use crate::fleet::costs::Work;
 use crate::fleet::load::Callers;
 use crate::fleet::load::Service;
 
 /// Microseconds since the epoch at which every host starts.
 const START_UNIX_US: u64 = 1_800_000_000_000_000;
 /// Least time between two ticks of a router, as in its core.
-const MIN_TICK: Duration = Duration::from_millis(1);
+const MIN_TICK_INTERVAL: Duration = Duration::from_millis(1);
 /// Most time between two ticks of a router, as in its core.
-const MAX_TICK: Duration = Duration::from_millis(20);
+const MAX_TICK_INTERVAL: Duration = Duration::from_millis(20);
 /// Time a message is under way.
 const LINK_DELAY: Duration = Duration::from_micros(500);
 /// Time after which a link to a host that is not reached is reported lost.
-const RESET_DELAY: Duration = Duration::from_millis(500);
+const LINK_LOSS_DELAY: Duration = Duration::from_millis(500);
 /// Time after which a connection to an endpoint that is not reached is given up, the default of
 /// `health.connect_timeout_ms`.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
@@ -59,14 +59,14 @@
 
 /// What happens to a router next.
 #[derive(Debug)]
-enum Due {
+enum PendingEvent {
     Wake,
     Stream { from: usize, bytes: Vec<u8> },
     Datagram(Vec<u8>),
-    Reset(HostId),
+    LinkLost(HostId),
     Arrival,
     Progress(AttemptKey, u64),
-    Ended(RequestKey, AttemptKey, Option<EndpointId>, AttemptEnd),
+    AttemptEnded(RequestKey, AttemptKey, Option<EndpointId>, AttemptEnd),
     LoadRead(EndpointId),
     ConfigRead(Box<ConfigEvent<ConfigContent>>),
 }
@@ -80,7 +80,7 @@
     pub costs: Costs,
     member: Member,
     is_running: bool,
-    side: u8,
+    partition: u8,
     last_tick: Duration,
     wake_at: Duration,
 }
@@ -97,9 +97,9 @@
     now: Duration,
     index: BTreeMap<HostId, usize>,
     queue: BinaryHeap<Reverse<(Duration, u64)>>,
-    due: BTreeMap<u64, (usize, Due)>,
+    pending: BTreeMap<u64, (usize, PendingEvent)>,
     sequence: u64,
-    running: BTreeMap<EndpointId, u32>,
+    running_requests: BTreeMap<EndpointId, u32>,
     lost_links: BTreeSet<(usize, usize)>,
     size: FleetSize,
     seed: u64,
@@ -123,7 +123,7 @@
                 costs: Costs::default(),
                 member,
                 is_running: true,
-                side: 0,
+                partition: 0,
                 last_tick: Duration::ZERO,
                 wake_at: Duration::ZERO,
             }
@@ -135,22 +135,22 @@
             now: Duration::ZERO,
             index: (0..size.nodes).map(|n| (design::host_id(n), n)).collect(),
             queue: BinaryHeap::new(),
-            due: BTreeMap::new(),
+            pending: BTreeMap::new(),
             sequence: 0,
-            running: BTreeMap::new(),
+            running_requests: BTreeMap::new(),
             lost_links: BTreeSet::new(),
             size,
             seed,
         };
         for index in 0..size.nodes {
-            fleet.schedule(Duration::ZERO, index, Due::Wake);
+            fleet.schedule(Duration::ZERO, index, PendingEvent::Wake);
         }
         fleet
     }
 
     /// Lets callers send from now on.
-    pub fn open(&mut self) {
-        self.schedule(self.now, 0, Due::Arrival);
+    pub fn start_callers(&mut self) {
+        self.schedule(self.now, 0, PendingEvent::Arrival);
     }
 
     /// Forgets what was counted so far.
@@ -158,11 +158,11 @@
         for node in &mut self.nodes {
             node.costs = Costs::default();
         }
-        self.callers.counts = load::Counts::default();
+        self.callers.counts = load::RequestCounts::default();
     }
 
     /// Runs for `time`.
-    pub fn run(&mut self, time: Duration) {
+    pub fn run_for(&mut self, time: Duration) {
         let end = self.now + time;
         while let Some(Reverse((at, _))) = self.queue.peek() {
             if *at > end {
@@ -172,56 +172,58 @@
                 break;
             };
             self.now = at;
-            if let Some((node, due)) = self.due.remove(&id) {
-                self.step(node, due);
+            if let Some((node, pending)) = self.pending.remove(&id) {
+                self.process(node, pending);
             }
         }
         self.now = end;
     }
 
-    fn step(&mut self, node: usize, due: Due) {
-        if let Due::Ended(_, _, Some(endpoint), _) = &due {
-            *self.running.entry(endpoint.clone()).or_default() -= 1;
+    fn process(&mut self, node: usize, pending: PendingEvent) {
+        if let PendingEvent::AttemptEnded(_, _, Some(endpoint), _) = &pending {
+            *self.running_requests.entry(endpoint.clone()).or_default() -= 1;
         }
-        if !self.nodes[node].is_running && !matches!(due, Due::Arrival) {
+        if !self.nodes[node].is_running && !matches!(pending, PendingEvent::Arrival) {
             return;
         }
-        match due {
-            Due::Wake => self.wake(node),
-            Due::Arrival => self.arrival(),
-            Due::Stream { from, bytes } => {
+        match pending {
+            PendingEvent::Wake => self.tick_if_due(node),
+            PendingEvent::Arrival => self.next_request(),
+            PendingEvent::Stream { from, bytes } => {
                 let sender = self.nodes[from].member.clone();
-                let begin = Instant::now();
+                let started_at = Instant::now();
                 let message = peer::decode(&bytes, &sender).expect("routers send what they read");
-                let work = work_of(&message);
-                let decoding = begin.elapsed();
-                self.nodes[node].costs.received(work, bytes.len(), decoding);
+                let component = receiving_component(&message);
+                let decoding = started_at.elapsed();
+                self.nodes[node]
+                    .costs
+                    .add_received(component, bytes.len(), decoding);
                 let from = sender;
-                self.event(node, work, NodeEvent::PeerMessage { from, message });
+                self.handle_event(node, component, NodeEvent::PeerMessage { from, message });
             }
-            Due::Datagram(bytes) => {
-                let begin = Instant::now();
+            PendingEvent::Datagram(bytes) => {
+                let started_at = Instant::now();
                 let message = membership::decode(&bytes).expect("routers send what they read");
                 let costs = &mut self.nodes[node].costs;
-                costs.received(Work::Membership, bytes.len(), begin.elapsed());
-                self.event(
+                costs.add_received(Component::Membership, bytes.len(), started_at.elapsed());
+                self.handle_event(
                     node,
-                    Work::Membership,
+                    Component::Membership,
                     NodeEvent::MembershipMessage(message),
                 );
             }
-            Due::Reset(host) => {
+            PendingEvent::LinkLost(host) => {
                 self.lost_links.remove(&(node, self.index[&host]));
-                self.event(node, Work::Entry, NodeEvent::PeerMessagesLost { host });
+                self.handle_event(node, Component::Entry, NodeEvent::PeerMessagesLost { host });
             }
-            Due::Progress(attempt, charged_tokens) => {
+            PendingEvent::Progress(attempt, charged_tokens) => {
                 let event = NodeEvent::Progress {
                     attempt,
                     charged_tokens,
                 };
-                self.event(node, Work::Entry, event);
+                self.handle_event(node, Component::Entry, event);
             }
-            Due::Ended(key, attempt, _, end) => {
+            PendingEvent::AttemptEnded(key, attempt, _, end) => {
                 self.callers.counts.ended += 1;
                 let event = NodeEvent::AttemptEnded {
                     key,
@@ -229,133 +231,146 @@
                     end,
                     recorded: None,
                 };
-                self.event(node, Work::Entry, event);
+                self.handle_event(node, Component::Entry, event);
             }
-            Due::LoadRead(endpoint) => self.load_read(node, endpoint),
-            Due::ConfigRead(event) => {
-                self.event(
+            PendingEvent::LoadRead(endpoint) => self.load_read(node, endpoint),
+            PendingEvent::ConfigRead(event) => {
+                self.handle_event(
                     node,
-                    Work::Configuration,
+                    Component::Configuration,
                     NodeEvent::ConfigReadEnded(*event),
                 );
             }
         }
     }
 
-    fn arrival(&mut self) {
-        let (node, arrival) = self.callers.next(self.now);
+    fn next_request(&mut self) {
+        let (node, arrival) = self.callers.next_arrival(self.now);
         let event = NodeEvent::RequestArrived {
             arrival,
             claim: None,
         };
         // The balancer sends no callers to a host that is down.
         if self.nodes[node].is_running {
-            self.event(node, Work::Entry, event);
+            self.handle_event(node, Component::Entry, event);
         }
-        let next = self.now + self.callers.pause();
-        self.schedule(next, 0, Due::Arrival);
+        let next = self.now + self.callers.next_interarrival();
+        self.schedule(next, 0, PendingEvent::Arrival);
     }
 
     fn load_read(&mut self, node: usize, endpoint: EndpointId) {
         let load = EndpointLoad {
-            running: self.running.get(&endpoint).copied().unwrap_or(0),
+            running: self.running_requests.get(&endpoint).copied().unwrap_or(0),
             waiting: 0,
-            slots: design::SLOTS,
+            slots: design::SLOTS_PER_ENGINE,
             age: LOAD_READ_DELAY,
             leaving: false,
         };
-        let load = self.reaches_endpoint(node, &endpoint).then_some(load);
+        let load = self.can_reach_endpoint(node, &endpoint).then_some(load);
         let event = NodeEvent::LoadRead { endpoint, load };
-        self.event(node, Work::LoadReports, event);
+        self.handle_event(node, Component::LoadReports, event);
     }
 
     /// Lets a router look at its timers as its core does.
-    fn wake(&mut self, node: usize) {
+    fn tick_if_due(&mut self, node: usize) {
         let simulated = &mut self.nodes[node];
         if simulated.wake_at > self.now {
             return;
         }
         simulated.last_tick = self.now;
-        self.event(node, Work::Timers, NodeEvent::Tick);
+        self.handle_event(node, Component::Timers, NodeEvent::Tick);
     }
 
-    fn event(&mut self, node: usize, work: Work, event: NodeEvent) {
+    fn handle_event(&mut self, node: usize, component: Component, event: NodeEvent) {
         let simulated = &mut self.nodes[node];
         let mut actions = Vec::new();
-        let begin = Instant::now();
+        let started_at = Instant::now();
         simulated.node.handle(self.now, event, &mut actions);
         let next_wake = simulated.node.next_wake();
-        simulated.costs.handled(work, begin.elapsed());
-        let wake = next_wake.min(simulated.last_tick + MAX_TICK);
-        let wake = wake.max(simulated.last_tick + MIN_TICK).max(self.now);
+        simulated.costs.add_time(component, started_at.elapsed());
+        let wake = next_wake.min(simulated.last_tick + MAX_TICK_INTERVAL);
+        let wake = wake
+            .max(simulated.last_tick + MIN_TICK_INTERVAL)
+            .max(self.now);
         if wake != simulated.wake_at {
             simulated.wake_at = wake;
-            self.schedule(wake, node, Due::Wake);
+            self.schedule(wake, node, PendingEvent::Wake);
         }
         for action in actions {
-            self.act(node, action);
+            self.perform(node, action);
         }
     }
 
-    fn act(&mut self, node: usize, action: NodeAction) {
+    fn perform(&mut self, node: usize, action: NodeAction) {
         match action {
-            NodeAction::StartAttempt(start) => self.start(node, &start),
+            NodeAction::StartAttempt(start) => self.start_attempt(node, &start),
             NodeAction::GiveUp(_) => self.callers.counts.refused += 1,
             NodeAction::Send { to, message } => self.send(node, to.host, &message),
             NodeAction::SendMembership { to, message } => {
-                let begin = Instant::now();
+                let started_at = Instant::now();
                 let bytes = membership::encode(&message);
                 let costs = &mut self.nodes[node].costs;
-                costs.sent(Work::Membership, bytes.len(), begin.elapsed());
+                costs.add_sent(Component::Membership, bytes.len(), started_at.elapsed());
                 let target = self.index[&to];
-                if self.reaches(node, target) {
-                    self.schedule(self.now + LINK_DELAY, target, Due::Datagram(bytes));
+                if self.can_reach(node, target) {
+                    self.schedule(self.now + LINK_DELAY, target, PendingEvent::Datagram(bytes));
                 }
             }
             NodeAction::ReadLoad { endpoint } => {
                 self.nodes[node].costs.load_reads += 1;
-                self.schedule(self.now + LOAD_READ_DELAY, node, Due::LoadRead(endpoint));
+                self.schedule(
+                    self.now + LOAD_READ_DELAY,
+                    node,
+                    PendingEvent::LoadRead(endpoint),
+                );
             }
             NodeAction::ReadConfig(read) => self.read_config(node, &read),
-            NodeAction::SettingsChanged { generation, .. } => self.note_in_force(node, generation),
+            NodeAction::SettingsChanged { generation, .. } => self.set_in_force(node, generation),
             _ => {}
         }
     }
 
     fn send(&mut self, node: usize, to: HostId, message: &PeerMessage) {
         let target = self.index[&to];
-        if !self.reaches(node, target) {
+        if !self.can_reach(node, target) {
             // As on a real link, one loss is reported however many messages it took.
             if self.lost_links.insert((node, target)) {
-                self.schedule(self.now + RESET_DELAY, node, Due::Reset(to));
+                self.schedule(self.now + LINK_LOSS_DELAY, node, PendingEvent::LinkLost(to));
             }
             return;
         }
-        let begin = Instant::now();
+        let started_at = Instant::now();
         let bytes = peer::encode(message);
         let costs = &mut self.nodes[node].costs;
-        costs.sent(work_of(message).sender(), bytes.len(), begin.elapsed());
-        let due = Due::Stream { from: node, bytes };
-        self.schedule(self.now + LINK_DELAY, target, due);
+        costs.add_sent(
+            receiving_component(message).sending_component(),
+            bytes.len(),
+            started_at.elapsed(),
+        );
+        let pending = PendingEvent::Stream { from: node, bytes };
+        self.schedule(self.now + LINK_DELAY, target, pending);
     }
 
-    fn start(&mut self, node: usize, start: &StartAttempt) {
-        if !self.reaches_endpoint(node, &start.endpoint) {
+    fn start_attempt(&mut self, node: usize, start: &StartAttempt) {
+        if !self.can_reach_endpoint(node, &start.endpoint) {
             let end = AttemptEnd::Failed {
                 failure: AttemptFailure::ConnectFailed,
                 sent_tokens: 0,
                 charged_tokens: 0,
                 head_sent: false,
             };
-            let due = Due::Ended(start.key, start.attempt, None, end);
-            self.schedule(self.now + CONNECT_TIMEOUT, node, due);
+            let pending = PendingEvent::AttemptEnded(start.key, start.attempt, None, end);
+            self.schedule(self.now + CONNECT_TIMEOUT, node, pending);
             return;
         }
-        *self.running.entry(start.endpoint.clone()).or_default() += 1;
-        let service = self.callers.service();
+        *self
+            .running_requests
+            .entry(start.endpoint.clone())
+            .or_default() += 1;
+        let service = self.callers.next_service();
         for (after, charged_tokens) in service.progress() {
-            let due = Due::Progress(start.attempt, charged_tokens);
-            self.schedule(self.now + after, node, due);
+            let pending = PendingEvent::Progress(start.attempt, charged_tokens);
+            self.schedule(self.now + after, node, pending);
         }
         let Service {
             duration,
@@ -364,27 +379,27 @@
         } = service;
         let end = AttemptEnd::Finished {
             charged_tokens,
-            first_byte: load::FIRST_TOKEN,
+            first_byte: load::FIRST_TOKEN_DELAY,
         };
         let endpoint = Some(start.endpoint.clone());
-        let due = Due::Ended(start.key, start.attempt, endpoint, end);
-        self.schedule(self.now + duration, node, due);
+        let pending = PendingEvent::AttemptEnded(start.key, start.attempt, endpoint, end);
+        self.schedule(self.now + duration, node, pending);
     }
 
-    fn schedule(&mut self, at: Duration, node: usize, due: Due) {
+    fn schedule(&mut self, at: Duration, node: usize, pending: PendingEvent) {
         self.sequence += 1;
         self.queue.push(Reverse((at, self.sequence)));
-        self.due.insert(self.sequence, (node, due));
+        self.pending.insert(self.sequence, (node, pending));
     }
 }
 
 /// Returns which part of the receiver a message is for.
-fn work_of(message: &PeerMessage) -> Work {
+fn receiving_component(message: &PeerMessage) -> Component {
     match message {
-        PeerMessage::Report(_) => Work::Home,
-        PeerMessage::Config(_) => Work::Configuration,
+        PeerMessage::Report(_) => Component::Home,
+        PeerMessage::Config(_) => Component::Configuration,
         PeerMessage::Grant(_) | PeerMessage::FullReportWanted { .. } | PeerMessage::Poison(_) => {
-            Work::Entry
+            Component::Entry
         }
     }
 }
--- a/crates/slopes/src/lib.rs
+++ b/crates/slopes/src/lib.rs
@@ -9,7 +9,7 @@
 pub mod meter;
 pub mod page;
 pub mod page_failures;
-pub mod page_overs;
+pub mod page_overruns;
 pub mod random;
 pub mod role_rows;
 pub mod roles;
--- a/crates/slopes/src/main.rs
+++ b/crates/slopes/src/main.rs
@@ -51,30 +51,30 @@
         return Ok(());
     }
     match args.subcommand()?.as_deref() {
-        Some("point") => point(args),
-        None => all(args),
+        Some("point") => measure_point(args),
+        None => measure_all(args),
         Some(other) => Err(format!("unknown command {other}; see --help").into()),
     }
 }
 
-fn point(mut args: Arguments) -> Result<(), Box<dyn Error>> {
-    let bench = args.value_from_fn("--bench", bench)?;
+fn measure_point(mut args: Arguments) -> Result<(), Box<dyn Error>> {
+    let bench = args.value_from_fn("--bench", parse_bench)?;
     let point = Point {
         size: args.value_from_str("--size")?,
         seed: args.opt_value_from_str("--seed")?.unwrap_or(DEFAULT_SEED),
         quick: args.contains("--quick"),
     };
-    finish(args)?;
+    reject_extra_arguments(args)?;
     print!("{}", (bench.measure)(point).to_lines());
     Ok(())
 }
 
-fn all(mut args: Arguments) -> Result<(), Box<dyn Error>> {
+fn measure_all(mut args: Arguments) -> Result<(), Box<dyn Error>> {
     let quick = args.contains("--quick");
     let seed = args.opt_value_from_str("--seed")?.unwrap_or(DEFAULT_SEED);
     let docs: Option<PathBuf> = args.opt_value_from_str("--docs")?;
-    let chosen = args.values_from_fn("--bench", bench)?;
-    finish(args)?;
+    let chosen = args.values_from_fn("--bench", parse_bench)?;
+    reject_extra_arguments(args)?;
     let benches = if chosen.is_empty() {
         roles::BENCHES.to_vec()
     } else {
@@ -84,8 +84,8 @@
     for series in runner::run_all(&benches, seed, quick)? {
         figures.extend(series);
     }
-    for series in figures.all() {
-        let at_target = series.at_target();
+    for series in figures.series() {
+        let at_target = series.value_at_target();
         println!("{}/{}: {at_target}", series.bench, series.metric);
     }
     match docs {
@@ -98,7 +98,7 @@
 fn write_docs(docs: &Path, figures: &Figures, seed: u64) -> Result<(), Box<dyn Error>> {
     let plots = docs.join("capacity");
     fs::create_dir_all(&plots)?;
-    for series in figures.all() {
+    for series in figures.series() {
         fs::write(plots.join(series.file_name()), svg::draw(series))?;
     }
     if !figures.is_complete() {
@@ -111,11 +111,11 @@
     Ok(())
 }
 
-fn bench(name: &str) -> Result<&'static Bench, String> {
+fn parse_bench(name: &str) -> Result<&'static Bench, String> {
     roles::find(name).ok_or_else(|| format!("unknown bench {name}"))
 }
 
-fn finish(args: Arguments) -> Result<(), Box<dyn Error>> {
+fn reject_extra_arguments(args: Arguments) -> Result<(), Box<dyn Error>> {
     match args.finish().first() {
         Some(extra) => Err(format!("unknown argument {}", extra.display()).into()),
         None => Ok(()),
--- a/crates/slopes/src/memory_table.rs
+++ b/crates/slopes/src/memory_table.rs
@@ -30,8 +30,8 @@
 
 impl MemoryTable {
     /// Makes a call.
-    pub fn call(&mut self, action: &StoreAction) -> StoreEvent {
-        self.call_bytes += body_bytes(action);
+    pub fn execute(&mut self, action: &StoreAction) -> StoreEvent {
+        self.call_bytes += request_body_bytes(action);
         match action {
             StoreAction::Transact {
                 call,
@@ -61,12 +61,12 @@
     }
 
     /// Counts the rows.
-    pub fn rows(&self) -> usize {
+    pub fn row_count(&self) -> usize {
         self.rows.len()
     }
 
     /// Returns the bytes of all keys and values.
-    pub fn rows_bytes(&self) -> u64 {
+    pub fn row_bytes(&self) -> u64 {
         let rows = self.rows.values();
         let bytes = rows.map(|row| row.key.len() + row.value.as_ref().map_or(0, |v| v.len()));
         bytes.sum::<usize>() as u64
@@ -78,7 +78,7 @@
             let row = self.rows.get(&check.key);
             row.map_or(ABSENT_VERSION, |row| row.version) != check.version
         });
-        let failed: Vec<StoreRow> = failed.map(|check| self.row(&check.key)).collect();
+        let failed: Vec<StoreRow> = failed.map(|check| self.row_or_absent(&check.key)).collect();
         if !failed.is_empty() {
             return StoreResult::Conflict { rows: failed };
         }
@@ -97,7 +97,7 @@
         }
     }
 
-    fn row(&self, key: &Arc<str>) -> StoreRow {
+    fn row_or_absent(&self, key: &Arc<str>) -> StoreRow {
         self.rows.get(key).cloned().unwrap_or_else(|| StoreRow {
             key: Arc::clone(key),
             version: ABSENT_VERSION,
@@ -123,7 +123,7 @@
 }
 
 /// Returns the size of a call's body as the real codec writes it.
-fn body_bytes(action: &StoreAction) -> u64 {
+fn request_body_bytes(action: &StoreAction) -> u64 {
     let body = match action {
         StoreAction::Transact { checks, writes, .. } => {
             let checks = checks.iter().map(|check| table::VersionCheck {
--- a/crates/slopes/src/meter.rs
+++ b/crates/slopes/src/meter.rs
@@ -5,7 +5,7 @@
 use std::time::Instant;
 
 /// Returns the processor time of the main thread, or zero where it cannot be told.
-pub fn main_thread_time() -> Duration {
+pub fn main_thread_cpu_time() -> Duration {
     let schedstat = fs::read_to_string("/proc/self/schedstat").unwrap_or_default();
     let run_ns = schedstat.split_whitespace().next();
     Duration::from_nanos(run_ns.and_then(|ns| ns.parse().ok()).unwrap_or(0))
@@ -14,11 +14,11 @@
 /// Returns the resident memory of this process, or 0 where it cannot be told.
 pub fn resident_bytes() -> u64 {
     const BYTES_PER_KB: u64 = 1_024;
-    status_of(std::process::id(), "VmRSS:") * BYTES_PER_KB
+    status_field(std::process::id(), "VmRSS:") * BYTES_PER_KB
 }
 
 /// Processor time below which the kernel's figure is too coarse to scale by.
-const MIN_SCALED: Duration = Duration::from_millis(100);
+const MIN_SCALED_CPU_TIME: Duration = Duration::from_millis(100);
 
 /// Adds up short spans of work.
 ///
@@ -27,46 +27,46 @@
 /// which this thread ran.
 #[derive(Debug)]
 pub struct Stopwatch {
-    begin: Instant,
-    begin_cpu: Duration,
-    spans: Duration,
+    started_at: Instant,
+    cpu_at_start: Duration,
+    span_total: Duration,
 }
 
 impl Stopwatch {
     /// Starts the whole time.
     pub fn start() -> Self {
         Self {
-            begin: Instant::now(),
-            begin_cpu: main_thread_time(),
-            spans: Duration::ZERO,
+            started_at: Instant::now(),
+            cpu_at_start: main_thread_cpu_time(),
+            span_total: Duration::ZERO,
         }
     }
 
     /// Runs one piece of work.
-    pub fn time<T>(&mut self, work: impl FnOnce() -> T) -> T {
-        let begin = Instant::now();
+    pub fn measure<T>(&mut self, work: impl FnOnce() -> T) -> T {
+        let started_at = Instant::now();
         let result = work();
-        self.spans += begin.elapsed();
+        self.span_total += started_at.elapsed();
         result
     }
 
     /// Returns the part of the whole time in which this thread ran.
-    pub fn ran(&self) -> f64 {
-        let cpu = main_thread_time() - self.begin_cpu;
-        if cpu < MIN_SCALED {
+    pub fn run_fraction(&self) -> f64 {
+        let cpu = main_thread_cpu_time() - self.cpu_at_start;
+        if cpu < MIN_SCALED_CPU_TIME {
             return 1.0;
         }
-        (cpu.as_secs_f64() / self.begin.elapsed().as_secs_f64()).min(1.0)
+        (cpu.as_secs_f64() / self.started_at.elapsed().as_secs_f64()).min(1.0)
     }
 
     /// Returns the processor time of all pieces, in microseconds.
-    pub fn micros(&self) -> f64 {
-        self.spans.as_secs_f64() * 1e6 * self.ran()
+    pub fn cpu_micros(&self) -> f64 {
+        self.span_total.as_secs_f64() * 1e6 * self.run_fraction()
     }
 }
 
 /// Returns the processor time of all threads of a process.
-pub fn process_time(id: u32) -> Duration {
+pub fn process_cpu_time(id: u32) -> Duration {
     let Ok(threads) = fs::read_dir(format!("/proc/{id}/task")) else {
         return Duration::ZERO;
     };
@@ -78,7 +78,7 @@
 }
 
 /// Returns a number from the status page of a process, or 0 where it cannot be told.
-pub fn status_of(id: u32, field: &str) -> u64 {
+pub fn status_field(id: u32, field: &str) -> u64 {
     let status = fs::read_to_string(format!("/proc/{id}/status")).unwrap_or_default();
     let line = status.lines().find(|line| line.starts_with(field));
     let value = line.and_then(|line| line.split_whitespace().nth(1));
@@ -87,11 +87,11 @@
 
 /// Returns how often the threads of a process gave up the processor to wait, or 0 where it cannot be
 /// told.
-pub fn waits(id: u32) -> u64 {
+pub fn voluntary_context_switches(id: u32) -> u64 {
     let Ok(threads) = fs::read_dir(format!("/proc/{id}/task")) else {
         return 0;
     };
-    let waits = threads.flatten().map(|thread| {
+    let switches = threads.flatten().map(|thread| {
         let status = fs::read_to_string(thread.path().join("status")).unwrap_or_default();
         let line = status
             .lines()
@@ -99,5 +99,5 @@
         line.and_then(|number| number.trim().parse().ok())
             .unwrap_or(0)
     });
-    waits.sum()
+    switches.sum()
 }
--- a/crates/slopes/src/page.rs
+++ b/crates/slopes/src/page.rs
@@ -6,9 +6,9 @@
 
 use crate::figures::Figures;
 use crate::page_failures::failure_table;
-use crate::page_overs::over_table;
+use crate::page_overruns::overrun_table;
 use crate::role_rows::RoleRow;
-use crate::role_rows::data_path_of;
+use crate::role_rows::data_path_cost;
 use crate::role_rows::node_totals;
 use crate::role_rows::role_rows;
 use crate::roles;
@@ -16,7 +16,7 @@
 use crate::roles::config_spread;
 use crate::roles::coordinator;
 use crate::roles::data_path;
-use crate::svg::short;
+use crate::svg::format_short;
 use crate::target;
 
 /// Why a page cannot be written.
@@ -34,9 +34,9 @@
 /// Fails when the page lacks a marker.
 pub fn rewrite(page: &str, figures: &Figures, seed: u64) -> Result<String, PageError> {
     let parts = [
-        ("run", run_line(seed)),
+        ("run", run_description(seed)),
         ("roles", role_table(figures)),
-        ("over", over_table(figures)),
+        ("over", overrun_table(figures)),
         ("table-service", table_service(figures)),
         ("data-path", data_path_table(figures)),
         ("failures", failure_table(figures)),
@@ -44,7 +44,7 @@
     ];
     let mut page = page.to_owned();
     for (name, text) in parts {
-        page = replace(&page, name, &text)?;
+        page = replace_part(&page, name, &text)?;
     }
     Ok(page)
 }
@@ -52,17 +52,17 @@
 /// Replaces the lines between the two markers of one part.
 ///
 /// ```
-/// use sedgeridge_slopes::page::replace;
+/// use sedgeridge_slopes::page::replace_part;
 ///
 /// let page = "a\n<!-- slopes:begin x -->\nold\n<!-- slopes:end x -->\nb\n";
-/// let page = replace(page, "x", "new\n").unwrap();
+/// let page = replace_part(page, "x", "new\n").unwrap();
 /// assert_eq!(page, "a\n<!-- slopes:begin x -->\nnew\n<!-- slopes:end x -->\nb\n");
 /// ```
 ///
 /// # Errors
 ///
 /// Fails when the page lacks a marker.
-pub fn replace(page: &str, name: &str, text: &str) -> Result<String, PageError> {
+pub fn replace_part(page: &str, name: &str, text: &str) -> Result<String, PageError> {
     let begin = format!("<!-- slopes:begin {name} -->\n");
     let end = format!("<!-- slopes:end {name} -->");
     let missing = |marker: &str| PageError::MissingMarker(marker.trim_end().to_owned());
@@ -71,7 +71,7 @@
     Ok(format!("{head}{begin}{text}{end}{tail}"))
 }
 
-fn run_line(seed: u64) -> String {
+fn run_description(seed: u64) -> String {
     let cores = std::thread::available_parallelism().map_or(0, usize::from);
     format!("One run with seed {seed} on a machine of {cores} cores, release build.\n")
 }
@@ -83,7 +83,7 @@
          | --- | --- | --- | ---: | ---: | ---: | ---: | ---: | --- |\n",
     );
     for row in &rows {
-        role_line(&mut text, row);
+        write_role_row(&mut text, row);
     }
     text.push_str("\nAgainst the budget, what is not measured left out:\n\n");
     text.push_str(
@@ -95,18 +95,18 @@
         let _ = writeln!(
             text,
             "| {name} | {} | {} | {} | {} | {} | {} |",
-            short(total.wire_bytes_per_s),
-            times(total.wire_bytes_per_s, target::BUDGET_BYTES_PER_S),
-            short(total.core_percent),
-            times(total.core_percent, target::BUDGET_CORE_PERCENT),
-            short(memory_bytes / 1_048_576.0),
-            times(memory_bytes, target::BUDGET_MEMORY_BYTES),
+            format_short(total.wire_bytes_per_s),
+            budget_ratio(total.wire_bytes_per_s, target::BUDGET_SENT_BYTES_PER_S),
+            format_short(total.core_percent),
+            budget_ratio(total.core_percent, target::BUDGET_CORE_PERCENT),
+            format_short(memory_bytes / 1_048_576.0),
+            budget_ratio(memory_bytes, target::BUDGET_MEMORY_BYTES),
         );
     }
     text
 }
 
-fn role_line(text: &mut String, row: &RoleRow) {
+fn write_role_row(text: &mut String, row: &RoleRow) {
     let _ = writeln!(
         text,
         "| {} | {} | {} | {} | {} | {} | {} | {} | {} |",
@@ -123,21 +123,26 @@
 }
 
 fn table_service(figures: &Figures) -> String {
-    let spread_reads = figures.at(&config_spread::SPREAD, "table_reads");
-    let changes = target::CHANGES_PER_DAY / target::DAY_SECONDS;
-    let claimed = figures.at(&claims::RATE, "transactions") * target::NODES;
-    let claimed_rows = figures.at(&claims::RATE, "rows") * target::NODES;
-    let lease = |metric| figures.at(&coordinator::LEASE, metric);
+    let spread_reads = figures.at_target(&config_spread::SPREAD, "table_reads");
+    let changes = target::CONFIG_CHANGES_PER_DAY / target::SECONDS_PER_DAY;
+    let claimed = figures.at_target(&claims::RATE, "transactions") * target::NODES;
+    let claimed_rows = figures.at_target(&claims::RATE, "rows") * target::NODES;
+    let lease = |metric| figures.at_target(&coordinator::LEASE, metric);
     let writes = claimed + changes + lease("writes");
     let reads = spread_reads + lease("reads") + 2.0 * changes;
     let mut text = String::from("| use | transactions/s | reads/s |\n| --- | ---: | ---: |\n");
     let mut line = |use_: &str, writes: f64, reads: f64| {
-        let _ = writeln!(text, "| {use_} | {} | {} |", short(writes), short(reads));
+        let _ = writeln!(
+            text,
+            "| {use_} | {} | {} |",
+            format_short(writes),
+            format_short(reads)
+        );
     };
     let claims_use = format!(
         "claims and their outcomes ({:.0}% of the requests assumed, {} rows/s)",
-        target::CLAIMED_PERCENT,
-        short(claimed_rows)
+        target::CLAIMED_REQUESTS_PERCENT,
+        format_short(claimed_rows)
     );
     line(&claims_use, claimed, 0.0);
     line("routers that follow the configuration", 0.0, spread_reads);
@@ -147,16 +152,16 @@
     let _ = writeln!(
         text,
         "| budget, {:.0} taken for \"several hundred\" | {} | {} |",
-        target::BUDGET_WRITES_PER_S,
-        times(writes, target::BUDGET_WRITES_PER_S),
-        times(reads, target::BUDGET_READS_PER_S)
+        target::BUDGET_TABLE_WRITES_PER_S,
+        budget_ratio(writes, target::BUDGET_TABLE_WRITES_PER_S),
+        budget_ratio(reads, target::BUDGET_TABLE_READS_PER_S)
     );
     text
 }
 
 fn data_path_table(figures: &Figures) -> String {
-    let (core_percent, memory_kb, threads) = data_path_of(figures);
-    let slope = |metric| figures.slope(&data_path::STREAMS, metric);
+    let (core_percent, memory_kb, threads) = data_path_cost(figures);
+    let slope = |metric| figures.slope_at_target(&data_path::STREAMS, metric);
     let streams = target::streams() / target::NODES;
     let tokens_per_s = 1_000.0 / target::TOKEN_INTERVAL_MS;
     format!(
@@ -167,13 +172,13 @@
          | memory, a stream | {} KB | {} MB |\n\
          | threads, a stream | {} | {} |\n",
         target::REQUESTS_PER_S / target::NODES,
-        short(slope("cpu_ms") * 1e3 / tokens_per_s),
-        short(figures.slope(&data_path::REQUESTS, "cpu_ms")),
-        short(core_percent),
-        short(slope("memory_kb")),
-        short(memory_kb / 1_024.0),
-        short(slope("threads")),
-        short(threads),
+        format_short(slope("cpu_ms") * 1e3 / tokens_per_s),
+        format_short(figures.slope_at_target(&data_path::REQUESTS, "cpu_ms")),
+        format_short(core_percent),
+        format_short(slope("memory_kb")),
+        format_short(memory_kb / 1_024.0),
+        format_short(slope("threads")),
+        format_short(threads),
     )
 }
 
@@ -189,19 +194,19 @@
             "| quantity | points (size: value) | fit | largest residual | at the target | plot |\n\
              | --- | --- | --- | ---: | ---: | --- |\n",
         );
-        for series in figures.all().iter().filter(|s| s.bench == bench.name) {
+        for series in figures.series().iter().filter(|s| s.bench == bench.name) {
             let points = series.points.iter();
             let points: Vec<String> = points
-                .map(|(size, value)| format!("{size}: {}", short(*value)))
+                .map(|(size, value)| format!("{size}: {}", format_short(*value)))
                 .collect();
             let _ = writeln!(
                 text,
                 "| {} | {} | {} | {:.1}% | {} | [plot](capacity/{}) |",
                 series.title,
                 points.join(", "),
-                series.fit.formula(short),
+                series.fit.formula(format_short),
                 series.fit.largest_residual * 100.0,
-                short(series.at_target()),
+                format_short(series.value_at_target()),
                 series.file_name()
             );
         }
@@ -210,6 +215,6 @@
 }
 
 /// Says how many times a budget is spent.
-pub fn times(value: f64, budget: f64) -> String {
+pub fn budget_ratio(value: f64, budget: f64) -> String {
     format!("{:.2} x", value / budget)
 }
--- a/crates/slopes/src/page_failures.rs
+++ b/crates/slopes/src/page_failures.rs
@@ -7,16 +7,16 @@
 use crate::roles::config;
 use crate::roles::failures;
 use crate::roles::home;
-use crate::svg::short;
+use crate::svg::format_short;
 use crate::target;
 
 /// Hosts that fail on an ordinary day.
 const FAILURES_PER_DAY: f64 = 18.0;
 /// Hosts that are restarted or replaced on an ordinary day.
 const RESTARTS_PER_DAY: f64 = 130.0;
-const SITES: f64 = 7.0;
+const SITE_COUNT: f64 = 7.0;
 /// Time for which the heal is watched.
-const HEAL_SECONDS: f64 = 15.0;
+const HEAL_WINDOW_S: f64 = 15.0;
 
 /// Writes the table of failures.
 pub fn failure_table(figures: &Figures) -> String {
@@ -24,8 +24,8 @@
         "| failure | how often | what moves | traffic | time |\n| --- | --- | --- | --- | --- |\n",
     );
     let streams = target::streams() / target::NODES;
-    let seen = |bench| range(figures, bench, "agree_s");
-    let gap = |bench| range(figures, bench, "grant_gap_s");
+    let detection_s = |bench| measured_range(figures, bench, "agree_s");
+    let grant_gap_s = |bench| measured_range(figures, bench, "grant_gap_s");
     let home_share = target::POOLS / target::NODES;
     let _ = writeln!(
         text,
@@ -36,33 +36,33 @@
         text,
         "| a host fails, home of a pool | {:.2} a day | its {streams:.0} streams break; the order of one pool: {} | {} x the payload before, in 15 s | held for dead everywhere after {} s; no grant in the pool for {} s |",
         FAILURES_PER_DAY * home_share,
-        takeover(figures),
-        range(figures, &failures::HOST, "payload_ratio"),
-        seen(&failures::HOST),
-        gap(&failures::HOST)
+        takeover_cost(figures),
+        measured_range(figures, &failures::HOST, "payload_ratio"),
+        detection_s(&failures::HOST),
+        grant_gap_s(&failures::HOST)
     );
-    let joins = figures.at(&config::ACCOUNTS, "whole_kb");
+    let joins = figures.at_target(&config::ACCOUNTS, "whole_kb");
     let _ = writeln!(
         text,
         "| a host is restarted or replaced | {RESTARTS_PER_DAY:.0} a day, {:.1} of them homes | the whole configuration from a peer: {} KB, {} MB a day in the fleet | membership; a home as above | told to stop, as planned: no grant in the home's pool for {} s; started again: known everywhere after {} s |",
         RESTARTS_PER_DAY * home_share,
-        short(joins),
-        short(joins * RESTARTS_PER_DAY / 1_024.0),
-        range(figures, &failures::HOST, "planned_gap_s"),
-        range(figures, &failures::HOST, "back_s"),
+        format_short(joins),
+        format_short(joins * RESTARTS_PER_DAY / 1_024.0),
+        measured_range(figures, &failures::HOST, "planned_gap_s"),
+        measured_range(figures, &failures::HOST, "back_s"),
     );
-    let hosts = target::NODES / SITES;
+    let hosts = target::NODES / SITE_COUNT;
     let _ = writeln!(
         text,
         "| a data centre fails | a few times a year | {hosts:.0} hosts, {:.0} endpoints, {} streams; each pool whose home stood there | {} x the payload before, in 15 s | held for dead everywhere after {} s; no grant in a pool for {} s; back: known after {} s |",
-        target::ENDPOINTS / SITES,
-        short(streams * hosts),
-        range(figures, &failures::SITE, "payload_ratio"),
-        seen(&failures::SITE),
-        gap(&failures::SITE),
-        range(figures, &failures::SITE, "back_s"),
+        target::ENDPOINTS / SITE_COUNT,
+        format_short(streams * hosts),
+        measured_range(figures, &failures::SITE, "payload_ratio"),
+        detection_s(&failures::SITE),
+        grant_gap_s(&failures::SITE),
+        measured_range(figures, &failures::SITE, "back_s"),
     );
-    let region = |metric| range(figures, &failures::REGION, metric);
+    let region = |metric| measured_range(figures, &failures::REGION, metric);
     let _ = writeln!(
         text,
         "| regions lose each other | now and then, for an hour | each side homes all four pools and grants its own engines | {} x the payload before; {} KB more in the 15 s after the heal | each side settled after {} s; engines run {} x the requests before; all agree {} s after the heal; engines then run at most {} x the requests before |",
@@ -76,27 +76,35 @@
     text.push_str(
         "\nRanges are over the measured sizes, one run each: 50 to 400 nodes, for regions 20 to 160.\n",
     );
-    let heal_bytes = figures.at(&failures::REGION, "heal_extra_kb") * 1_024.0;
+    let heal_bytes = figures.at_target(&failures::REGION, "heal_extra_kb") * 1_024.0;
     let _ = writeln!(
         text,
         "Drawn out to 400 nodes, the heal costs a node {} B of payload a second for 15 s on top of the rest; \
          membership is {} to {} of all payload in that time.",
-        short(heal_bytes / target::NODES / HEAL_SECONDS),
-        short(figures.range(&failures::REGION, "heal_member_part").0),
-        short(figures.range(&failures::REGION, "heal_member_part").1),
+        format_short(heal_bytes / target::NODES / HEAL_WINDOW_S),
+        format_short(
+            figures
+                .measured_range(&failures::REGION, "heal_member_part")
+                .0
+        ),
+        format_short(
+            figures
+                .measured_range(&failures::REGION, "heal_member_part")
+                .1
+        ),
     );
     text
 }
 
-fn takeover(figures: &Figures) -> String {
+fn takeover_cost(figures: &Figures) -> String {
     format!(
         "400 questions and 400 full reports, {} KB on the wire, {} ms of processor time",
-        short(figures.at(&home::TAKEOVER, "wire_kb")),
-        short(figures.at(&home::TAKEOVER, "cpu_ms"))
+        format_short(figures.at_target(&home::TAKEOVER, "wire_kb")),
+        format_short(figures.at_target(&home::TAKEOVER, "cpu_ms"))
     )
 }
 
-fn range(figures: &Figures, bench: &Bench, metric: &str) -> String {
-    let (low, high) = figures.range(bench, metric);
-    format!("{} to {}", short(low), short(high))
+fn measured_range(figures: &Figures, bench: &Bench, metric: &str) -> String {
+    let (low, high) = figures.measured_range(bench, metric);
+    format!("{} to {}", format_short(low), format_short(high))
 }
--- a/crates/slopes/src/random.rs
+++ b/crates/slopes/src/random.rs
@@ -15,7 +15,7 @@
     }
 
     /// Returns any number.
-    pub fn any(&mut self) -> u64 {
+    pub fn next_u64(&mut self) -> u64 {
         self.state ^= self.state << 13;
         self.state ^= self.state >> 7;
         self.state ^= self.state << 17;
@@ -30,16 +30,16 @@
     /// assert!(Random::new(1).below(10) < 10);
     /// ```
     pub fn below(&mut self, bound: u64) -> u64 {
-        self.any() % bound.max(1)
+        self.next_u64() % bound.max(1)
     }
 
     /// Returns a number from 0 up to 1.
     pub fn fraction(&mut self) -> f64 {
-        (self.any() >> 11) as f64 / (1_u64 << 53) as f64
+        (self.next_u64() >> 11) as f64 / (1_u64 << 53) as f64
     }
 
     /// Returns the time to the next of events that come at random at this rate.
-    pub fn exponential(&mut self, rate_per_s: f64) -> f64 {
+    pub fn exponential_interval_s(&mut self, rate_per_s: f64) -> f64 {
         -(1.0 - self.fraction()).ln() / rate_per_s
     }
 }
--- a/crates/slopes/src/role_rows.rs
+++ b/crates/slopes/src/role_rows.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 
 use crate::figures::Figures;
-use crate::role_rows::Amount::Above;
+use crate::role_rows::Amount::InEarlierRow;
 use crate::role_rows::Amount::Measured;
 use crate::role_rows::Amount::Missing;
 use crate::role_rows::Amount::OnDemand;
@@ -17,7 +17,7 @@
 use crate::roles::home_endpoints;
 use crate::roles::load_reports;
 use crate::roles::tools;
-use crate::svg::short;
+use crate::svg::format_short;
 use crate::target;
 
 const KB: f64 = 1_024.0;
@@ -32,7 +32,7 @@
     /// It was not measured.
     Missing,
     /// It is part of an earlier row.
-    Above,
+    InEarlierRow,
     /// The role has none while nobody asks.
     OnDemand,
 }
@@ -42,7 +42,7 @@
     pub fn or_zero(self) -> f64 {
         match self {
             Self::Measured(value) => value,
-            Self::Missing | Self::Above | Self::OnDemand => 0.0,
+            Self::Missing | Self::InEarlierRow | Self::OnDemand => 0.0,
         }
     }
 }
@@ -50,9 +50,9 @@
 impl fmt::Display for Amount {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Measured(value) => f.write_str(&short(*value)),
+            Self::Measured(value) => f.write_str(&format_short(*value)),
             Self::Missing => f.write_str("not measured"),
-            Self::Above => f.write_str("(above)"),
+            Self::InEarlierRow => f.write_str("(above)"),
             Self::OnDemand => f.write_str("when asked"),
         }
     }
@@ -84,20 +84,20 @@
 /// Returns the rows in the order of the page.
 pub fn role_rows(figures: &Figures) -> Vec<RoleRow> {
     vec![
-        entry(figures),
-        endpoint_home(figures),
-        account_home(figures),
-        load_reading(figures),
-        membership(figures),
-        configuration(figures),
-        claim_rows(figures),
-        coordinating(figures),
-        operators(figures),
+        entry_router_row(figures),
+        endpoint_home_row(figures),
+        account_home_row(figures),
+        load_report_row(figures),
+        membership_row(figures),
+        configuration_row(figures),
+        claims_row(figures),
+        coordinator_row(figures),
+        operator_tools_row(figures),
     ]
 }
 
-fn entry(f: &Figures) -> RoleRow {
-    let at = |metric| f.at(&fleet::NODES, metric);
+fn entry_router_row(f: &Figures) -> RoleRow {
+    let at = |metric| f.at_target(&fleet::NODES, metric);
     let requests_per_s = target::REQUESTS_PER_S / target::NODES;
     let micros = at("entry_cpu_us") * requests_per_s + at("timer_cpu_ms") * 1e3;
     RoleRow {
@@ -110,14 +110,14 @@
         messages_per_s: Measured(at("entry_messages")),
         payload_bytes_per_s: Measured(at("entry_payload")),
         wire_bytes_per_s: Measured(at("entry_wire")),
-        core_percent: Measured(percent(micros)),
+        core_percent: Measured(core_percent(micros)),
         memory_kb: Measured(at("memory_kb")),
         module: "`entry`, `entry_pool`",
     }
 }
 
-fn endpoint_home(f: &Figures) -> RoleRow {
-    let at = |metric| f.at(&fleet::NODES, metric);
+fn endpoint_home_row(f: &Figures) -> RoleRow {
+    let at = |metric| f.at_target(&fleet::NODES, metric);
     let requests_per_s = target::REQUESTS_PER_S / target::POOLS;
     let micros = at("home_cpu_us") * requests_per_s + at("home_timer_cpu_ms") * 1e3;
     let stream_overhead = sedgeridge_transport::peers::STREAM_OVERHEAD_BYTES as f64;
@@ -126,40 +126,40 @@
         place: "4 nodes, one pool each",
         state: format!(
             "550 endpoints, {} KB for each one more; the grants of {:.0} requests, {} KB for each",
-            short(f.slope(&home_endpoints::ENDPOINTS, "memory_kb")),
+            format_short(f.slope_at_target(&home_endpoints::ENDPOINTS, "memory_kb")),
             target::streams() / target::POOLS,
-            short(f.slope(&home::TAKEOVER, "memory_kb"))
+            format_short(f.slope_at_target(&home::TAKEOVER, "memory_kb"))
         ),
         messages_per_s: Measured(at("home_messages")),
         payload_bytes_per_s: Measured(at("home_wire_out") - at("home_messages") * stream_overhead),
         wire_bytes_per_s: Measured(at("home_wire_out")),
-        core_percent: Measured(percent(micros)),
-        memory_kb: Measured(f.at(&home::TAKEOVER, "memory_kb")),
+        core_percent: Measured(core_percent(micros)),
+        memory_kb: Measured(f.at_target(&home::TAKEOVER, "memory_kb")),
         module: "`pool_home`, `homed_pool`",
     }
 }
 
-fn account_home(f: &Figures) -> RoleRow {
+fn account_home_row(f: &Figures) -> RoleRow {
     RoleRow {
         role: "account home",
         place: "the pool's home keeps the account order",
         state: format!(
             "6,900 accounts, {:.2} KB for each one more",
-            f.slope(&home::ACCOUNTS, "memory_kb")
+            f.slope_at_target(&home::ACCOUNTS, "memory_kb")
         ),
-        messages_per_s: Above,
-        payload_bytes_per_s: Above,
-        wire_bytes_per_s: Above,
-        core_percent: Above,
-        memory_kb: Measured(f.at(&home::ACCOUNTS, "memory_kb")),
+        messages_per_s: InEarlierRow,
+        payload_bytes_per_s: InEarlierRow,
+        wire_bytes_per_s: InEarlierRow,
+        core_percent: InEarlierRow,
+        memory_kb: Measured(f.at_target(&home::ACCOUNTS, "memory_kb")),
         module: "`account_table`, `service_ledger`; its messages and time are the endpoint home's",
     }
 }
 
-fn load_reading(f: &Figures) -> RoleRow {
-    let at = |metric| f.at(&load_reports::READS, metric);
-    let reads_per_s = f.at(&fleet::NODES, "home_load_reads");
-    let decisions_us = f.at(&fleet::NODES, "home_load_cpu_us") * reads_per_s;
+fn load_report_row(f: &Figures) -> RoleRow {
+    let at = |metric| f.at_target(&load_reports::READS, metric);
+    let reads_per_s = f.at_target(&fleet::NODES, "home_load_reads");
+    let decisions_us = f.at_target(&fleet::NODES, "home_load_cpu_us") * reads_per_s;
     let segment_bytes = load_reports::SEGMENT_OVERHEAD_BYTES as f64 * 2.0;
     let wire = at("sent_wire_kb") * KB;
     RoleRow {
@@ -169,34 +169,34 @@
         messages_per_s: Measured(reads_per_s),
         payload_bytes_per_s: Measured(wire - reads_per_s * segment_bytes),
         wire_bytes_per_s: Measured(wire),
-        core_percent: Measured(percent(at("cpu_ms") * 1e3 + decisions_us)),
-        memory_kb: Above,
+        core_percent: Measured(core_percent(at("cpu_ms") * 1e3 + decisions_us)),
+        memory_kb: InEarlierRow,
         module: "`load_reads`, `endpoint_health`",
     }
 }
 
-fn membership(f: &Figures) -> RoleRow {
-    let at = |metric| f.at(&fleet::NODES, metric);
+fn membership_row(f: &Figures) -> RoleRow {
+    let at = |metric| f.at_target(&fleet::NODES, metric);
     RoleRow {
         role: "membership",
         place: "every node",
         state: format!(
             "400 members; a node's memory grows by {} KB with each node and its share of all else (in the entry router's row)",
-            short(f.slope(&fleet::NODES, "memory_kb"))
+            format_short(f.slope_at_target(&fleet::NODES, "memory_kb"))
         ),
         messages_per_s: Measured(at("member_messages")),
         payload_bytes_per_s: Measured(at("member_payload")),
         wire_bytes_per_s: Measured(at("member_wire")),
-        core_percent: Measured(percent(at("member_cpu_us"))),
-        memory_kb: Above,
+        core_percent: Measured(core_percent(at("member_cpu_us"))),
+        memory_kb: InEarlierRow,
         module: "`membership`",
     }
 }
 
-fn configuration(f: &Figures) -> RoleRow {
-    let changes_per_s = target::CHANGES_PER_DAY / target::DAY_SECONDS;
-    let wire = f.at(&config_spread::SPREAD, "peer_wire") * changes_per_s;
-    let micros = f.at(&config::ACCOUNTS, "adopt_cpu_ms") * 1e3 * changes_per_s;
+fn configuration_row(f: &Figures) -> RoleRow {
+    let changes_per_s = target::CONFIG_CHANGES_PER_DAY / target::SECONDS_PER_DAY;
+    let wire = f.at_target(&config_spread::SPREAD, "peer_wire") * changes_per_s;
+    let micros = f.at_target(&config::ACCOUNTS, "adopt_cpu_ms") * 1e3 * changes_per_s;
     let messages = 2.0 * changes_per_s;
     let overhead = sedgeridge_transport::peers::STREAM_OVERHEAD_BYTES as f64;
     RoleRow {
@@ -206,14 +206,14 @@
         messages_per_s: Measured(messages),
         payload_bytes_per_s: Measured(wire - messages * overhead),
         wire_bytes_per_s: Measured(wire),
-        core_percent: Measured(percent(micros)),
-        memory_kb: Measured(f.at(&config::ACCOUNTS, "node_memory_kb")),
+        core_percent: Measured(core_percent(micros)),
+        memory_kb: Measured(f.at_target(&config::ACCOUNTS, "node_memory_kb")),
         module: "`config_adoption`, `node_config`",
     }
 }
 
-fn claim_rows(f: &Figures) -> RoleRow {
-    let at = |metric| f.at(&claims::RATE, metric);
+fn claims_row(f: &Figures) -> RoleRow {
+    let at = |metric| f.at_target(&claims::RATE, metric);
     RoleRow {
         role: "claims",
         place: "every node",
@@ -221,15 +221,15 @@
         messages_per_s: Measured(at("transactions")),
         payload_bytes_per_s: Measured(at("call_bytes")),
         wire_bytes_per_s: Missing,
-        core_percent: Measured(percent(at("cpu_us"))),
+        core_percent: Measured(core_percent(at("cpu_us"))),
         memory_kb: Missing,
         module: "`claims`, `node_claims`",
     }
 }
 
-fn coordinating(f: &Figures) -> RoleRow {
-    let lease = |metric| f.at(&coordinator::LEASE, metric);
-    let orders = |metric| f.at(&coordinator::ORDERS, metric);
+fn coordinator_row(f: &Figures) -> RoleRow {
+    let lease = |metric| f.at_target(&coordinator::LEASE, metric);
+    let orders = |metric| f.at_target(&coordinator::ORDERS, metric);
     RoleRow {
         role: "coordinator",
         place: "one holder; 7 candidates assumed, one a data centre",
@@ -237,7 +237,9 @@
         messages_per_s: Measured((lease("reads") + lease("writes")) / lease_candidates()),
         payload_bytes_per_s: Missing,
         wire_bytes_per_s: Missing,
-        core_percent: Measured(percent(orders("tick_cpu_us") * COORDINATOR_TICKS_PER_S)),
+        core_percent: Measured(core_percent(
+            orders("tick_cpu_us") * COORDINATOR_TICKS_PER_S,
+        )),
         memory_kb: Measured(orders("memory_kb")),
         module: "`lease`, `orders`",
     }
@@ -247,16 +249,19 @@
     coordinator::LEASE.target
 }
 
-fn operators(f: &Figures) -> RoleRow {
+fn operator_tools_row(f: &Figures) -> RoleRow {
     RoleRow {
         role: "operators' tools",
         place: "an operator's machine; a page of each router when asked",
-        state: format!("base file of {:.0} KB", f.at(&tools::NODES, "file_kb")),
+        state: format!(
+            "base file of {:.0} KB",
+            f.at_target(&tools::NODES, "file_kb")
+        ),
         messages_per_s: OnDemand,
         payload_bytes_per_s: OnDemand,
         wire_bytes_per_s: OnDemand,
         core_percent: OnDemand,
-        memory_kb: Measured(f.at(&tools::NODES, "load_memory_kb")),
+        memory_kb: Measured(f.at_target(&tools::NODES, "load_memory_kb")),
         module: "`sedgeridge` command line",
     }
 }
@@ -297,14 +302,14 @@
 }
 
 /// Returns what the data path costs a node: processor in percent of a core, memory in KB, threads.
-pub fn data_path_of(f: &Figures) -> (f64, f64, f64) {
-    let at = |metric| f.at(&data_path::STREAMS, metric);
-    let per_request_ms = f.slope(&data_path::REQUESTS, "cpu_ms");
+pub fn data_path_cost(f: &Figures) -> (f64, f64, f64) {
+    let at = |metric| f.at_target(&data_path::STREAMS, metric);
+    let per_request_ms = f.slope_at_target(&data_path::REQUESTS, "cpu_ms");
     let requests_per_s = target::REQUESTS_PER_S / target::NODES;
     let millis = at("cpu_ms") + per_request_ms * requests_per_s;
-    (percent(millis * 1e3), at("memory_kb"), at("threads"))
+    (core_percent(millis * 1e3), at("memory_kb"), at("threads"))
 }
 
-fn percent(micros_per_s: f64) -> f64 {
+fn core_percent(micros_per_s: f64) -> f64 {
     micros_per_s / 1e6 * 100.0
 }
--- a/crates/slopes/src/roles/claims.rs
+++ b/crates/slopes/src/roles/claims.rs
@@ -36,10 +36,10 @@
 /// Assumption: time a plain service takes for one request.
 const SERVICE_TIME: Duration = Duration::from_millis(50);
 /// Assumption: size of an answer that is kept for repeats.
-const ANSWER_BYTES: usize = 200;
+const RECORDED_ANSWER_BYTES: usize = 200;
 const MEASURED_TIME: Duration = Duration::from_secs(6_000);
 const QUICK_MEASURED_TIME: Duration = Duration::from_secs(120);
-const TICK: Duration = Duration::from_millis(5);
+const TICK_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Claims of one router.
 pub const RATE: Bench = Bench {
@@ -47,7 +47,7 @@
     size_title: "claims a router and 10 seconds",
     sizes: &[1, 2, 4, 8, 16],
     quick_sizes: &[4, 8, 12, 16],
-    target: target::CLAIMED_PERCENT / 10.0 * target::REQUESTS_PER_S / target::NODES,
+    target: target::CLAIMED_REQUESTS_PERCENT / 10.0 * target::REQUESTS_PER_S / target::NODES,
     metrics: &[
         Metric {
             name: "transactions",
@@ -71,7 +71,7 @@
 };
 
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
+enum PendingEvent {
     Arrival,
     Answer(usize),
     Ended(RequestId),
@@ -79,11 +79,11 @@
 }
 
 /// One router's claims, and the table.
-struct Router {
+struct SimulatedRouter {
     claims: Claims,
     table: MemoryTable,
     now: Duration,
-    queue: BinaryHeap<Reverse<(Duration, u64, Due)>>,
+    queue: BinaryHeap<Reverse<(Duration, u64, PendingEvent)>>,
     answers: Vec<Option<StoreEvent>>,
     sequence: u64,
     watch: Stopwatch,
@@ -96,7 +96,7 @@
     } else {
         MEASURED_TIME
     };
-    let mut router = Router {
+    let mut router = SimulatedRouter {
         claims: Claims::new(ClaimSettings::default(), STARTED_UNIX_MS, point.seed),
         table: MemoryTable::default(),
         now: Duration::ZERO,
@@ -106,59 +106,59 @@
         watch: Stopwatch::start(),
         random: Random::new(point.seed),
     };
-    router.schedule(Duration::ZERO, Due::Arrival);
-    router.schedule(Duration::ZERO, Due::Tick);
-    router.run(time, point.size as f64 / 10.0);
+    router.schedule(Duration::ZERO, PendingEvent::Arrival);
+    router.schedule(Duration::ZERO, PendingEvent::Tick);
+    router.run_until(time, point.size as f64 / 10.0);
     let seconds = time.as_secs_f64();
     let mut sample = Sample::default();
     sample.set("transactions", router.table.transactions as f64 / seconds);
     sample.set("rows", router.table.rows_written as f64 / seconds);
     sample.set("call_bytes", router.table.call_bytes as f64 / seconds);
-    sample.set("cpu_us", router.watch.micros() / seconds);
+    sample.set("cpu_us", router.watch.cpu_micros() / seconds);
     sample
 }
 
-impl Router {
-    fn run(&mut self, time: Duration, rate_per_s: f64) {
-        while let Some(Reverse((at, _, due))) = self.queue.pop() {
+impl SimulatedRouter {
+    fn run_until(&mut self, time: Duration, rate_per_s: f64) {
+        while let Some(Reverse((at, _, pending))) = self.queue.pop() {
             if at > time {
                 return;
             }
             self.now = at;
-            match due {
-                Due::Arrival => {
-                    let pause = self.random.exponential(rate_per_s);
-                    self.schedule(at + Duration::from_secs_f64(pause), Due::Arrival);
-                    let claim = self.claim();
-                    self.event(ClaimEvent::Claim(claim));
+            match pending {
+                PendingEvent::Arrival => {
+                    let pause = self.random.exponential_interval_s(rate_per_s);
+                    self.schedule(at + Duration::from_secs_f64(pause), PendingEvent::Arrival);
+                    let claim = self.new_claim();
+                    self.handle_event(ClaimEvent::Claim(claim));
                 }
-                Due::Answer(index) => {
+                PendingEvent::Answer(index) => {
                     let answer = self.answers[index].take();
-                    self.event(ClaimEvent::Store(answer.expect("an answer comes once")));
+                    self.handle_event(ClaimEvent::Store(answer.expect("an answer comes once")));
                 }
-                Due::Ended(request) => {
-                    let body = RecordedBody::Inline(Arc::from("x".repeat(ANSWER_BYTES)));
+                PendingEvent::Ended(request) => {
+                    let body = RecordedBody::Inline(Arc::from("x".repeat(RECORDED_ANSWER_BYTES)));
                     let answer = RecordedAnswer { status: 200, body };
                     let outcome = ClaimOutcome::Ran(answer);
-                    self.event(ClaimEvent::Finished { request, outcome });
+                    self.handle_event(ClaimEvent::Finished { request, outcome });
                 }
-                Due::Tick => {
+                PendingEvent::Tick => {
                     if self.claims.next_wake().is_some_and(|wake| wake <= at) {
-                        self.event(ClaimEvent::Tick);
+                        self.handle_event(ClaimEvent::Tick);
                     }
-                    self.schedule(at + TICK, Due::Tick);
+                    self.schedule(at + TICK_INTERVAL, PendingEvent::Tick);
                 }
             }
         }
     }
 
-    fn claim(&mut self) -> ClaimRequest {
+    fn new_claim(&mut self) -> ClaimRequest {
         let key = self.sequence;
         ClaimRequest {
             request: RequestId::from(key.to_string().as_str()),
             account: design::account_id(self.random.below(6_900) as usize),
             idempotency_key: Arc::from(format!("deposit-{key:012}")),
-            body_hash: BodyHash(self.random.any()),
+            body_hash: BodyHash(self.random.next_u64()),
             attempt: AttemptId {
                 member: Member {
                     host: design::host_id(0),
@@ -169,20 +169,21 @@
         }
     }
 
-    fn event(&mut self, event: ClaimEvent) {
+    fn handle_event(&mut self, event: ClaimEvent) {
         let mut actions = Vec::new();
         let (claims, now) = (&mut self.claims, self.now);
-        self.watch.time(|| claims.handle(now, event, &mut actions));
+        self.watch
+            .measure(|| claims.handle(now, event, &mut actions));
         for action in actions {
             match action {
                 ClaimAction::Store(call) => {
-                    let answer = self.table.call(&call);
+                    let answer = self.table.execute(&call);
                     self.answers.push(Some(answer));
                     let index = self.answers.len() - 1;
-                    self.schedule(self.now + TABLE_DELAY, Due::Answer(index));
+                    self.schedule(self.now + TABLE_DELAY, PendingEvent::Answer(index));
                 }
                 ClaimAction::Dispatch(request) => {
-                    self.schedule(self.now + SERVICE_TIME, Due::Ended(request));
+                    self.schedule(self.now + SERVICE_TIME, PendingEvent::Ended(request));
                 }
                 ClaimAction::Replay { .. } | ClaimAction::Refuse { .. } => {
                     unreachable!("keys are new and the table answers")
@@ -191,8 +192,8 @@
         }
     }
 
-    fn schedule(&mut self, at: Duration, due: Due) {
+    fn schedule(&mut self, at: Duration, pending: PendingEvent) {
         self.sequence += 1;
-        self.queue.push(Reverse((at, self.sequence, due)));
+        self.queue.push(Reverse((at, self.sequence, pending)));
     }
 }
--- a/crates/slopes/src/roles/config.rs
+++ b/crates/slopes/src/roles/config.rs
@@ -36,11 +36,11 @@
 use crate::target;
 
 /// Changes over which the processor time is averaged.
-const CHANGES: u64 = 20;
+const MEASURED_CHANGES: u64 = 20;
 /// Polls after which a change must be in force.
 const MAX_POLLS: u32 = 10;
 /// Time after which a router looks at the head again.
-const POLL_TIME: Duration = Duration::from_secs(60);
+const POLL_INTERVAL: Duration = Duration::from_secs(60);
 
 /// Accounts in the configuration, beside the hosts and endpoints of the size to design for.
 pub const ACCOUNTS: Bench = Bench {
@@ -74,37 +74,37 @@
 fn measure(point: Point) -> Sample {
     let size = FleetSize {
         accounts: point.size as usize,
-        ..FleetSize::of_nodes(target::NODES as usize)
+        ..FleetSize::for_nodes(target::NODES as usize)
     };
     let document = ConfigDocument::from_texts(&base_text(size), &[]);
     let before = meter::resident_bytes();
     let mut follower = Follower::new(&document);
-    follower.follow(1, whole(&document));
+    follower.follow(1, snapshot(&document));
     let memory = meter::resident_bytes().saturating_sub(before);
     follower.watch = Stopwatch::start();
-    for generation in 2..2 + CHANGES {
+    for generation in 2..2 + MEASURED_CHANGES {
         follower.follow(generation, weight_change(generation));
     }
-    let cpu_ms = follower.watch.micros() / 1e3;
+    let cpu_ms = follower.watch.cpu_micros() / 1e3;
     let mut sample = Sample::default();
-    sample.set("adopt_cpu_ms", cpu_ms / CHANGES as f64);
+    sample.set("adopt_cpu_ms", cpu_ms / MEASURED_CHANGES as f64);
     sample.set("node_memory_kb", memory as f64 / 1_024.0);
     let whole = message_bytes(ConfigMessage::Changes {
         call: CallId(1),
-        items: vec![config_item(1, whole(&document))],
+        items: vec![config_item(1, snapshot(&document))],
     });
     sample.set("whole_kb", whole as f64 / 1_024.0);
-    let asked = message_bytes(ConfigMessage::ChangesWanted {
+    let request_bytes = message_bytes(ConfigMessage::ChangesWanted {
         call: CallId(1),
         after: Some(Generation(11_000)),
     });
-    let told = message_bytes(ConfigMessage::Changes {
+    let answer_bytes = message_bytes(ConfigMessage::Changes {
         call: CallId(1),
         items: vec![config_item(2, weight_change(2))],
     });
     sample.set(
         "delta_wire",
-        (asked + told + 2 * STREAM_OVERHEAD_BYTES) as f64,
+        (request_bytes + answer_bytes + 2 * STREAM_OVERHEAD_BYTES) as f64,
     );
     sample
 }
@@ -139,7 +139,7 @@
     fn follow(&mut self, generation: u64, content: ConfigContent) {
         let change = config_item(generation, content);
         for _ in 0..MAX_POLLS {
-            self.now += POLL_TIME;
+            self.now += POLL_INTERVAL;
             if self.poll(&change) {
                 return;
             }
@@ -154,7 +154,7 @@
         while let Some(event) = events.pop() {
             let mut actions = Vec::new();
             let (node, now) = (&mut self.node, self.now);
-            self.watch.time(|| node.handle(now, event, &mut actions));
+            self.watch.measure(|| node.handle(now, event, &mut actions));
             for action in actions {
                 match action {
                     NodeAction::ReadConfig(read) => {
@@ -182,7 +182,7 @@
     }
 }
 
-fn whole(document: &ConfigDocument) -> ConfigContent {
+fn snapshot(document: &ConfigDocument) -> ConfigContent {
     ConfigContent::Snapshot(document.clone())
 }
 
--- a/crates/slopes/src/roles/config_spread.rs
+++ b/crates/slopes/src/roles/config_spread.rs
@@ -9,7 +9,7 @@
 use crate::design;
 use crate::design::FleetSize;
 use crate::fleet::Fleet;
-use crate::fleet::costs::Work;
+use crate::fleet::costs::Component;
 use crate::random::Random;
 use crate::roles::Bench;
 use crate::roles::Metric;
@@ -21,13 +21,13 @@
 
 const JOIN_TIME: Duration = Duration::from_secs(20);
 const STEP: Duration = Duration::from_millis(10);
-const LIMIT: Duration = Duration::from_secs(60);
+const IN_FORCE_LIMIT: Duration = Duration::from_secs(60);
 /// Time between two changes; 11,000 a day come each 7.9 s.
 const CHANGE_INTERVAL: Duration = Duration::from_millis(7_854);
 const CHANGES: u64 = 10;
 const QUICK_CHANGES: u64 = 3;
 /// Accounts and endpoints stay few, since each host reads the whole at each change.
-const SMALL: usize = 70;
+const ACCOUNTS_AND_ENDPOINTS: usize = 70;
 
 /// Changes that hosts hear of from each other and from the table.
 pub const SPREAD: Bench = Bench {
@@ -61,15 +61,15 @@
 fn measure(point: Point) -> Sample {
     let size = FleetSize {
         nodes: point.size as usize,
-        endpoints: SMALL,
-        accounts: SMALL,
+        endpoints: ACCOUNTS_AND_ENDPOINTS,
+        accounts: ACCOUNTS_AND_ENDPOINTS,
         requests_per_s: 1,
     };
     let mut settings = design::settings(size);
     settings.platform.configuration = ConfigurationSource::Table;
     let mut fleet = Fleet::with_settings(size, &settings, point.seed);
     fleet.accept_whole(ConfigDocument::from_texts(&base_text(size), &[]));
-    fleet.run(JOIN_TIME);
+    fleet.run_for(JOIN_TIME);
     fleet.reset_costs();
     fleet.config.reads = 0;
     let changes = if point.quick { QUICK_CHANGES } else { CHANGES };
@@ -79,17 +79,17 @@
     for _ in 0..changes {
         // A change comes at any moment of the hosts' timers.
         let pause = Duration::from_millis(random.below(1_000));
-        fleet.run(pause);
-        let next = fleet.config.newest() + 1;
+        fleet.run_for(pause);
+        let next = fleet.config.newest_generation() + 1;
         fleet.config.accept(weight_change(next));
-        let time = until_in_force(&mut fleet, size.nodes);
+        let time = run_until_in_force(&mut fleet, size.nodes);
         let rest = CHANGE_INTERVAL.saturating_sub(time + pause);
-        fleet.run(rest);
+        fleet.run_for(rest);
         total += pause + time + rest;
         times.push(time.as_secs_f64());
     }
     let wire = fleet.nodes.iter().map(|node| {
-        let sent = node.costs.sent_of(Work::Configuration);
+        let sent = node.costs.sent_of(Component::Configuration);
         sent.wire_bytes(STREAM_OVERHEAD_BYTES) as f64
     });
     let wire: f64 = wire.sum();
@@ -102,10 +102,10 @@
     sample
 }
 
-fn until_in_force(fleet: &mut Fleet, nodes: usize) -> Duration {
+fn run_until_in_force(fleet: &mut Fleet, nodes: usize) -> Duration {
     let mut time = Duration::ZERO;
-    while fleet.config.up_to_date() < nodes && time < LIMIT {
-        fleet.run(STEP);
+    while fleet.config.up_to_date_hosts() < nodes && time < IN_FORCE_LIMIT {
+        fleet.run_for(STEP);
         time += STEP;
     }
     time
--- a/crates/slopes/src/roles/coordinator.rs
+++ b/crates/slopes/src/roles/coordinator.rs
@@ -36,8 +36,8 @@
 const LEASE_STEP: Duration = Duration::from_millis(50);
 const TICK: Duration = Duration::from_millis(50);
 /// Orders over which the processor time is averaged.
-const ORDERS_GIVEN: usize = 100;
-const FAR: Duration = Duration::from_secs(3_600);
+const MEASURED_ORDERS: usize = 100;
+const LEASE_DEADLINE: Duration = Duration::from_secs(3_600);
 
 /// Hosts that run a coordinator.
 pub const LEASE: Bench = Bench {
@@ -107,7 +107,7 @@
     let mut now = Duration::ZERO;
     while now < LEASE_TIME {
         for lease in &mut hosts {
-            lease_event(lease, now, LeaseEvent::Tick, &mut table);
+            handle_lease_event(lease, now, LeaseEvent::Tick, &mut table);
         }
         now += LEASE_STEP;
     }
@@ -118,14 +118,19 @@
     sample
 }
 
-fn lease_event(lease: &mut Lease, now: Duration, event: LeaseEvent, table: &mut MemoryTable) {
+fn handle_lease_event(
+    lease: &mut Lease,
+    now: Duration,
+    event: LeaseEvent,
+    table: &mut MemoryTable,
+) {
     let mut events = vec![event];
     while let Some(event) = events.pop() {
         let mut actions = Vec::new();
         lease.handle(now, event, &mut actions);
         for action in actions {
             if let LeaseAction::Store(call) = action {
-                events.push(LeaseEvent::Store(table.call(&call)));
+                events.push(LeaseEvent::Store(table.execute(&call)));
             }
         }
     }
@@ -135,19 +140,19 @@
     let before = meter::resident_bytes();
     let mut holder = Holder::new(point.size as usize);
     let transactions_before = holder.table.transactions;
-    for index in 0..ORDERS_GIVEN {
-        holder.order(&design::endpoint_id(index));
+    for index in 0..MEASURED_ORDERS {
+        holder.run_order(&design::endpoint_id(index));
     }
     let transactions = holder.table.transactions - transactions_before;
     let memory = meter::resident_bytes().saturating_sub(before);
-    let orders = ORDERS_GIVEN as f64;
+    let orders = MEASURED_ORDERS as f64;
     let mut sample = Sample::default();
-    sample.set("order_cpu_us", holder.order_watch.micros() / orders);
+    sample.set("order_cpu_us", holder.order_watch.cpu_micros() / orders);
     let ticks = f64::from(holder.ticks.max(1));
-    sample.set("tick_cpu_us", holder.tick_watch.micros() / ticks);
+    sample.set("tick_cpu_us", holder.tick_watch.cpu_micros() / ticks);
     sample.set("memory_kb", memory as f64 / 1_024.0);
     sample.set("transactions", transactions as f64 / orders);
-    let row_bytes = holder.table.rows_bytes() as f64 / holder.table.rows() as f64;
+    let row_bytes = holder.table.row_bytes() as f64 / holder.table.row_count() as f64;
     sample.set("recover_kb", row_bytes * point.size as f64 / 1_024.0);
     sample
 }
@@ -160,7 +165,7 @@
     order_watch: Stopwatch,
     tick_watch: Stopwatch,
     ticks: u32,
-    open: usize,
+    open_orders: usize,
 }
 
 impl Holder {
@@ -174,7 +179,7 @@
             order_watch: Stopwatch::start(),
             tick_watch: Stopwatch::start(),
             ticks: 0,
-            open: 0,
+            open_orders: 0,
         };
         let pools = target::POOLS as usize;
         let endpoints = (0..engines).map(|index| OrderEndpoint {
@@ -186,49 +191,49 @@
             pool: design::pool_id(index),
             floor: 1,
         });
-        holder.event(OrderEvent::Configured {
+        holder.handle_event(OrderEvent::Configured {
             endpoints: endpoints.collect(),
             floors: floors.collect(),
         });
         for index in 0..engines {
-            holder.event(OrderEvent::EndpointState {
+            holder.handle_event(OrderEvent::EndpointState {
                 endpoint: design::endpoint_id(index),
                 serving: true,
                 in_progress: 0,
                 as_of: Duration::ZERO,
             });
         }
-        holder.event(OrderEvent::Lease(Some(HeldLease {
+        holder.handle_event(OrderEvent::Lease(Some(HeldLease {
             fencing: FencingNumber(1),
             epoch_version,
-            deadline: FAR,
+            deadline: LEASE_DEADLINE,
             unfenced_orders_from: Duration::ZERO,
         })));
         holder
     }
 
     /// Gives one order and waits until it has ended.
-    fn order(&mut self, endpoint: &EndpointId) {
-        self.open += 1;
-        self.event(OrderEvent::Requested {
+    fn run_order(&mut self, endpoint: &EndpointId) {
+        self.open_orders += 1;
+        self.handle_event(OrderEvent::Requested {
             endpoint: endpoint.clone(),
             order: EngineOrder::Unload("adapter-v7".into()),
         });
-        while self.open > 0 {
+        while self.open_orders > 0 {
             self.now += TICK;
             self.ticks += 1;
-            self.event(OrderEvent::EndpointState {
+            self.handle_event(OrderEvent::EndpointState {
                 endpoint: endpoint.clone(),
                 serving: true,
                 in_progress: 0,
                 as_of: self.now,
             });
-            self.event(OrderEvent::Tick);
-            assert!(self.now < FAR, "an order ends before the lease");
+            self.handle_event(OrderEvent::Tick);
+            assert!(self.now < LEASE_DEADLINE, "an order ends before the lease");
         }
     }
 
-    fn event(&mut self, event: OrderEvent) {
+    fn handle_event(&mut self, event: OrderEvent) {
         let mut events = vec![event];
         while let Some(event) = events.pop() {
             let watch = match event {
@@ -237,11 +242,11 @@
             };
             let mut actions = Vec::new();
             let (orders, now) = (&mut self.orders, self.now);
-            watch.time(|| orders.handle(now, event, &mut actions));
+            watch.measure(|| orders.handle(now, event, &mut actions));
             for action in actions {
                 match action {
                     OrderAction::Store(call) => {
-                        events.push(OrderEvent::Store(self.table.call(&call)));
+                        events.push(OrderEvent::Store(self.table.execute(&call)));
                     }
                     OrderAction::Send(order) => events.push(OrderEvent::Answered {
                         endpoint: order.endpoint,
@@ -251,7 +256,7 @@
                     OrderAction::Drain(endpoint) => {
                         events.push(OrderEvent::DrainAnnounced { endpoint });
                     }
-                    OrderAction::Ended { .. } => self.open -= 1,
+                    OrderAction::Ended { .. } => self.open_orders -= 1,
                     _ => {}
                 }
             }
--- a/crates/slopes/src/roles/data_path.rs
+++ b/crates/slopes/src/roles/data_path.rs
@@ -30,7 +30,7 @@
 const KEY: &str = "slopes-key";
 const KEY_SHA256: &str = "8f3e59899bc98dd41da0d3af38a16ce6d47ac9e21aea0b47969015274bb34eeb";
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
-const POLL: Duration = Duration::from_millis(50);
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Time until all streams are open.
 const OPEN_TIME: Duration = Duration::from_secs(4);
 const MEASURED_TIME: Duration = Duration::from_secs(8);
@@ -38,7 +38,7 @@
 const MAX_TOKENS: u32 = 4_000;
 const SLOTS: u32 = 400;
 /// Callers that send one short request after another.
-const CALLERS: u64 = 8;
+const CALLER_COUNT: u64 = 8;
 
 /// Streams open at one router.
 pub const STREAMS: Bench = Bench {
@@ -81,44 +81,44 @@
 };
 
 fn measure_streams(point: Point) -> Sample {
-    let rig = Rig::start(target::TOKEN_INTERVAL_MS).expect("router and engine start");
+    let processes = Processes::start(target::TOKEN_INTERVAL_MS).expect("router and engine start");
     let body = chat_body(MAX_TOKENS);
     for _ in 0..point.size {
-        let stream = rig.send(&body).expect("the router takes the request");
+        let stream = processes.send(&body).expect("the router takes the request");
         thread::spawn(move || drain(stream));
     }
     thread::sleep(OPEN_TIME);
-    let id = rig.router.id();
-    let begin = (Instant::now(), meter::process_time(id));
-    let waits = meter::waits(id);
+    let id = processes.router.id();
+    let at_start = (Instant::now(), meter::process_cpu_time(id));
+    let waits = meter::voluntary_context_switches(id);
     thread::sleep(MEASURED_TIME);
-    let cpu = meter::process_time(id) - begin.1;
-    let waits = meter::waits(id) - waits;
-    let seconds = begin.0.elapsed().as_secs_f64();
+    let cpu = meter::process_cpu_time(id) - at_start.1;
+    let waits = meter::voluntary_context_switches(id) - waits;
+    let seconds = at_start.0.elapsed().as_secs_f64();
     let mut sample = Sample::default();
     sample.set("cpu_ms", cpu.as_secs_f64() * 1e3 / seconds);
     sample.set("waits", waits as f64 / seconds);
-    sample.set("memory_kb", meter::status_of(id, "VmRSS:") as f64);
-    sample.set("threads", meter::status_of(id, "Threads:") as f64);
+    sample.set("memory_kb", meter::status_field(id, "VmRSS:") as f64);
+    sample.set("threads", meter::status_field(id, "Threads:") as f64);
     sample
 }
 
 fn measure_requests(point: Point) -> Sample {
-    let rig = Rig::start(1.0).expect("router and engine start");
+    let processes = Processes::start(1.0).expect("router and engine start");
     let body = chat_body(1);
-    let id = rig.router.id();
-    let begin = meter::process_time(id);
+    let id = processes.router.id();
+    let cpu_before = meter::process_cpu_time(id);
     thread::scope(|scope| {
-        for _ in 0..CALLERS {
+        for _ in 0..CALLER_COUNT {
             scope.spawn(|| {
-                for _ in 0..point.size / CALLERS {
-                    let stream = rig.send(&body).expect("the router takes the request");
+                for _ in 0..point.size / CALLER_COUNT {
+                    let stream = processes.send(&body).expect("the router takes the request");
                     assert!(drain(stream) > 0, "every request has an answer");
                 }
             });
         }
     });
-    let cpu = meter::process_time(id) - begin;
+    let cpu = meter::process_cpu_time(id) - cpu_before;
     let mut sample = Sample::default();
     sample.set("cpu_ms", cpu.as_secs_f64() * 1e3);
     sample
@@ -141,17 +141,17 @@
 }
 
 /// One router before one engine, as processes of their own.
-struct Rig {
+struct Processes {
     router: Child,
     engine: Child,
     callers: SocketAddr,
     settings: PathBuf,
 }
 
-impl Rig {
+impl Processes {
     fn start(token_ms: f64) -> io::Result<Self> {
         let [engine_at, callers, peers, operators] = free_addresses()?;
-        let engine = program("sedgeridge-standins")?
+        let engine = sibling_program("sedgeridge-standins")?
             .args(["engine", "--listen", &engine_at.to_string()])
             .args(["--slots", &SLOTS.to_string()])
             .args(["--token-ms", &token_ms.to_string()])
@@ -167,30 +167,30 @@
         let file = format!("sedgeridge-slopes-{}.ini", std::process::id());
         let settings = std::env::temp_dir().join(file);
         fs::write(&settings, text)?;
-        let router = program("sedgeridge-router")?
+        let router = sibling_program("sedgeridge-router")?
             .arg("--config")
             .arg(&settings)
             .args(["--host", "r1"])
             .spawn()?;
-        let rig = Self {
+        let processes = Self {
             router,
             engine,
             callers,
             settings,
         };
-        rig.wait()?;
-        Ok(rig)
+        processes.wait_until_ready()?;
+        Ok(processes)
     }
 
     /// Waits until a request is answered.
-    fn wait(&self) -> io::Result<()> {
-        let begin = Instant::now();
+    fn wait_until_ready(&self) -> io::Result<()> {
+        let started_at = Instant::now();
         loop {
             let answered = self.send(&chat_body(1)).map(drain);
             match answered {
                 Ok(1..) => return Ok(()),
-                Err(error) if begin.elapsed() > READY_TIMEOUT => return Err(error),
-                _ => thread::sleep(POLL),
+                Err(error) if started_at.elapsed() > READY_TIMEOUT => return Err(error),
+                _ => thread::sleep(READY_POLL_INTERVAL),
             }
         }
     }
@@ -208,7 +208,7 @@
     }
 }
 
-impl Drop for Rig {
+impl Drop for Processes {
     fn drop(&mut self) {
         for child in [&mut self.router, &mut self.engine] {
             // It may have ended by itself, which is as good.
@@ -220,7 +220,7 @@
 }
 
 /// Names a program that stands beside this one.
-fn program(name: &str) -> io::Result<Command> {
+fn sibling_program(name: &str) -> io::Result<Command> {
     let path = std::env::current_exe()?.with_file_name(name);
     let mut command = Command::new(path);
     command.stdin(Stdio::null()).stdout(Stdio::null());
--- a/crates/slopes/src/roles/failures.rs
+++ b/crates/slopes/src/roles/failures.rs
@@ -15,14 +15,14 @@
 const FILL_TIME: Duration = Duration::from_secs(14);
 const AGREE_LIMIT: Duration = Duration::from_secs(60);
 /// Time of a cut that is simulated; nothing changes in it after the sides have settled.
-const CUT_TIME: Duration = Duration::from_secs(30);
+const PARTITION_TIME: Duration = Duration::from_secs(30);
 const STEP: Duration = Duration::from_millis(20);
 /// Time for homes that moved to settle.
 const SETTLE_TIME: Duration = Duration::from_secs(5);
 /// Time for which a planned stop is watched.
-const PLANNED_WINDOW: Duration = Duration::from_secs(10);
+const PLANNED_STOP_WINDOW: Duration = Duration::from_secs(10);
 /// Time over which the traffic before and after a failure is compared.
-const WINDOW: Duration = Duration::from_secs(15);
+const TRAFFIC_WINDOW: Duration = Duration::from_secs(15);
 
 const METRICS: &[Metric] = &[
     Metric {
@@ -116,55 +116,55 @@
     measure: measure_region,
 };
 
-fn filled(point: Point) -> Fleet {
-    let size = FleetSize::of_nodes(point.size as usize);
+fn loaded_fleet(point: Point) -> Fleet {
+    let size = FleetSize::for_nodes(point.size as usize);
     let mut fleet = Fleet::new(size, point.seed);
-    fleet.run(JOIN_TIME);
-    fleet.open();
-    fleet.run(FILL_TIME);
+    fleet.run_for(JOIN_TIME);
+    fleet.start_callers();
+    fleet.run_for(FILL_TIME);
     fleet
 }
 
 /// Runs for the window and returns what was sent in it.
 fn sent_in_window(fleet: &mut Fleet) -> (f64, f64) {
     fleet.reset_costs();
-    fleet.run(WINDOW);
+    fleet.run_for(TRAFFIC_WINDOW);
     let (messages, bytes) = fleet.sent();
     (messages as f64, bytes as f64)
 }
 
 fn measure_host(point: Point) -> Sample {
-    let mut fleet = filled(point);
+    let mut fleet = loaded_fleet(point);
     let home = fleet.home_of(&design::pool_id(0));
-    let mut sample = fail(&mut fleet, &[home.expect("a pool has a home")]);
-    fleet.run(SETTLE_TIME);
+    let mut sample = measure_failure(&mut fleet, &[home.expect("a pool has a home")]);
+    fleet.run_for(SETTLE_TIME);
     let planned_gap = planned_stop(&mut fleet);
     sample.set("planned_gap_s", planned_gap.as_secs_f64());
     sample
 }
 
 fn measure_site(point: Point) -> Sample {
-    let mut fleet = filled(point);
+    let mut fleet = loaded_fleet(point);
     let home = fleet.home_of(&design::pool_id(0));
-    let site = home.expect("a pool has a home") % design::SITES;
+    let site = home.expect("a pool has a home") % design::SITE_COUNT;
     let hosts: Vec<usize> = (0..point.size as usize)
-        .filter(|host| host % design::SITES == site)
+        .filter(|host| host % design::SITE_COUNT == site)
         .collect();
-    fail(&mut fleet, &hosts)
+    measure_failure(&mut fleet, &hosts)
 }
 
-fn fail(fleet: &mut Fleet, hosts: &[usize]) -> Sample {
+fn measure_failure(fleet: &mut Fleet, hosts: &[usize]) -> Sample {
     let before = sent_in_window(fleet);
     fleet.reset_costs();
     fleet.kill(hosts);
     let mut agreed_after = None;
-    let mut gap = Gap::new();
+    let mut gap = LongestGrantGap::new();
     let mut time = Duration::ZERO;
-    while time < WINDOW {
-        fleet.run(STEP);
+    while time < TRAFFIC_WINDOW {
+        fleet.run_for(STEP);
         time += STEP;
-        gap.look(fleet, time);
-        if agreed_after.is_none() && fleet.agrees() {
+        gap.observe(fleet, time);
+        if agreed_after.is_none() && fleet.is_membership_agreed() {
             agreed_after = Some(time);
         }
     }
@@ -184,25 +184,25 @@
 /// Tells the home of a pool to stop and returns the longest time without a grant in one pool.
 fn planned_stop(fleet: &mut Fleet) -> Duration {
     let home = fleet.home_of(&design::pool_id(0));
-    let mut gap = Gap::new();
-    gap.look(fleet, Duration::ZERO);
+    let mut gap = LongestGrantGap::new();
+    gap.observe(fleet, Duration::ZERO);
     fleet.stop(home.expect("a pool has a home"));
     let mut time = Duration::ZERO;
-    while time < PLANNED_WINDOW {
-        fleet.run(STEP);
+    while time < PLANNED_STOP_WINDOW {
+        fleet.run_for(STEP);
         time += STEP;
-        gap.look(fleet, time);
+        gap.observe(fleet, time);
     }
     gap.longest
 }
 
 /// The longest time in which one pool had no grant.
-struct Gap {
+struct LongestGrantGap {
     last: Vec<(u64, Duration)>,
     longest: Duration,
 }
 
-impl Gap {
+impl LongestGrantGap {
     fn new() -> Self {
         Self {
             last: vec![(0, Duration::ZERO); target::POOLS as usize],
@@ -210,7 +210,7 @@
         }
     }
 
-    fn look(&mut self, fleet: &Fleet, now: Duration) {
+    fn observe(&mut self, fleet: &Fleet, now: Duration) {
         let grants = fleet.grants();
         for (index, (last, at)) in self.last.iter_mut().enumerate() {
             let pool = design::pool_id(index);
@@ -225,15 +225,15 @@
 }
 
 fn measure_region(point: Point) -> Sample {
-    let mut fleet = filled(point);
+    let mut fleet = loaded_fleet(point);
     let before = sent_in_window(&mut fleet);
     let running_before = fleet.requests_running() as f64;
     let region: Vec<usize> = (0..point.size as usize)
-        .filter(|host| host % design::SITES % design::REGIONS == 1)
+        .filter(|host| host % design::SITE_COUNT % design::REGION_COUNT == 1)
         .collect();
-    fleet.cut(&region);
+    fleet.isolate(&region);
     let cut_agreed = fleet.run_until_agreed(AGREE_LIMIT);
-    fleet.run(CUT_TIME.saturating_sub(cut_agreed));
+    fleet.run_for(PARTITION_TIME.saturating_sub(cut_agreed));
     let during = sent_in_window(&mut fleet);
     let mut sample = Sample::default();
     sample.set("cut_agree_s", cut_agreed.as_secs_f64());
@@ -241,14 +241,14 @@
     sample.set("cut_running", running / running_before);
     sample.set("cut_kb", during.1 / before.1);
     fleet.reset_costs();
-    fleet.heal();
+    fleet.heal_partition();
     let mut agreed = None;
     let mut most_running: f64 = 0.0;
     let mut time = Duration::ZERO;
-    while time < WINDOW {
-        fleet.run(STEP);
+    while time < TRAFFIC_WINDOW {
+        fleet.run_for(STEP);
         time += STEP;
-        if agreed.is_none() && fleet.agrees() {
+        if agreed.is_none() && fleet.is_membership_agreed() {
             agreed = Some(time);
         }
         most_running = most_running.max(fleet.requests_running() as f64);
--- a/crates/slopes/src/roles/fleet.rs
+++ b/crates/slopes/src/roles/fleet.rs
@@ -8,7 +8,7 @@
 use crate::design::FleetSize;
 use crate::fleet::Fleet;
 use crate::fleet::SimulatedNode;
-use crate::fleet::costs::Work;
+use crate::fleet::costs::Component;
 use crate::meter;
 use crate::meter::Stopwatch;
 use crate::roles::Bench;
@@ -121,13 +121,13 @@
 };
 
 fn measure_nodes(point: Point) -> Sample {
-    measure(FleetSize::of_nodes(point.size as usize), point)
+    measure(FleetSize::for_nodes(point.size as usize), point)
 }
 
 fn measure_requests(point: Point) -> Sample {
     let size = FleetSize {
         requests_per_s: RATE_NODES * point.size as usize,
-        ..FleetSize::of_nodes(RATE_NODES)
+        ..FleetSize::for_nodes(RATE_NODES)
     };
     measure(size, point)
 }
@@ -135,9 +135,9 @@
 fn measure(size: FleetSize, point: Point) -> Sample {
     let memory_before = meter::resident_bytes();
     let mut fleet = Fleet::new(size, point.seed);
-    fleet.run(JOIN_TIME);
-    fleet.open();
-    fleet.run(FILL_TIME);
+    fleet.run_for(JOIN_TIME);
+    fleet.start_callers();
+    fleet.run_for(FILL_TIME);
     fleet.reset_costs();
     let time = if point.quick {
         QUICK_MEASURED_TIME
@@ -145,13 +145,13 @@
         MEASURED_TIME
     };
     let watch = Stopwatch::start();
-    fleet.run(time);
-    let ran = watch.ran();
+    fleet.run_for(time);
+    let run_fraction = watch.run_fraction();
     let memory = meter::resident_bytes().saturating_sub(memory_before);
-    let view = View {
+    let view = MeasuredFleet {
         fleet: &fleet,
         seconds: time.as_secs_f64(),
-        ran,
+        run_fraction,
     };
     let mut sample = view.sample();
     sample.set("memory_kb", memory as f64 / 1_024.0 / size.nodes as f64);
@@ -159,13 +159,13 @@
 }
 
 /// A fleet after a run, and how its sums become rates.
-struct View<'a> {
+struct MeasuredFleet<'a> {
     fleet: &'a Fleet,
     seconds: f64,
-    ran: f64,
+    run_fraction: f64,
 }
 
-impl View<'_> {
+impl MeasuredFleet<'_> {
     fn sample(&self) -> Sample {
         let mut sample = Sample::default();
         let counts = self.fleet.callers.counts;
@@ -177,31 +177,38 @@
         let wire =
             |work, overhead| self.total(|n| n.costs.sent_of(work).wire_bytes(overhead) as f64);
         let stream = STREAM_OVERHEAD_BYTES;
-        sample.set("entry_cpu_us", self.micros(Work::Entry) / requests);
-        sample.set("entry_messages", rate(sent(Work::Entry), nodes));
-        sample.set("entry_payload", rate(payload(Work::Entry), nodes));
-        sample.set("entry_wire", rate(wire(Work::Entry, stream), nodes));
+        sample.set("entry_cpu_us", self.micros(Component::Entry) / requests);
+        sample.set("entry_messages", rate(sent(Component::Entry), nodes));
+        sample.set("entry_payload", rate(payload(Component::Entry), nodes));
+        sample.set("entry_wire", rate(wire(Component::Entry, stream), nodes));
         let pools = target::POOLS;
-        sample.set("home_cpu_us", self.micros(Work::Home) / requests);
-        sample.set("home_messages", rate(sent(Work::Home), pools));
-        sample.set("home_wire_out", rate(wire(Work::Home, stream), pools));
-        let received = self.total(|n| n.costs.received_of(Work::Home).wire_bytes(stream) as f64);
+        sample.set("home_cpu_us", self.micros(Component::Home) / requests);
+        sample.set("home_messages", rate(sent(Component::Home), pools));
+        sample.set("home_wire_out", rate(wire(Component::Home, stream), pools));
+        let received =
+            self.total(|n| n.costs.received_of(Component::Home).wire_bytes(stream) as f64);
         sample.set("home_wire_in", rate(received, pools));
         let reads = self.total(|n| n.costs.load_reads as f64);
         sample.set("home_load_reads", rate(reads, pools));
         sample.set(
             "home_load_cpu_us",
-            self.micros(Work::LoadReports) / reads.max(1.0),
+            self.micros(Component::LoadReports) / reads.max(1.0),
         );
         let idle_nodes = self.count(|n| n.node.load().homed_pools == 0);
         let idle = self.timer_micros(|n| n.node.load().homed_pools == 0) / idle_nodes.max(1.0);
         let homes = self.timer_micros(|n| n.node.load().homed_pools > 0);
         sample.set("timer_cpu_ms", rate(idle / 1e3, 1.0));
         sample.set("home_timer_cpu_ms", rate(homes / 1e3, pools));
-        sample.set("member_cpu_us", rate(self.micros(Work::Membership), nodes));
-        sample.set("member_messages", rate(sent(Work::Membership), nodes));
-        sample.set("member_payload", rate(payload(Work::Membership), nodes));
-        let datagrams = wire(Work::Membership, DATAGRAM_OVERHEAD_BYTES);
+        sample.set(
+            "member_cpu_us",
+            rate(self.micros(Component::Membership), nodes),
+        );
+        sample.set("member_messages", rate(sent(Component::Membership), nodes));
+        sample.set(
+            "member_payload",
+            rate(payload(Component::Membership), nodes),
+        );
+        let datagrams = wire(Component::Membership, DATAGRAM_OVERHEAD_BYTES);
         sample.set("member_wire", rate(datagrams, nodes));
         sample.set("arrived", counts.arrived as f64);
         sample.set("ended", counts.ended as f64);
@@ -213,19 +220,19 @@
         self.fleet.nodes.iter().map(value).sum()
     }
 
-    fn count(&self, is_meant: impl Fn(&SimulatedNode) -> bool) -> f64 {
-        self.fleet.nodes.iter().filter(|n| is_meant(n)).count() as f64
+    fn count(&self, is_included: impl Fn(&SimulatedNode) -> bool) -> f64 {
+        self.fleet.nodes.iter().filter(|n| is_included(n)).count() as f64
     }
 
-    fn micros(&self, work: Work) -> f64 {
-        self.total(|n| n.costs.time_of(work).as_secs_f64()) * 1e6 * self.ran
+    fn micros(&self, component: Component) -> f64 {
+        self.total(|n| n.costs.time_of(component).as_secs_f64()) * 1e6 * self.run_fraction
     }
 
-    fn timer_micros(&self, is_meant: impl Fn(&SimulatedNode) -> bool) -> f64 {
-        let meant = self.fleet.nodes.iter().filter(|n| is_meant(n));
-        let time: f64 = meant
-            .map(|n| n.costs.time_of(Work::Timers).as_secs_f64())
+    fn timer_micros(&self, is_included: impl Fn(&SimulatedNode) -> bool) -> f64 {
+        let included = self.fleet.nodes.iter().filter(|n| is_included(n));
+        let time: f64 = included
+            .map(|n| n.costs.time_of(Component::Timers).as_secs_f64())
             .sum();
-        time * 1e6 * self.ran
+        time * 1e6 * self.run_fraction
     }
 }
--- a/crates/slopes/src/roles/home.rs
+++ b/crates/slopes/src/roles/home.rs
@@ -32,11 +32,11 @@
 
 const INCARNATION: u64 = 1_800_000_000_000_000;
 /// Requests of one backlogged account that wait at one router.
-const WAITING: u32 = 5;
+const WAITING_PER_ROUTER: u32 = 5;
 /// Assumption, as in the simulated fleet.
 const ROUTERS_PER_ACCOUNT: usize = 4;
 const HEAD_COST_TOKENS: u64 = 1_284;
-const HEADS: u64 = 64;
+const DISTINCT_HEAD_PREFIXES: u64 = 64;
 
 /// Accounts that a home keeps in order.
 pub const ACCOUNTS: Bench = Bench {
@@ -107,7 +107,7 @@
         let report = full_report(router, accounts, point.size as usize);
         let bytes = peer::encode(&PeerMessage::Report(report));
         wire_bytes += bytes.len() as u64 + STREAM_OVERHEAD_BYTES;
-        watch.time(|| {
+        watch.measure(|| {
             let message = peer::decode(&bytes, &member(router)).expect("a report decodes");
             if let PeerMessage::Report(report) = message {
                 home.handle(Duration::ZERO, HomeEvent::Report(report), &mut Vec::new());
@@ -116,7 +116,7 @@
     }
     let mut sample = Sample::default();
     sample.set("wire_kb", wire_bytes as f64 / 1_024.0);
-    sample.set("cpu_ms", watch.micros() / 1e3);
+    sample.set("cpu_ms", watch.cpu_micros() / 1e3);
     let memory = meter::resident_bytes().saturating_sub(before);
     sample.set("memory_kb", memory as f64 / 1_024.0);
     assert!(
@@ -139,7 +139,7 @@
     let endpoints = (0..(target::ENDPOINTS / target::POOLS) as usize).map(|index| HomeEndpoint {
         id: design::endpoint_id(index),
         site: design::site_id(index),
-        slots: 2 * design::SLOTS,
+        slots: 2 * design::SLOTS_PER_ENGINE,
     });
     let weights = (0..accounts).map(|index| AccountWeight {
         account: design::account_id(index),
@@ -179,9 +179,9 @@
             .map(|account| Demand {
                 account: design::account_id(account),
                 class: RequestClass::Interactive,
-                waiting: WAITING,
+                waiting: WAITING_PER_ROUTER,
                 head_cost_tokens: HEAD_COST_TOKENS,
-                head_prefix: Some(PrefixHash(account as u64 % HEADS)),
+                head_prefix: Some(PrefixHash(account as u64 % DISTINCT_HEAD_PREFIXES)),
             })
             .collect(),
         holdings,
--- a/crates/slopes/src/roles/home_endpoints.rs
+++ b/crates/slopes/src/roles/home_endpoints.rs
@@ -19,9 +19,9 @@
 use crate::sample::Sample;
 use crate::target;
 
-const ACCOUNTS: usize = 100;
+const ACCOUNT_COUNT: usize = 100;
 /// Load reports of each endpoint.
-const ROUNDS: u32 = 10;
+const REPORTS_PER_ENDPOINT: u32 = 10;
 const REPORT_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Endpoints of the pools that one node is home of.
@@ -50,7 +50,7 @@
     let mut settings = design::settings(FleetSize {
         nodes: 1,
         endpoints,
-        accounts: ACCOUNTS,
+        accounts: ACCOUNT_COUNT,
         requests_per_s: 1,
     });
     // Such a node needs no others to be home of every pool.
@@ -65,24 +65,24 @@
     let load = EndpointLoad {
         running: 0,
         waiting: 0,
-        slots: design::SLOTS,
+        slots: design::SLOTS_PER_ENGINE,
         age: Duration::ZERO,
         leaving: false,
     };
-    for round in 0..ROUNDS {
+    for round in 0..REPORTS_PER_ENDPOINT {
         let now = REPORT_INTERVAL * round;
         for index in 0..endpoints {
             let event = NodeEvent::LoadRead {
                 endpoint: design::endpoint_id(index),
                 load: Some(load),
             };
-            watch.time(|| node.handle(now, event, &mut Vec::new()));
+            watch.measure(|| node.handle(now, event, &mut Vec::new()));
         }
     }
     let memory = meter::resident_bytes().saturating_sub(before);
-    let reports = f64::from(ROUNDS) * endpoints as f64;
+    let reports = f64::from(REPORTS_PER_ENDPOINT) * endpoints as f64;
     let mut sample = Sample::default();
     sample.set("memory_kb", memory as f64 / 1_024.0);
-    sample.set("report_cpu_us", watch.micros() / reports);
+    sample.set("report_cpu_us", watch.cpu_micros() / reports);
     sample
 }
--- a/crates/slopes/src/roles/load_reports.rs
+++ b/crates/slopes/src/roles/load_reports.rs
@@ -26,7 +26,7 @@
 use crate::target;
 
 /// Reads a second that a pool of 550 endpoints takes at the default `health.report_interval_ms`.
-const READS_PER_POOL: f64 = target::ENDPOINTS / target::POOLS * 4.0;
+const READS_PER_POOL_PER_S: f64 = target::ENDPOINTS / target::POOLS * 4.0;
 /// IPv4 and TCP headers with timestamps of one segment.
 pub const SEGMENT_OVERHEAD_BYTES: u64 = 52;
 const TIMEOUT: Duration = Duration::from_secs(5);
@@ -37,7 +37,7 @@
     size_title: "load reports read",
     sizes: &[1_000, 2_000, 4_000, 8_000],
     quick_sizes: &[500, 1_000, 2_000, 4_000],
-    target: READS_PER_POOL,
+    target: READS_PER_POOL_PER_S,
     metrics: &[
         Metric {
             name: "cpu_ms",
@@ -57,26 +57,26 @@
 };
 
 fn measure(point: Point) -> Sample {
-    let asked = Arc::new(AtomicU64::new(0));
+    let request_bytes = Arc::new(AtomicU64::new(0));
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("loopback is there");
     let address = listener.local_addr().expect("a listener has an address");
-    let counter = Arc::clone(&asked);
+    let counter = Arc::clone(&request_bytes);
     thread::spawn(move || serve(&listener, &counter));
     let agent = Agent::config_builder()
         .timeout_global(Some(TIMEOUT))
         .build()
         .new_agent();
     let url = format!("http://{address}{LOAD_PATH}");
-    let begin = meter::main_thread_time();
+    let cpu_before = meter::main_thread_cpu_time();
     for _ in 0..point.size {
         let mut response = agent.get(&url).call().expect("the server answers");
         let body = response.body_mut().read_to_vec().expect("a whole answer");
         let report: LoadReport = serde_json::from_slice(&body).expect("a load report");
-        assert_eq!(report.slots, design::SLOTS);
+        assert_eq!(report.slots, design::SLOTS_PER_ENGINE);
     }
-    let cpu = meter::main_thread_time() - begin;
+    let cpu = meter::main_thread_cpu_time() - cpu_before;
     let acks = SEGMENT_OVERHEAD_BYTES * 2;
-    let sent = asked.load(Ordering::Relaxed) + acks * point.size;
+    let sent = request_bytes.load(Ordering::Relaxed) + acks * point.size;
     let received = (answer().len() as u64 + acks) * point.size;
     let mut sample = Sample::default();
     sample.set("cpu_ms", cpu.as_secs_f64() * 1e3);
@@ -85,14 +85,14 @@
     sample
 }
 
-fn serve(listener: &TcpListener, asked_bytes: &AtomicU64) {
+fn serve(listener: &TcpListener, request_bytes: &AtomicU64) {
     for stream in listener.incoming().flatten() {
         // A connection that ends is the end of the bench.
-        let _ = answer_all(stream, asked_bytes);
+        let _ = answer_requests(stream, request_bytes);
     }
 }
 
-fn answer_all(mut stream: TcpStream, asked_bytes: &AtomicU64) -> io::Result<()> {
+fn answer_requests(mut stream: TcpStream, request_bytes: &AtomicU64) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let mut reader = BufReader::new(stream.try_clone()?);
     let answer = answer();
@@ -103,7 +103,7 @@
         if len == 0 {
             return Ok(());
         }
-        asked_bytes.fetch_add(len as u64, Ordering::Relaxed);
+        request_bytes.fetch_add(len as u64, Ordering::Relaxed);
         if line == "\r\n" {
             stream.write_all(answer.as_bytes())?;
         }
@@ -114,7 +114,7 @@
     let report = LoadReport {
         running: 27,
         waiting: 0,
-        slots: design::SLOTS,
+        slots: design::SLOTS_PER_ENGINE,
         age_ms: 180,
         leaving: false,
     };
--- a/crates/slopes/src/roles/tools.rs
+++ b/crates/slopes/src/roles/tools.rs
@@ -64,11 +64,11 @@
 };
 
 fn measure(point: Point) -> Sample {
-    let size = FleetSize::of_nodes(point.size as usize);
+    let size = FleetSize::for_nodes(point.size as usize);
     let before = meter::resident_bytes();
     let text = base_text(size);
     let mut watch = Stopwatch::start();
-    let loaded = watch.time(|| {
+    let loaded = watch.measure(|| {
         let document = ConfigDocument::from_texts(&text, &[]);
         let settings = document.settings("site-0").expect("the file is sound");
         (document, settings)
@@ -78,7 +78,7 @@
     let kb = |bytes: usize| bytes as f64 / 1_024.0;
     let mut sample = Sample::default();
     sample.set("file_kb", kb(text.len()));
-    sample.set("load_cpu_ms", watch.micros() / 1e3);
+    sample.set("load_cpu_ms", watch.cpu_micros() / 1e3);
     sample.set("load_memory_kb", memory as f64 / 1_024.0);
     sample.set("status_kb", kb(json_bytes(&status_page(size))));
     sample.set("endpoints_kb", kb(json_bytes(&endpoints_page(size))));
@@ -118,8 +118,8 @@
         site: design::site_id(index).to_string(),
         address: SocketAddr::from((Ipv4Addr::new(10, 2, 100, 100), 9_000)),
         state: EndpointState::Serving,
-        slots: design::SLOTS,
-        usable_slots: design::SLOTS,
+        slots: design::SLOTS_PER_ENGINE,
+        usable_slots: design::SLOTS_PER_ENGINE,
         occupied_slots: 27,
         home: design::host_id(0).to_string(),
         running: 27,
--- a/crates/slopes/src/runner.rs
+++ b/crates/slopes/src/runner.rs
@@ -42,20 +42,20 @@
     seed: u64,
     quick: bool,
 ) -> Result<Vec<Vec<Series>>, RunError> {
-    let (timed, counted): (Vec<_>, Vec<_>) = benches.iter().partition(|bench| bench.is_timed);
+    let (timed, untimed): (Vec<_>, Vec<_>) = benches.iter().partition(|bench| bench.is_timed);
     let mut all = Vec::new();
     for bench in timed {
         all.push(run_bench(bench, seed, quick)?);
     }
-    let counted: Result<Vec<_>, RunError> = thread::scope(|scope| {
-        let runs: Vec<_> = counted
+    let untimed: Result<Vec<_>, RunError> = thread::scope(|scope| {
+        let runs: Vec<_> = untimed
             .into_iter()
             .map(|bench| scope.spawn(move || run_bench(bench, seed, quick)))
             .collect();
         let ended = runs.into_iter();
         ended.map(|run| run.join().expect("a run ends")).collect()
     });
-    all.extend(counted?);
+    all.extend(untimed?);
     Ok(all)
 }
 
@@ -81,7 +81,7 @@
     }
     let series = bench.metrics.iter();
     Ok(series
-        .filter_map(|metric| series_of(bench, *metric, &samples))
+        .filter_map(|metric| fit_series(bench, *metric, &samples))
         .collect())
 }
 
@@ -106,7 +106,7 @@
     Ok(sample)
 }
 
-fn series_of(bench: &Bench, metric: Metric, samples: &[(f64, Sample)]) -> Option<Series> {
+fn fit_series(bench: &Bench, metric: Metric, samples: &[(f64, Sample)]) -> Option<Series> {
     let points: Vec<(f64, f64)> = samples
         .iter()
         .filter_map(|(size, sample)| Some((*size, sample.get(metric.name)?)))
--- a/crates/slopes/src/series.rs
+++ b/crates/slopes/src/series.rs
@@ -23,8 +23,8 @@
 
 impl Series {
     /// Returns the value of the curve at the target.
-    pub fn at_target(&self) -> f64 {
-        self.fit.at(self.target)
+    pub fn value_at_target(&self) -> f64 {
+        self.fit.value_at(self.target)
     }
 
     /// Returns the name of the plot's file.
--- a/crates/slopes/src/svg.rs
+++ b/crates/slopes/src/svg.rs
@@ -6,22 +6,22 @@
 
 const WIDTH: f64 = 640.0;
 const HEIGHT: f64 = 420.0;
-const LEFT: f64 = 80.0;
-const RIGHT: f64 = 20.0;
-const TOP: f64 = 40.0;
+const PLOT_LEFT: f64 = 80.0;
+const RIGHT_MARGIN: f64 = 20.0;
+const PLOT_TOP: f64 = 40.0;
 /// Lower edge of the plot of values.
-const BOTTOM: f64 = 270.0;
+const PLOT_BOTTOM: f64 = 270.0;
 /// Middle of the plot of residuals.
 const RESIDUAL_MIDDLE: f64 = 340.0;
 /// Height of the largest residual.
 const RESIDUAL_HEIGHT: f64 = 25.0;
 /// Straight pieces of which the curve is made.
-const PIECES: u32 = 60;
-const TICKS: u32 = 4;
+const CURVE_SEGMENTS: u32 = 60;
+const TICK_COUNT: u32 = 4;
 
 /// Draws a series.
 pub fn draw(series: &Series) -> String {
-    let frame = Frame::of(series);
+    let scales = Scales::of(series);
     let mut svg = format!(
         "<svg xmlns=\"http://www.w3.org/2000/svg\" viewBox=\"0 0 {WIDTH} {HEIGHT}\" \
          font-family=\"sans-serif\" font-size=\"11\">\n\
@@ -30,58 +30,81 @@
     text(&mut svg, WIDTH / 2.0, 20.0, "middle", series.title);
     let size_title = format!("{} (residuals above)", series.size_title);
     text(&mut svg, WIDTH / 2.0, HEIGHT - 10.0, "middle", &size_title);
-    axes(&mut svg, &frame);
-    curve(&mut svg, &frame, series);
-    points(&mut svg, &frame, series);
-    residuals(&mut svg, &frame, series);
+    axes(&mut svg, &scales);
+    curve(&mut svg, &scales, series);
+    points(&mut svg, &scales, series);
+    residuals(&mut svg, &scales, series);
     svg.push_str("</svg>\n");
     svg
 }
 
 /// How sizes and values become places.
-struct Frame {
+struct Scales {
     largest_size: f64,
     largest_value: f64,
 }
 
-impl Frame {
+impl Scales {
     fn of(series: &Series) -> Self {
         let sizes = series.points.iter().map(|point| point.0);
         let values = series.points.iter().map(|point| point.1);
         Self {
             largest_size: sizes.fold(series.target, f64::max),
             largest_value: values
-                .fold(series.at_target(), f64::max)
+                .fold(series.value_at_target(), f64::max)
                 .max(f64::MIN_POSITIVE),
         }
     }
 
     fn x(&self, size: f64) -> f64 {
-        LEFT + size / self.largest_size * (WIDTH - LEFT - RIGHT)
+        PLOT_LEFT + size / self.largest_size * (WIDTH - PLOT_LEFT - RIGHT_MARGIN)
     }
 
     fn y(&self, value: f64) -> f64 {
-        BOTTOM - value.max(0.0) / self.largest_value * (BOTTOM - TOP)
+        PLOT_BOTTOM - value.max(0.0) / self.largest_value * (PLOT_BOTTOM - PLOT_TOP)
     }
 }
 
-fn axes(svg: &mut String, frame: &Frame) {
-    line(svg, (LEFT, TOP), (LEFT, BOTTOM), "black");
-    line(svg, (LEFT, BOTTOM), (WIDTH - RIGHT, BOTTOM), "black");
-    for tick in 0..=TICKS {
-        let part = f64::from(tick) / f64::from(TICKS);
-        let size = frame.largest_size * part;
-        let value = frame.largest_value * part;
-        text(svg, frame.x(size), BOTTOM + 15.0, "middle", &short(size));
-        text(svg, LEFT - 6.0, frame.y(value) + 4.0, "end", &short(value));
+fn axes(svg: &mut String, scales: &Scales) {
+    line(
+        svg,
+        (PLOT_LEFT, PLOT_TOP),
+        (PLOT_LEFT, PLOT_BOTTOM),
+        "black",
+    );
+    line(
+        svg,
+        (PLOT_LEFT, PLOT_BOTTOM),
+        (WIDTH - RIGHT_MARGIN, PLOT_BOTTOM),
+        "black",
+    );
+    for tick in 0..=TICK_COUNT {
+        let part = f64::from(tick) / f64::from(TICK_COUNT);
+        let size = scales.largest_size * part;
+        let value = scales.largest_value * part;
+        text(
+            svg,
+            scales.x(size),
+            PLOT_BOTTOM + 15.0,
+            "middle",
+            &format_short(size),
+        );
+        text(
+            svg,
+            PLOT_LEFT - 6.0,
+            scales.y(value) + 4.0,
+            "end",
+            &format_short(value),
+        );
     }
 }
 
-fn curve(svg: &mut String, frame: &Frame, series: &Series) {
-    let sizes = (0..=PIECES).map(|n| frame.largest_size * f64::from(n) / f64::from(PIECES));
+fn curve(svg: &mut String, scales: &Scales, series: &Series) {
+    let sizes = (0..=CURVE_SEGMENTS)
+        .map(|n| scales.largest_size * f64::from(n) / f64::from(CURVE_SEGMENTS));
     let places = sizes.map(|size| {
-        let value = series.fit.at(size);
-        format!("{:.1},{:.1}", frame.x(size), frame.y(value))
+        let value = series.fit.value_at(size);
+        format!("{:.1},{:.1}", scales.x(size), scales.y(value))
     });
     let places: Vec<String> = places.collect();
     let _ = writeln!(
@@ -91,29 +114,34 @@
     );
     let label = format!(
         "{}, largest residual {:.1}%",
-        series.fit.formula(short),
+        series.fit.formula(format_short),
         series.fit.largest_residual * 100.0
     );
-    text(svg, LEFT + 10.0, TOP, "start", &label);
+    text(svg, PLOT_LEFT + 10.0, PLOT_TOP, "start", &label);
 }
 
-fn points(svg: &mut String, frame: &Frame, series: &Series) {
+fn points(svg: &mut String, scales: &Scales, series: &Series) {
     for (size, value) in &series.points {
-        let (x, y) = (frame.x(*size), frame.y(*value));
+        let (x, y) = (scales.x(*size), scales.y(*value));
         let _ = writeln!(svg, "<circle cx=\"{x:.1}\" cy=\"{y:.1}\" r=\"3.5\"/>");
     }
 }
 
-fn residuals(svg: &mut String, frame: &Frame, series: &Series) {
+fn residuals(svg: &mut String, scales: &Scales, series: &Series) {
     let middle = RESIDUAL_MIDDLE;
-    line(svg, (LEFT, middle), (WIDTH - RIGHT, middle), "grey");
-    let residual = |(size, value): &(f64, f64)| value - series.fit.at(*size);
+    line(
+        svg,
+        (PLOT_LEFT, middle),
+        (WIDTH - RIGHT_MARGIN, middle),
+        "grey",
+    );
+    let residual = |(size, value): &(f64, f64)| value - series.fit.value_at(*size);
     let sizes = series.points.iter().map(|point| residual(point).abs());
     let largest = sizes.fold(f64::MIN_POSITIVE, f64::max);
-    let label = format!("+-{}", short(largest));
-    text(svg, LEFT - 6.0, middle + 4.0, "end", &label);
+    let label = format!("+-{}", format_short(largest));
+    text(svg, PLOT_LEFT - 6.0, middle + 4.0, "end", &label);
     for point in &series.points {
-        let x = frame.x(point.0);
+        let x = scales.x(point.0);
         let y = middle - residual(point) / largest * RESIDUAL_HEIGHT;
         line(svg, (x, middle), (x, y), "firebrick");
     }
@@ -136,7 +164,7 @@
 }
 
 /// Writes a number with three digits that count.
-pub fn short(value: f64) -> String {
+pub fn format_short(value: f64) -> String {
     let size = value.abs();
     if size >= 999_500.0 {
         return format!("{:.2}M", value / 1e6);
--- a/crates/slopes/tests/fleet.rs
+++ b/crates/slopes/tests/fleet.rs
@@ -11,16 +11,16 @@
 const JOIN_TIME: Duration = Duration::from_secs(5);
 
 fn joined(seed: u64) -> Fleet {
-    let mut fleet = Fleet::new(FleetSize::of_nodes(NODES), seed);
-    fleet.run(JOIN_TIME);
-    assert!(fleet.agrees(), "all hosts started together");
+    let mut fleet = Fleet::new(FleetSize::for_nodes(NODES), seed);
+    fleet.run_for(JOIN_TIME);
+    assert!(fleet.is_membership_agreed(), "all hosts started together");
     fleet
 }
 
 fn loaded(seed: u64) -> Fleet {
     let mut fleet = joined(seed);
-    fleet.open();
-    fleet.run(Duration::from_secs(14));
+    fleet.start_callers();
+    fleet.run_for(Duration::from_secs(14));
     fleet
 }
 
@@ -34,10 +34,10 @@
 #[test]
 fn requests_fill_the_slots_and_end() {
     let mut fleet = loaded(SEED);
-    fleet.run(Duration::from_secs(10));
+    fleet.run_for(Duration::from_secs(10));
     let counts = fleet.callers.counts;
     assert!(counts.ended > 0 && counts.refused == 0, "{counts:?}");
-    let slots = FleetSize::of_nodes(NODES).endpoints as u64 * u64::from(design::SLOTS);
+    let slots = FleetSize::for_nodes(NODES).endpoints as u64 * u64::from(design::SLOTS_PER_ENGINE);
     let running = fleet.requests_running();
     assert!(running <= slots, "{running} of {slots}");
     assert!(running * 10 > slots * 8, "{running} of {slots}");
@@ -52,15 +52,15 @@
     let home = fleet.home_of(&pool).expect("a pool has a home");
     fleet.kill(&[home]);
     fleet.run_until_agreed(Duration::from_secs(30));
-    assert!(fleet.agrees());
+    assert!(fleet.is_membership_agreed());
     let next = fleet.home_of(&pool).expect("a pool has a home again");
     assert_ne!(next, home);
     let before = fleet.grants()[&pool];
-    fleet.run(Duration::from_secs(5));
+    fleet.run_for(Duration::from_secs(5));
     assert!(fleet.grants()[&pool] > before, "the new home grants");
     fleet.restart(&[home]);
     fleet.run_until_agreed(Duration::from_secs(30));
-    assert!(fleet.agrees());
+    assert!(fleet.is_membership_agreed());
 }
 
 /// Two regions lose each other and find each other again: each side holds the other for dead, and
@@ -68,11 +68,11 @@
 #[test]
 fn regions_part_and_meet_again() {
     let mut fleet = joined(SEED);
-    fleet.cut(&[1, 3, 5]);
-    assert!(!fleet.agrees());
+    fleet.isolate(&[1, 3, 5]);
+    assert!(!fleet.is_membership_agreed());
     fleet.run_until_agreed(Duration::from_secs(60));
-    assert!(fleet.agrees());
-    fleet.heal();
+    assert!(fleet.is_membership_agreed());
+    fleet.heal_partition();
     fleet.run_until_agreed(Duration::from_secs(60));
-    assert!(fleet.agrees());
+    assert!(fleet.is_membership_agreed());
 }
--- a/crates/slopes/tests/page.rs
+++ b/crates/slopes/tests/page.rs
@@ -73,7 +73,7 @@
 
 #[test]
 fn a_page_without_a_marker_is_refused() {
-    let error = page::replace("no marker", "run", "").unwrap_err();
+    let error = page::replace_part("no marker", "run", "").unwrap_err();
     assert!(error.to_string().contains("slopes:begin run"), "{error}");
 }
 
@@ -96,7 +96,7 @@
 #[test]
 fn a_plot_shows_each_point() {
     let figures = made_up_figures();
-    let series = &figures.all()[0];
+    let series = &figures.series()[0];
     let plot = svg::draw(series);
     assert_eq!(plot.matches("<circle").count(), series.points.len());
     assert!(plot.starts_with("<svg") && plot.ends_with("</svg>\n"));
