--- a/crates/slopes/src/data_paths.rs
+++ b/crates/slopes/src/data_paths.rs
@@ -1,7 +1,7 @@
-//! `sedgeridge-data-paths`: the same streams through both data paths, one after the other.
+//! `sedgeridge-data-paths`: runs the same streams through both data paths, one after the other.
 //!
-//! Prints processor time for each event, waits and memory of a router process: `sedgeridge-router`
-//! (threads and rings) and `sedgeridge-edge` (one event loop).
+//! Prints processor time per event, voluntary context switches and memory of each router process:
+//! `sedgeridge-router` (threads and rings) and `sedgeridge-edge` (one event loop).
 
 use std::error::Error;
 use std::fs;
@@ -38,14 +38,14 @@
 use sedgeridge_soak::routers::Router;
 use sedgeridge_soak::routers::find_program;
 
-/// Streams that are open at once.
+/// Numbers of concurrent streams.
 const SIZES: [u64; 3] = [50, 100, 200];
-/// Time in which the router takes in its configuration.
+/// Time for the router to load its configuration.
 const START_TIME: Duration = Duration::from_secs(2);
-/// Time until all streams are open.
+/// Time for all streams to open.
 const OPEN_TIME: Duration = Duration::from_secs(3);
 const MEASURED_TIME: Duration = Duration::from_secs(8);
-/// So many that no stream ends while it is measured.
+/// Events of a stream: enough that no stream ends while it is measured.
 const EVENTS: u64 = 1_000;
 const SLOTS: u32 = 400;
 const TIMEOUT_MS: u64 = 60_000;
@@ -145,7 +145,7 @@
     }
 }
 
-/// Sends a request and checks that its stream begins.
+/// Sends a request and checks that it is answered with status 200.
 fn open_stream(address: SocketAddr, number: u64) -> io::Result<TcpStream> {
     let mut stream = TcpStream::connect(address)?;
     let request = format!(
@@ -157,7 +157,9 @@
     stream.read_exact(&mut status)?;
     if !status.ends_with(b" 200") {
         let status = String::from_utf8_lossy(&status);
-        return Err(io::Error::other(format!("answered {status}")));
+        return Err(io::Error::other(format!(
+            "expected status 200, got {status}"
+        )));
     }
     Ok(stream)
 }
--- a/crates/slopes/src/design.rs
+++ b/crates/slopes/src/design.rs
@@ -1,4 +1,4 @@
-//! Settings of a fleet of any size, in the proportions of the size to design for.
+//! Generated settings of a fleet, scaled from the size to design for.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddr;
@@ -18,14 +18,14 @@
 
 use crate::target;
 
-/// Data centres.
+/// Number of data centres.
 pub const SITE_COUNT: usize = 7;
-/// Regions.
+/// Number of regions.
 pub const REGION_COUNT: usize = 2;
-/// Requests that an engine runs at once: a tenth less than the peak needs, so that accounts wait.
+/// Requests that an engine runs at once: a tenth less than the peak needs, so that requests queue.
 pub const SLOTS_PER_ENGINE: u32 = 28;
 
-/// How large a fleet is.
+/// Size of a fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FleetSize {
     /// Routers.
@@ -39,7 +39,7 @@
 }
 
 impl FleetSize {
-    /// Returns the fleet with this many routers, all else in proportion.
+    /// Returns the size of a fleet with this many routers, with all else in proportion.
     ///
     /// ```
     /// use sedgeridge_slopes::design::FleetSize;
@@ -58,32 +58,32 @@
     }
 }
 
-/// Names the host at a position.
+/// Returns the id of the host with an index.
 pub fn host_id(index: usize) -> HostId {
     HostId::from(format!("router-{index:03}").as_str())
 }
 
-/// Names the pool at a position.
+/// Returns the id of the pool with an index.
 pub fn pool_id(index: usize) -> PoolId {
     PoolId::from(format!("model-{index}").as_str())
 }
 
-/// Names the endpoint at a position.
+/// Returns the id of the endpoint with an index.
 pub fn endpoint_id(index: usize) -> EndpointId {
     EndpointId::from(format!("engine-{index:04}").as_str())
 }
 
-/// Names the account at a position.
+/// Returns the id of the account with an index.
 pub fn account_id(index: usize) -> AccountId {
     AccountId::from(format!("account-{index:05}").as_str())
 }
 
-/// Names the site of whatever stands at a position.
+/// Returns the site of the host or endpoint with an index; indexes are assigned round-robin.
 pub fn site_id(index: usize) -> SiteId {
     SiteId::from(format!("site-{}", index % SITE_COUNT).as_str())
 }
 
-/// Makes the settings of a fleet; addresses are placeholders on which nothing listens.
+/// Generates the settings of a fleet; all addresses are placeholders on which nothing listens.
 pub fn settings(size: FleetSize) -> Settings {
     let pools = target::POOLS as usize;
     let address = SocketAddr::from((Ipv4Addr::LOCALHOST, 9));
--- a/crates/slopes/src/figures.rs
+++ b/crates/slopes/src/figures.rs
@@ -1,4 +1,4 @@
-//! All measured series, and the figures that follow from them.
+//! All measured series, and values derived from them.
 
 use crate::roles;
 use crate::roles::Bench;
@@ -21,13 +21,13 @@
         &self.series
     }
 
-    /// Returns a metric at the size to design for, or not a number if it was not measured.
+    /// Returns the fitted value of a metric at the bench's target size, or NaN if not measured.
     pub fn at_target(&self, bench: &Bench, metric: &str) -> f64 {
         self.find(bench, metric)
             .map_or(f64::NAN, Series::value_at_target)
     }
 
-    /// Returns how much a metric grows with one more of what the size counts.
+    /// Returns the growth of a metric from the target size to one more, or NaN if not measured.
     pub fn slope_at_target(&self, bench: &Bench, metric: &str) -> f64 {
         let series = self.find(bench, metric);
         series.map_or(f64::NAN, |s| {
@@ -35,7 +35,7 @@
         })
     }
 
-    /// Returns the largest and the smallest value that was measured.
+    /// Returns the smallest and the largest measured value.
     pub fn measured_range(&self, bench: &Bench, metric: &str) -> (f64, f64) {
         let values = self.find(bench, metric).map_or(&[][..], |s| &s.points);
         values.iter().fold((f64::MAX, f64::MIN), |(low, high), p| {
@@ -43,7 +43,7 @@
         })
     }
 
-    /// Tells whether every bench has run, so that the page can be written whole.
+    /// Tells whether every bench has run, which rewriting the page requires.
     pub fn is_complete(&self) -> bool {
         let has = |bench: &&&Bench| self.series.iter().any(|s| s.bench == bench.name);
         roles::BENCHES.iter().filter(has).count() == roles::BENCHES.len()
--- a/crates/slopes/src/fit.rs
+++ b/crates/slopes/src/fit.rs
@@ -1,6 +1,6 @@
-//! Least squares through measured points: a line, or the curve that fits better.
+//! Least-squares fit of measured points: a line, or another curve if it fits clearly better.
 
-/// How a measured quantity grows with the size `n`.
+/// Growth of a measured quantity with the size `n`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Shape {
     /// `a + b n`.
@@ -15,7 +15,7 @@
     SquareRoot,
 }
 
-/// Shapes in the order in which they are preferred.
+/// Shapes in order of preference.
 const SHAPES: [Shape; 5] = [
     Shape::Linear,
     Shape::LogLinear,
@@ -23,11 +23,12 @@
     Shape::SquareRoot,
     Shape::Quadratic,
 ];
-/// A line is taken unless another shape halves its largest residual, or this one is small.
+/// Largest residual up to which the line is kept without trying other shapes. Above it, another
+/// shape wins only if its largest residual is less than half.
 const ACCEPTED_LINE_RESIDUAL: f64 = 0.05;
 
 impl Shape {
-    /// Returns what the factor `b` multiplies.
+    /// Returns the term that the factor `b` multiplies.
     pub fn term(self, n: f64) -> f64 {
         let log = n.max(1.0).log2();
         match self {
@@ -51,21 +52,21 @@
     }
 }
 
-/// A curve through points.
+/// A curve fitted to points.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Fit {
-    /// Its shape.
+    /// Shape of the curve.
     pub shape: Shape,
-    /// Value at a term of zero.
+    /// Value where the term is zero.
     pub intercept: f64,
     /// Factor of the term.
     pub slope: f64,
-    /// Largest distance of a point from the curve, as a part of the mean value.
+    /// Largest distance of a point from the curve, as a fraction of the mean value.
     pub largest_residual: f64,
 }
 
 impl Fit {
-    /// Fits every shape and takes the line unless another is clearly better.
+    /// Fits a line, and returns another shape only if it is clearly better.
     ///
     /// ```
     /// use sedgeridge_slopes::fit::{Fit, Shape};
@@ -116,7 +117,7 @@
         fit
     }
 
-    /// Writes the curve as a formula, its numbers by `number`.
+    /// Formats the curve as a formula, with its numbers formatted by `number`.
     pub fn formula(&self, number: impl Fn(f64) -> String) -> String {
         let sign = if self.slope < 0.0 { '-' } else { '+' };
         let (intercept, slope) = (number(self.intercept), number(self.slope.abs()));
--- a/crates/slopes/src/fleet/config.rs
+++ b/crates/slopes/src/fleet/config.rs
@@ -14,13 +14,13 @@
 use crate::fleet::Fleet;
 use crate::fleet::PendingEvent;
 
-/// Assumption: time of one read.
+/// Assumption: duration of one read.
 const READ_DELAY: Duration = Duration::from_millis(5);
 
-/// Accepted generations, and who has which in force.
+/// Accepted generations, and the generation in force on each host.
 #[derive(Debug, Default)]
 pub struct ConfigTable {
-    /// Reads made by all hosts.
+    /// Reads by all hosts.
     pub reads: u64,
     accepted: Vec<ConfigContent>,
     in_force: BTreeMap<usize, u64>,
@@ -37,7 +37,7 @@
         self.accepted.len() as u64
     }
 
-    /// Counts the hosts that have the newest generation in force.
+    /// Returns the number of hosts that have the newest generation in force.
     pub fn up_to_date_hosts(&self) -> usize {
         let newest = self.newest_generation();
         self.in_force.values().filter(|g| **g == newest).count()
@@ -71,14 +71,14 @@
         self.config.accept(ConfigContent::Snapshot(document));
     }
 
-    /// Answers a read of the table.
+    /// Answers a host's read of the table after [`READ_DELAY`].
     pub(super) fn read_config(&mut self, node: usize, read: &ConfigRead) {
         let event = self.config.answer(read);
         let pending = PendingEvent::ConfigRead(Box::new(event));
         self.schedule(self.now + READ_DELAY, node, pending);
     }
 
-    /// Notes that a generation is in force on a host.
+    /// Records that a generation is in force on a host.
     pub(super) fn set_in_force(&mut self, node: usize, generation: Generation) {
         self.config.in_force.insert(node, generation.0);
     }
--- a/crates/slopes/src/fleet/faults.rs
+++ b/crates/slopes/src/fleet/faults.rs
@@ -1,4 +1,4 @@
-//! Hosts that fail and come back, and regions that lose each other.
+//! Faults of a simulated fleet: hosts that fail and restart, and network partitions.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -16,16 +16,17 @@
 use crate::fleet::START_UNIX_US;
 use crate::fleet::costs::Component;
 
-/// Step in which the fleet is looked at.
+/// Interval at which agreement is checked.
 const STEP: Duration = Duration::from_millis(20);
 
 impl Fleet {
-    /// Tells whether messages of one host come to another.
+    /// Tells whether messages from one host reach another.
     pub(super) fn can_reach(&self, from: usize, to: usize) -> bool {
         self.nodes[to].is_running && self.nodes[from].partition == self.nodes[to].partition
     }
 
-    /// Tells whether a host reaches an endpoint: the hosts of its site stand on the same side.
+    /// Tells whether a host can reach an endpoint, which is in the same partition as the hosts of
+    /// its site.
     pub(super) fn can_reach_endpoint(&self, host: usize, endpoint: &EndpointId) -> bool {
         let digits = endpoint.as_str().trim_start_matches("engine-");
         let index: usize = digits.parse().expect("endpoints are numbered");
@@ -34,19 +35,20 @@
         partition.is_none_or(|partition| partition == self.nodes[host].partition)
     }
 
-    /// Ends hosts at once; what they ran runs on at its engines for nobody.
+    /// Kills hosts at once; their requests keep running at the engines, with nobody to receive the
+    /// output.
     pub fn kill(&mut self, hosts: &[usize]) {
         for host in hosts {
             self.nodes[*host].is_running = false;
         }
     }
 
-    /// Tells a host to stop: it leaves the fleet and finishes its requests.
+    /// Requests a graceful stop: the host leaves the fleet and finishes its requests.
     pub fn stop(&mut self, host: usize) {
         self.handle_event(host, Component::Timers, NodeEvent::StopRequested);
     }
 
-    /// Starts hosts again, with no memory of what they knew.
+    /// Restarts hosts with empty state.
     pub fn restart(&mut self, hosts: &[usize]) {
         let settings = design::settings(self.size);
         for host in hosts {
@@ -54,7 +56,7 @@
                 host: design::host_id(*host),
                 incarnation: Incarnation(START_UNIX_US + self.now.as_micros() as u64),
             };
-            // What was due to the run before must not reach this one.
+            // Events scheduled for the previous run must not reach the new one.
             self.pending.retain(|_, (node, pending)| {
                 node != host
                     || matches!(
@@ -73,21 +75,22 @@
         }
     }
 
-    /// Cuts these hosts off from the others.
+    /// Puts these hosts into a partition that cannot reach the others.
     pub fn isolate(&mut self, hosts: &[usize]) {
         for host in hosts {
             self.nodes[*host].partition = 1;
         }
     }
 
-    /// Joins all hosts again.
+    /// Ends the partition.
     pub fn heal_partition(&mut self) {
         for node in &mut self.nodes {
             node.partition = 0;
         }
     }
 
-    /// Tells whether every running host believes in all running hosts of its side and no others.
+    /// Tells whether every running host's member list holds exactly the running hosts of its
+    /// partition.
     pub fn is_membership_agreed(&self) -> bool {
         let running = |partition: u8| {
             let nodes = self.nodes.iter();
@@ -107,7 +110,7 @@
         })
     }
 
-    /// Runs until all agree; returns the time it took, or the limit.
+    /// Runs until membership is agreed; returns the time it took, or the limit.
     pub fn run_until_agreed(&mut self, limit: Duration) -> Duration {
         let started_at = self.now;
         while !self.is_membership_agreed() && self.now < started_at + limit {
@@ -116,7 +119,7 @@
         self.now - started_at
     }
 
-    /// Returns the grants of each pool so far, by whichever home.
+    /// Returns the grants of each pool so far, summed over all running homes.
     pub fn grants(&self) -> BTreeMap<PoolId, u64> {
         let mut grants = BTreeMap::new();
         for node in self.nodes.iter().filter(|n| n.is_running) {
@@ -136,12 +139,12 @@
         (0..self.nodes.len()).find(homes)
     }
 
-    /// Returns the requests that run at all engines.
+    /// Returns the number of requests running at all engines.
     pub fn requests_running(&self) -> u64 {
         self.running_requests.values().map(|n| u64::from(*n)).sum()
     }
 
-    /// Returns the payload of membership messages since the last reset.
+    /// Returns the payload bytes of membership messages since the last reset.
     pub fn membership_bytes(&self) -> u64 {
         let nodes = self.nodes.iter();
         nodes
@@ -149,7 +152,7 @@
             .sum()
     }
 
-    /// Returns what all hosts sent since the last reset: messages and bytes of payload.
+    /// Returns the messages and payload bytes that all hosts sent since the last reset.
     pub fn sent(&self) -> (u64, u64) {
         let traffic = self.nodes.iter().flat_map(|n| n.costs.sent.values());
         traffic.fold((0, 0), |(messages, bytes), t| {
--- a/crates/slopes/src/fleet/load.rs
+++ b/crates/slopes/src/fleet/load.rs
@@ -1,4 +1,4 @@
-//! Callers and engines of a simulated fleet.
+//! Simulated callers and engines.
 
 use std::time::Duration;
 
@@ -21,19 +21,19 @@
 const OUTPUT_TOKEN_FACTOR: u64 = 4;
 /// Assumption: an account's callers reach this many routers.
 const ROUTERS_PER_ACCOUNT: u64 = 4;
-/// Assumption: share of the requests that comes from the backlogged accounts, in percent.
+/// Assumption: share of the requests that come from the backlogged accounts, in percent.
 const BACKLOGGED_REQUESTS_PERCENT: u64 = 60;
-/// Output tokens at which the first progress is told; then at each doubling.
+/// Output tokens at which progress is first reported; then at each doubling.
 const FIRST_PROGRESS_TOKENS: u64 = 32;
-/// Deadline of a request: long, so that what waits is not refused.
+/// Deadline of a request: long, so that queued requests are not refused.
 const REQUEST_DEADLINE: Duration = Duration::from_secs(600);
 /// Prompt prefixes of one account.
 const PREFIXES_PER_ACCOUNT: u64 = 4;
 
-/// Requests counted.
+/// Request counts.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct RequestCounts {
-    /// Requests that came.
+    /// Requests that arrived.
     pub arrived: u64,
     /// Requests that ended.
     pub ended: u64,
@@ -41,18 +41,18 @@
     pub refused: u64,
 }
 
-/// What an engine does for one request.
+/// Service of one request by an engine.
 #[derive(Debug, Clone, Copy)]
 pub struct Service {
-    /// Time it takes.
+    /// Duration of the service.
     pub duration: Duration,
-    /// Service received.
+    /// Tokens charged for the service.
     pub charged_tokens: u64,
     output_tokens: u64,
 }
 
 impl Service {
-    /// Returns when progress is told, and the service received by then.
+    /// Returns the times of progress reports, each with the tokens charged by then.
     pub fn progress(self) -> impl Iterator<Item = (Duration, u64)> {
         let doublings = std::iter::successors(Some(FIRST_PROGRESS_TOKENS), |n| Some(n * 2));
         doublings
@@ -64,7 +64,7 @@
 /// Callers of the whole fleet.
 #[derive(Debug)]
 pub struct Callers {
-    /// What was counted.
+    /// Requests counted.
     pub counts: RequestCounts,
     size: FleetSize,
     random: Random,
@@ -88,7 +88,7 @@
         Duration::from_secs_f64(self.random.exponential_interval_s(rate))
     }
 
-    /// Returns the next request and the router that it reaches.
+    /// Returns the index of the router that receives the next request, and the request.
     pub fn next_arrival(&mut self, now: Duration) -> (usize, Arrival) {
         self.counts.arrived += 1;
         self.last_key += 1;
@@ -111,8 +111,8 @@
         (router as usize, arrival)
     }
 
-    /// Returns what an engine does for the next request: its output is even between half and one
-    /// and a half times the mean.
+    /// Returns the service of the next request: its output length is distributed evenly between
+    /// half and one and a half times the mean.
     pub fn next_service(&mut self) -> Service {
         let mean = target::tokens_per_request() as u64;
         let output_tokens = mean / 2 + self.random.below(mean);
--- a/crates/slopes/src/fleet/mod.rs
+++ b/crates/slopes/src/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! A whole fleet in one thread on simulated time: the routers' real decisions and codecs, with
-//! links, endpoints and callers that are made up.
+//! Simulates a fleet in one thread on simulated time: the routers' real decision code and codecs
+//! with simulated links, endpoints and callers.
 
 pub mod config;
 pub mod costs;
@@ -43,21 +43,21 @@
 
 /// Microseconds since the epoch at which every host starts.
 const START_UNIX_US: u64 = 1_800_000_000_000_000;
-/// Least time between two ticks of a router, as in its core.
+/// Shortest time between two ticks of a router, as in its core.
 const MIN_TICK_INTERVAL: Duration = Duration::from_millis(1);
-/// Most time between two ticks of a router, as in its core.
+/// Longest time between two ticks of a router, as in its core.
 const MAX_TICK_INTERVAL: Duration = Duration::from_millis(20);
-/// Time a message is under way.
+/// One-way delay of a message.
 const LINK_DELAY: Duration = Duration::from_micros(500);
-/// Time after which a link to a host that is not reached is reported lost.
+/// Time after which a link to an unreachable host is reported lost.
 const LINK_LOSS_DELAY: Duration = Duration::from_millis(500);
-/// Time after which a connection to an endpoint that is not reached is given up, the default of
+/// Timeout of a connection to an unreachable endpoint, the default of
 /// `health.connect_timeout_ms`.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Time a load report is under way.
+/// Time to read a load report.
 const LOAD_READ_DELAY: Duration = Duration::from_millis(2);
 
-/// What happens to a router next.
+/// An event scheduled for a router.
 #[derive(Debug)]
 enum PendingEvent {
     Wake,
@@ -71,12 +71,12 @@
     ConfigRead(Box<ConfigEvent<ConfigContent>>),
 }
 
-/// One router and what it cost.
+/// One simulated router and its costs.
 #[derive(Debug)]
 pub struct SimulatedNode {
-    /// Its decisions.
+    /// Decision code of the router.
     pub node: Node,
-    /// What they cost since the last [`Fleet::reset_costs`].
+    /// Costs since the last [`Fleet::reset_costs`].
     pub costs: Costs,
     member: Member,
     is_running: bool,
@@ -90,9 +90,9 @@
 pub struct Fleet {
     /// The routers.
     pub nodes: Vec<SimulatedNode>,
-    /// The accepted configuration, for hosts that follow it.
+    /// The accepted configuration, for hosts that read it from the table.
     pub config: ConfigTable,
-    /// Requests that came and ended since the last [`Self::reset_costs`].
+    /// Callers, with counts of requests since the last [`Self::reset_costs`].
     pub callers: Callers,
     now: Duration,
     index: BTreeMap<HostId, usize>,
@@ -111,7 +111,7 @@
         Self::with_settings(size, &design::settings(size), seed)
     }
 
-    /// Creates a fleet under these settings.
+    /// Creates a fleet with the given settings.
     pub fn with_settings(size: FleetSize, settings: &Settings, seed: u64) -> Self {
         let nodes = (0..size.nodes).map(|index| {
             let member = Member {
@@ -148,12 +148,12 @@
         fleet
     }
 
-    /// Lets callers send from now on.
+    /// Starts the callers' requests.
     pub fn start_callers(&mut self) {
         self.schedule(self.now, 0, PendingEvent::Arrival);
     }
 
-    /// Forgets what was counted so far.
+    /// Resets all costs and request counts.
     pub fn reset_costs(&mut self) {
         for node in &mut self.nodes {
             node.costs = Costs::default();
@@ -161,7 +161,7 @@
         self.callers.counts = load::RequestCounts::default();
     }
 
-    /// Runs for `time`.
+    /// Advances the simulation by `time`.
     pub fn run_for(&mut self, time: Duration) {
         let end = self.now + time;
         while let Some(Reverse((at, _))) = self.queue.peek() {
@@ -192,7 +192,7 @@
             PendingEvent::Stream { from, bytes } => {
                 let sender = self.nodes[from].member.clone();
                 let started_at = Instant::now();
-                let message = peer::decode(&bytes, &sender).expect("routers send what they read");
+                let message = peer::decode(&bytes, &sender).expect("an encoded message decodes");
                 let component = receiving_component(&message);
                 let decoding = started_at.elapsed();
                 self.nodes[node]
@@ -203,7 +203,7 @@
             }
             PendingEvent::Datagram(bytes) => {
                 let started_at = Instant::now();
-                let message = membership::decode(&bytes).expect("routers send what they read");
+                let message = membership::decode(&bytes).expect("an encoded message decodes");
                 let costs = &mut self.nodes[node].costs;
                 costs.add_received(Component::Membership, bytes.len(), started_at.elapsed());
                 self.handle_event(
@@ -250,7 +250,7 @@
             arrival,
             claim: None,
         };
-        // The balancer sends no callers to a host that is down.
+        // The load balancer sends no requests to a host that is down.
         if self.nodes[node].is_running {
             self.handle_event(node, Component::Entry, event);
         }
@@ -271,7 +271,7 @@
         self.handle_event(node, Component::LoadReports, event);
     }
 
-    /// Lets a router look at its timers as its core does.
+    /// Sends a router the tick that its core would, unless a later wake-up replaced this one.
     fn tick_if_due(&mut self, node: usize) {
         let simulated = &mut self.nodes[node];
         if simulated.wake_at > self.now {
@@ -333,7 +333,7 @@
     fn send(&mut self, node: usize, to: HostId, message: &PeerMessage) {
         let target = self.index[&to];
         if !self.can_reach(node, target) {
-            // As on a real link, one loss is reported however many messages it took.
+            // As on a real link, one loss is reported however many messages were lost.
             if self.lost_links.insert((node, target)) {
                 self.schedule(self.now + LINK_LOSS_DELAY, node, PendingEvent::LinkLost(to));
             }
@@ -393,7 +393,7 @@
     }
 }
 
-/// Returns which part of the receiver a message is for.
+/// Returns the component of the receiver that handles a message.
 fn receiving_component(message: &PeerMessage) -> Component {
     match message {
         PeerMessage::Report(_) => Component::Home,
--- a/crates/slopes/src/lib.rs
+++ b/crates/slopes/src/lib.rs
@@ -1,5 +1,4 @@
-//! Measures what each role costs at several sizes and draws the slopes out to the size to design
-//! for.
+//! Measures the cost of each role at several sizes and extrapolates it to the size to design for.
 
 pub mod design;
 pub mod figures;
--- a/crates/slopes/src/main.rs
+++ b/crates/slopes/src/main.rs
@@ -1,4 +1,4 @@
-//! `sedgeridge-slopes`: measures every slope and writes the figures of the capacity page.
+//! `sedgeridge-slopes`: runs the benches and writes the plots and tables of the capacity page.
 
 use std::error::Error;
 use std::fs;
@@ -15,7 +15,7 @@
 use sedgeridge_slopes::runner;
 use sedgeridge_slopes::svg;
 
-/// Exit code of a command line that cannot be used, or a run that failed.
+/// Exit code for an invalid command line or a failed run.
 const EXIT_FAILED: u8 = 2;
 const DEFAULT_SEED: u64 = 20_261_202;
 
@@ -94,7 +94,7 @@
     }
 }
 
-/// Rewrites the plots, and the page if every bench has run.
+/// Writes the plots, and rewrites the page if every bench has run.
 fn write_docs(docs: &Path, figures: &Figures, seed: u64) -> Result<(), Box<dyn Error>> {
     let plots = docs.join("capacity");
     fs::create_dir_all(&plots)?;
@@ -102,7 +102,7 @@
         fs::write(plots.join(series.file_name()), svg::draw(series))?;
     }
     if !figures.is_complete() {
-        eprintln!("sedgeridge-slopes: some benches were left out, the page stays as it is");
+        eprintln!("sedgeridge-slopes: not every bench has run, so CAPACITY.md is not rewritten");
         return Ok(());
     }
     let file = docs.join("CAPACITY.md");
--- a/crates/slopes/src/memory_table.rs
+++ b/crates/slopes/src/memory_table.rs
@@ -1,4 +1,4 @@
-//! A table service in memory that always answers, and counts.
+//! An in-memory table service that always answers and counts its calls.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -13,23 +13,23 @@
 use sedgeridge_coordination::store_call::StoreWrite;
 use sedgeridge_protocol::table;
 
-/// Rows and counts.
+/// Rows of the table and counts of its calls.
 #[derive(Debug, Default)]
 pub struct MemoryTable {
-    /// Transactions made.
+    /// Transactions executed, conflicts included.
     pub transactions: u64,
-    /// Reads made.
+    /// Reads executed.
     pub reads: u64,
     /// Rows written.
     pub rows_written: u64,
-    /// Bytes of the calls' bodies.
+    /// Bytes of all request bodies.
     pub call_bytes: u64,
     version: u64,
     rows: BTreeMap<Arc<str>, StoreRow>,
 }
 
 impl MemoryTable {
-    /// Makes a call.
+    /// Executes a call and returns its result.
     pub fn execute(&mut self, action: &StoreAction) -> StoreEvent {
         self.call_bytes += request_body_bytes(action);
         match action {
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Writes one row whatever stands there; returns its version.
+    /// Writes a row unconditionally and returns its version.
     pub fn put(&mut self, key: &str, value: &str) -> u64 {
         self.version += 1;
         let row = StoreRow {
@@ -60,12 +60,12 @@
         self.version
     }
 
-    /// Counts the rows.
+    /// Returns the number of rows.
     pub fn row_count(&self) -> usize {
         self.rows.len()
     }
 
-    /// Returns the bytes of all keys and values.
+    /// Returns the total size of all keys and values.
     pub fn row_bytes(&self) -> u64 {
         let rows = self.rows.values();
         let bytes = rows.map(|row| row.key.len() + row.value.as_ref().map_or(0, |v| v.len()));
--- a/crates/slopes/src/page.rs
+++ b/crates/slopes/src/page.rs
@@ -1,4 +1,4 @@
-//! Writes the generated parts of the capacity page, between markers; the prose around them stays.
+//! Replaces the generated parts of the capacity page, between markers; the text around them stays.
 
 use std::fmt::Write;
 
@@ -19,7 +19,7 @@
 use crate::svg::format_short;
 use crate::target;
 
-/// Why a page cannot be written.
+/// Error of rewriting a page.
 #[derive(Debug, Error)]
 pub enum PageError {
     /// The page lacks a marker.
@@ -214,7 +214,7 @@
     text
 }
 
-/// Says how many times a budget is spent.
+/// Formats a value as a multiple of its budget.
 pub fn budget_ratio(value: f64, budget: f64) -> String {
     format!("{:.2} x", value / budget)
 }
--- a/crates/slopes/src/page_failures.rs
+++ b/crates/slopes/src/page_failures.rs
@@ -1,4 +1,4 @@
-//! What moves when something fails, from the measured slopes.
+//! The table of failures: what moves when something fails, from the measured series.
 
 use std::fmt::Write;
 
@@ -15,10 +15,10 @@
 /// Hosts that are restarted or replaced on an ordinary day.
 const RESTARTS_PER_DAY: f64 = 130.0;
 const SITE_COUNT: f64 = 7.0;
-/// Time for which the heal is watched.
+/// Time after a heal over which its traffic is measured.
 const HEAL_WINDOW_S: f64 = 15.0;
 
-/// Writes the table of failures.
+/// Formats the table of failures.
 pub fn failure_table(figures: &Figures) -> String {
     let mut text = String::from(
         "| failure | how often | what moves | traffic | time |\n| --- | --- | --- | --- | --- |\n",
--- a/crates/slopes/src/page_overruns.rs
+++ b/crates/slopes/src/page_overruns.rs
@@ -1,4 +1,4 @@
-//! Where a role is over its budget, by how much, and what is to carry it.
+//! The table of roles that exceed their budget: by how much, and which mechanism is to reduce it.
 
 use std::fmt::Write;
 
@@ -11,12 +11,12 @@
 use crate::svg::format_short;
 use crate::target;
 
-/// Role that sends the messages of an endpoint home, as named in its row.
+/// Role that sends an endpoint home's messages, as named in its row.
 const ENDPOINT_HOME_ROLE: &str = "endpoint home";
 const LOAD_REPORTS_ROLE: &str = "endpoint home: load reports";
 const ENTRY_ROUTER_ROLE: &str = "entry router";
 
-/// Writes the table of what is over.
+/// Formats the table of roles over budget.
 pub fn overrun_table(figures: &Figures) -> String {
     let rows = role_rows(figures);
     let mut text = String::from(
@@ -115,7 +115,7 @@
     (fleet_transactions > target::BUDGET_TABLE_WRITES_PER_S, line)
 }
 
-/// Says what the budget leaves for each request.
+/// Describes the bytes that the budget leaves for each request.
 fn bytes_left_per_request(rows: &[RoleRow]) -> String {
     let others = ["membership", "configuration adoption"];
     let spent: f64 = others
--- a/crates/slopes/src/random.rs
+++ b/crates/slopes/src/random.rs
@@ -1,6 +1,6 @@
 //! Seeded random numbers.
 
-/// Xorshift generator: the same seed gives the same numbers.
+/// Xorshift generator: the same seed gives the same sequence.
 #[derive(Debug, Clone)]
 pub struct Random {
     state: u64,
@@ -14,7 +14,7 @@
         }
     }
 
-    /// Returns any number.
+    /// Returns the next 64-bit number.
     pub fn next_u64(&mut self) -> u64 {
         self.state ^= self.state << 13;
         self.state ^= self.state >> 7;
@@ -33,12 +33,12 @@
         self.next_u64() % bound.max(1)
     }
 
-    /// Returns a number from 0 up to 1.
+    /// Returns a number of at least 0 and less than 1.
     pub fn fraction(&mut self) -> f64 {
         (self.next_u64() >> 11) as f64 / (1_u64 << 53) as f64
     }
 
-    /// Returns the time to the next of events that come at random at this rate.
+    /// Returns an exponentially distributed interval in seconds between events of this mean rate.
     pub fn exponential_interval_s(&mut self, rate_per_s: f64) -> f64 {
         -(1.0 - self.fraction()).ln() / rate_per_s
     }
--- a/crates/slopes/src/role_rows.rs
+++ b/crates/slopes/src/role_rows.rs
@@ -1,4 +1,4 @@
-//! What each role costs at the size to design for, from the measured slopes.
+//! Cost of each role at the size to design for, from the fitted series.
 
 use std::fmt;
 
@@ -24,21 +24,21 @@
 /// Ticks a second of a coordinator.
 const COORDINATOR_TICKS_PER_S: f64 = 20.0;
 
-/// A figure of a row.
+/// Value of one cell of a row.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Amount {
-    /// It was measured, or worked out from what was.
+    /// Measured, or derived from measurements.
     Measured(f64),
-    /// It was not measured.
+    /// Not measured.
     Missing,
-    /// It is part of an earlier row.
+    /// Included in an earlier row.
     InEarlierRow,
-    /// The role has none while nobody asks.
+    /// Costs nothing unless an operator asks.
     OnDemand,
 }
 
 impl Amount {
-    /// Returns the figure, or nothing to add to a sum.
+    /// Returns the value, or 0 where there is none.
     pub fn or_zero(self) -> f64 {
         match self {
             Self::Measured(value) => value,
@@ -58,14 +58,14 @@
     }
 }
 
-/// One role.
+/// Costs of one role.
 #[derive(Debug, Clone)]
 pub struct RoleRow {
-    /// Its name.
+    /// Name of the role.
     pub role: &'static str,
-    /// Who has it.
+    /// Nodes that have the role.
     pub place: &'static str,
-    /// What it keeps.
+    /// State that the role keeps.
     pub state: String,
     /// Messages sent by one node a second.
     pub messages_per_s: Amount,
@@ -73,11 +73,11 @@
     pub payload_bytes_per_s: Amount,
     /// Bytes sent on the wire by one node a second.
     pub wire_bytes_per_s: Amount,
-    /// Part of a core, in percent.
+    /// Share of a core, in percent.
     pub core_percent: Amount,
-    /// Memory of one node.
+    /// Memory of one node in KB.
     pub memory_kb: Amount,
-    /// Module that carries it today.
+    /// Module that implements the role.
     pub module: &'static str,
 }
 
@@ -266,18 +266,18 @@
     }
 }
 
-/// What one node spends for control.
+/// Control costs of one node.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct NodeTotal {
     /// Bytes sent on the wire a second.
     pub wire_bytes_per_s: f64,
-    /// Part of a core, in percent.
+    /// Share of a core, in percent.
     pub core_percent: f64,
-    /// Memory.
+    /// Memory in KB.
     pub memory_kb: f64,
 }
 
-/// Returns what a node spends in total: a node that is no home, and one that is home of a pool.
+/// Returns the total costs of a node that is no home, and of one that is the home of a pool.
 pub fn node_totals(rows: &[RoleRow]) -> [(&'static str, NodeTotal); 2] {
     let everywhere = |row: &&RoleRow| row.place == "every node";
     let homes = |row: &&RoleRow| row.place.starts_with("4 nodes") || everywhere(row);
@@ -301,7 +301,7 @@
     })
 }
 
-/// Returns what the data path costs a node: processor in percent of a core, memory in KB, threads.
+/// Returns the data path's cost on a node: percent of a core, memory in KB, and threads.
 pub fn data_path_cost(f: &Figures) -> (f64, f64, f64) {
     let at = |metric| f.at_target(&data_path::STREAMS, metric);
     let per_request_ms = f.slope_at_target(&data_path::REQUESTS, "cpu_ms");
--- a/crates/slopes/src/roles/claims.rs
+++ b/crates/slopes/src/roles/claims.rs
@@ -31,17 +31,17 @@
 use crate::target;
 
 const STARTED_UNIX_MS: u64 = 1_800_000_000_000;
-/// Assumption: time of one call of the table service.
+/// Assumption: duration of one call to the table service.
 const TABLE_DELAY: Duration = Duration::from_millis(5);
 /// Assumption: time a plain service takes for one request.
 const SERVICE_TIME: Duration = Duration::from_millis(50);
-/// Assumption: size of an answer that is kept for repeats.
+/// Assumption: size of an answer that is recorded for repeated requests.
 const RECORDED_ANSWER_BYTES: usize = 200;
 const MEASURED_TIME: Duration = Duration::from_secs(6_000);
 const QUICK_MEASURED_TIME: Duration = Duration::from_secs(120);
 const TICK_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Claims of one router.
+/// Claims that one router makes, by their rate.
 pub const RATE: Bench = Bench {
     name: "claims-rate",
     size_title: "claims a router and 10 seconds",
@@ -78,7 +78,7 @@
     Tick,
 }
 
-/// One router's claims, and the table.
+/// The claims of one router, and the table they are written to.
 struct SimulatedRouter {
     claims: Claims,
     table: MemoryTable,
@@ -134,7 +134,9 @@
                 }
                 PendingEvent::Answer(index) => {
                     let answer = self.answers[index].take();
-                    self.handle_event(ClaimEvent::Store(answer.expect("an answer comes once")));
+                    self.handle_event(ClaimEvent::Store(
+                        answer.expect("each answer is delivered once"),
+                    ));
                 }
                 PendingEvent::Ended(request) => {
                     let body = RecordedBody::Inline(Arc::from("x".repeat(RECORDED_ANSWER_BYTES)));
--- a/crates/slopes/src/roles/config.rs
+++ b/crates/slopes/src/roles/config.rs
@@ -1,4 +1,4 @@
-//! The accepted configuration: what one router keeps, and what a change costs it.
+//! The accepted configuration: its memory in one router, and the cost of a change.
 
 use std::fmt::Write;
 use std::sync::Arc;
@@ -35,11 +35,11 @@
 use crate::sample::Sample;
 use crate::target;
 
-/// Changes over which the processor time is averaged.
+/// Changes over which processor time is averaged.
 const MEASURED_CHANGES: u64 = 20;
-/// Polls after which a change must be in force.
+/// Polls within which a change must be in force.
 const MAX_POLLS: u32 = 10;
-/// Time after which a router looks at the head again.
+/// Time between two polls of the table's head.
 const POLL_INTERVAL: Duration = Duration::from_secs(60);
 
 /// Accounts in the configuration, beside the hosts and endpoints of the size to design for.
@@ -109,7 +109,7 @@
     sample
 }
 
-/// A router that reads each change from the table as soon as it is there.
+/// A router that reads each change from the table as soon as it is available.
 struct Follower {
     node: Node,
     now: Duration,
@@ -123,7 +123,7 @@
         settings.hosts = document
             .settings("site-0")
             .map(|whole| whole.hosts)
-            .expect("the configuration is sound");
+            .expect("the generated configuration is valid");
         let member = Member {
             host: design::host_id(0),
             incarnation: Incarnation(1),
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Brings one generation in force.
+    /// Polls until one generation is in force.
     fn follow(&mut self, generation: u64, content: ConfigContent) {
         let change = config_item(generation, content);
         for _ in 0..MAX_POLLS {
@@ -144,10 +144,10 @@
                 return;
             }
         }
-        panic!("generation {generation} is not in force");
+        panic!("generation {generation} is not in force after {MAX_POLLS} polls");
     }
 
-    /// Lets the router look at the head; tells whether a change came in force.
+    /// Polls the head once; tells whether a change came into force.
     fn poll(&mut self, change: &ConfigItem<ConfigContent>) -> bool {
         let mut adopted = false;
         let mut events = vec![NodeEvent::Tick];
@@ -186,7 +186,7 @@
     ConfigContent::Snapshot(document.clone())
 }
 
-/// Makes the change of one account's weight.
+/// Returns a change of one account's weight.
 pub fn weight_change(generation: u64) -> ConfigContent {
     let key = format!("f{generation:063x}");
     let weight = (1 + generation % 4).to_string();
@@ -207,7 +207,7 @@
     peer::encode(&PeerMessage::Config(message)).len() as u64
 }
 
-/// Writes the base file of a fleet.
+/// Returns the text of a fleet's base configuration file.
 pub fn base_text(size: FleetSize) -> String {
     let settings = design::settings(size);
     let mut text = String::from(
--- a/crates/slopes/src/roles/config_spread.rs
+++ b/crates/slopes/src/roles/config_spread.rs
@@ -1,4 +1,4 @@
-//! How long a change of configuration takes to be in force everywhere, in a simulated fleet.
+//! Time for a configuration change to be in force on every host of a simulated fleet.
 
 use std::time::Duration;
 
@@ -22,14 +22,15 @@
 const JOIN_TIME: Duration = Duration::from_secs(20);
 const STEP: Duration = Duration::from_millis(10);
 const IN_FORCE_LIMIT: Duration = Duration::from_secs(60);
-/// Time between two changes; 11,000 a day come each 7.9 s.
+/// Time between two changes: 11,000 a day is one every 7.9 s.
 const CHANGE_INTERVAL: Duration = Duration::from_millis(7_854);
 const CHANGES: u64 = 10;
 const QUICK_CHANGES: u64 = 3;
-/// Accounts and endpoints stay few, since each host reads the whole at each change.
+/// Number of accounts and of endpoints: few, since each host reads the whole configuration at
+/// each change.
 const ACCOUNTS_AND_ENDPOINTS: usize = 70;
 
-/// Changes that hosts hear of from each other and from the table.
+/// Propagation of changes between hosts and from the table.
 pub const SPREAD: Bench = Bench {
     name: "config-spread",
     size_title: "nodes",
@@ -77,7 +78,7 @@
     let mut times = Vec::new();
     let mut total = Duration::ZERO;
     for _ in 0..changes {
-        // A change comes at any moment of the hosts' timers.
+        // A change comes at a random point of the hosts' timer intervals.
         let pause = Duration::from_millis(random.below(1_000));
         fleet.run_for(pause);
         let next = fleet.config.newest_generation() + 1;
--- a/crates/slopes/src/roles/coordinator.rs
+++ b/crates/slopes/src/roles/coordinator.rs
@@ -1,4 +1,4 @@
-//! The coordinator: the lease that hosts compete for, and orders to engines.
+//! The coordinator: the lease that hosts compete for, and its orders to engines.
 
 use std::time::Duration;
 
@@ -31,15 +31,15 @@
 use crate::sample::Sample;
 use crate::target;
 
-/// Time over which calls of the table are counted.
+/// Time over which calls to the table are counted.
 const LEASE_TIME: Duration = Duration::from_secs(120);
 const LEASE_STEP: Duration = Duration::from_millis(50);
 const TICK: Duration = Duration::from_millis(50);
-/// Orders over which the processor time is averaged.
+/// Orders over which processor time is averaged.
 const MEASURED_ORDERS: usize = 100;
 const LEASE_DEADLINE: Duration = Duration::from_secs(3_600);
 
-/// Hosts that run a coordinator.
+/// Lease traffic, by the number of hosts that run a coordinator.
 pub const LEASE: Bench = Bench {
     name: "coordinator-lease",
     size_title: "hosts that compete for the lease",
@@ -60,7 +60,7 @@
     measure: measure_lease,
 };
 
-/// Engines that the holder gives orders to.
+/// Cost of orders, by the number of engines.
 pub const ORDERS: Bench = Bench {
     name: "coordinator-orders",
     size_title: "engines",
@@ -157,7 +157,7 @@
     sample
 }
 
-/// A holder of the lease whose engines obey at once.
+/// A lease holder whose engines carry out each order at once.
 struct Holder {
     orders: Orders,
     table: MemoryTable,
@@ -212,7 +212,7 @@
         holder
     }
 
-    /// Gives one order and waits until it has ended.
+    /// Issues one order and runs until it has ended.
     fn run_order(&mut self, endpoint: &EndpointId) {
         self.open_orders += 1;
         self.handle_event(OrderEvent::Requested {
--- a/crates/slopes/src/roles/data_path.rs
+++ b/crates/slopes/src/roles/data_path.rs
@@ -26,21 +26,22 @@
 use crate::sample::Sample;
 use crate::target;
 
-/// Key of the one caller, and its SHA-256 as the settings want it.
+/// API key of the only account; the settings hold its SHA-256.
 const KEY: &str = "slopes-key";
 const KEY_SHA256: &str = "8f3e59899bc98dd41da0d3af38a16ce6d47ac9e21aea0b47969015274bb34eeb";
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Time until all streams are open.
+/// Time for all streams to open.
 const OPEN_TIME: Duration = Duration::from_secs(4);
 const MEASURED_TIME: Duration = Duration::from_secs(8);
-/// So many that no stream ends while it is measured: at least a quarter of them is generated.
+/// Token limit of a stream: enough that no stream ends while it is measured, since the engine
+/// generates at least a quarter of the limit.
 const MAX_TOKENS: u32 = 4_000;
 const SLOTS: u32 = 400;
-/// Callers that send one short request after another.
+/// Number of callers, each of which sends one short request after another.
 const CALLER_COUNT: u64 = 8;
 
-/// Streams open at one router.
+/// Cost of streams open at one router.
 pub const STREAMS: Bench = Bench {
     name: "data-streams",
     size_title: "streams open at one router, a token each 42 ms",
@@ -65,7 +66,7 @@
     measure: measure_streams,
 };
 
-/// Short requests through one router.
+/// Cost of short requests through one router.
 pub const REQUESTS: Bench = Bench {
     name: "data-requests",
     size_title: "requests through one router, one token each, 8 callers",
@@ -140,7 +141,7 @@
     )
 }
 
-/// One router before one engine, as processes of their own.
+/// A router and an engine, each in its own process.
 struct Processes {
     router: Child,
     engine: Child,
@@ -182,7 +183,7 @@
         Ok(processes)
     }
 
-    /// Waits until a request is answered.
+    /// Retries a request until it is answered or [`READY_TIMEOUT`] has passed.
     fn wait_until_ready(&self) -> io::Result<()> {
         let started_at = Instant::now();
         loop {
@@ -211,7 +212,7 @@
 impl Drop for Processes {
     fn drop(&mut self) {
         for child in [&mut self.router, &mut self.engine] {
-            // It may have ended by itself, which is as good.
+            // The process may already have exited.
             let _ = child.kill();
             let _ = child.wait();
         }
@@ -219,7 +220,7 @@
     }
 }
 
-/// Names a program that stands beside this one.
+/// Returns the command of a program in the same directory as this one.
 fn sibling_program(name: &str) -> io::Result<Command> {
     let path = std::env::current_exe()?.with_file_name(name);
     let mut command = Command::new(path);
--- a/crates/slopes/src/roles/failures.rs
+++ b/crates/slopes/src/roles/failures.rs
@@ -1,4 +1,4 @@
-//! Failures of hosts, data centres and the links between regions, in a simulated fleet.
+//! Failures of hosts, data centres and links between regions, in a simulated fleet.
 
 use std::time::Duration;
 
@@ -14,14 +14,14 @@
 const JOIN_TIME: Duration = Duration::from_secs(5);
 const FILL_TIME: Duration = Duration::from_secs(14);
 const AGREE_LIMIT: Duration = Duration::from_secs(60);
-/// Time of a cut that is simulated; nothing changes in it after the sides have settled.
+/// Simulated duration of a partition; nothing changes after both sides have settled.
 const PARTITION_TIME: Duration = Duration::from_secs(30);
 const STEP: Duration = Duration::from_millis(20);
-/// Time for homes that moved to settle.
+/// Time for moved homes to settle.
 const SETTLE_TIME: Duration = Duration::from_secs(5);
-/// Time for which a planned stop is watched.
+/// Time after a planned stop in which gaps between grants are measured.
 const PLANNED_STOP_WINDOW: Duration = Duration::from_secs(10);
-/// Time over which the traffic before and after a failure is compared.
+/// Time before and after a failure over which traffic is compared.
 const TRAFFIC_WINDOW: Duration = Duration::from_secs(15);
 
 const METRICS: &[Metric] = &[
@@ -75,7 +75,7 @@
     measure: measure_site,
 };
 
-/// Regions lose each other.
+/// The links between two regions fail.
 pub const REGION: Bench = Bench {
     name: "failure-region",
     size_title: "nodes; two regions lose each other",
@@ -125,7 +125,7 @@
     fleet
 }
 
-/// Runs for the window and returns what was sent in it.
+/// Runs for [`TRAFFIC_WINDOW`] and returns the messages and payload bytes sent in it.
 fn sent_in_window(fleet: &mut Fleet) -> (f64, f64) {
     fleet.reset_costs();
     fleet.run_for(TRAFFIC_WINDOW);
@@ -181,7 +181,7 @@
     sample
 }
 
-/// Tells the home of a pool to stop and returns the longest time without a grant in one pool.
+/// Stops the home of a pool and returns the longest time without a grant in one pool.
 fn planned_stop(fleet: &mut Fleet) -> Duration {
     let home = fleet.home_of(&design::pool_id(0));
     let mut gap = LongestGrantGap::new();
@@ -196,7 +196,7 @@
     gap.longest
 }
 
-/// The longest time in which one pool had no grant.
+/// Tracks the longest time in which any one pool had no grant.
 struct LongestGrantGap {
     last: Vec<(u64, Duration)>,
     longest: Duration,
@@ -215,7 +215,7 @@
         for (index, (last, at)) in self.last.iter_mut().enumerate() {
             let pool = design::pool_id(index);
             let grants = grants.get(&pool).copied().unwrap_or(0);
-            // A new home counts from zero.
+            // A new home's counter starts at zero.
             if grants != *last && grants > 0 {
                 self.longest = self.longest.max(now - *at);
                 (*last, *at) = (grants, now);
--- a/crates/slopes/src/roles/fleet.rs
+++ b/crates/slopes/src/roles/fleet.rs
@@ -1,4 +1,4 @@
-//! Entry routers, homes of pools and membership, together in a simulated fleet.
+//! Entry routers, pool homes and membership together in a simulated fleet.
 
 use std::time::Duration;
 
@@ -17,14 +17,13 @@
 use crate::sample::Sample;
 use crate::target;
 
-/// Time for the members to find each other.
+/// Time for the members to discover each other.
 const JOIN_TIME: Duration = Duration::from_secs(5);
-/// Time until every slot is taken and the first requests have ended.
+/// Time until every slot is occupied and the first requests have ended.
 const FILL_TIME: Duration = Duration::from_secs(14);
-/// Time measured.
 const MEASURED_TIME: Duration = Duration::from_secs(10);
 const QUICK_MEASURED_TIME: Duration = Duration::from_secs(4);
-/// Routers of the bench that changes the request rate.
+/// Routers of the bench that varies the request rate.
 const RATE_NODES: usize = 40;
 
 const METRICS: &[Metric] = &[
@@ -108,7 +107,7 @@
     measure: measure_nodes,
 };
 
-/// A fleet of fixed size under more and more requests.
+/// A fleet of fixed size under a growing request rate.
 pub const REQUESTS: Bench = Bench {
     name: "fleet-requests",
     size_title: "requests a node and second below the engines' capacity, 40 nodes",
@@ -158,7 +157,7 @@
     sample
 }
 
-/// A fleet after a run, and how its sums become rates.
+/// A fleet after a run, with the factors that turn its sums into rates.
 struct MeasuredFleet<'a> {
     fleet: &'a Fleet,
     seconds: f64,
--- a/crates/slopes/src/roles/home.rs
+++ b/crates/slopes/src/roles/home.rs
@@ -1,4 +1,4 @@
-//! The home of a pool by itself: its memory, and what a new home is told.
+//! The home of a pool by itself: its memory, and the reports that a new home receives.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -31,14 +31,14 @@
 use crate::target;
 
 const INCARNATION: u64 = 1_800_000_000_000_000;
-/// Requests of one backlogged account that wait at one router.
+/// Requests of one backlogged account queued at one router.
 const WAITING_PER_ROUTER: u32 = 5;
-/// Assumption, as in the simulated fleet.
+/// Assumption, the same as in the simulated fleet.
 const ROUTERS_PER_ACCOUNT: usize = 4;
 const HEAD_COST_TOKENS: u64 = 1_284;
 const DISTINCT_HEAD_PREFIXES: u64 = 64;
 
-/// Accounts that a home keeps in order.
+/// Memory of a home, by the number of accounts it orders.
 pub const ACCOUNTS: Bench = Bench {
     name: "home-accounts",
     size_title: "accounts, a tenth of them backlogged, 400 routers, 550 endpoints",
@@ -53,7 +53,7 @@
     measure: measure_accounts,
 };
 
-/// Requests under way whose grants a new home is told.
+/// Cost of a takeover, by the running requests whose grants are reported to the new home.
 pub const TAKEOVER: Bench = Bench {
     name: "home-takeover",
     size_title: "requests under way in the pool, 400 routers, 6,900 accounts",
@@ -91,7 +91,7 @@
     sample.set("memory_kb", memory as f64 / 1_024.0);
     assert!(
         home.counters().rejections.is_empty(),
-        "the home takes all reports"
+        "the home accepts all reports"
     );
     sample
 }
@@ -121,7 +121,7 @@
     sample.set("memory_kb", memory as f64 / 1_024.0);
     assert!(
         home.counters().rejections.is_empty(),
-        "the home takes all reports"
+        "the home accepts all reports"
     );
     sample
 }
@@ -156,7 +156,8 @@
     home
 }
 
-/// Makes the full report of one router: its part of what waits, runs and was served.
+/// Returns the full report of one router: its share of queued requests, running requests and past
+/// service.
 fn full_report(router: usize, accounts: usize, streams: usize) -> EntryReport {
     let routers = target::NODES as usize;
     let reaches = |account: usize| {
--- a/crates/slopes/src/roles/home_endpoints.rs
+++ b/crates/slopes/src/roles/home_endpoints.rs
@@ -1,4 +1,4 @@
-//! What a node keeps for each endpoint whose home it is.
+//! Cost of a node for each endpoint whose home it is.
 
 use std::time::Duration;
 
@@ -20,11 +20,11 @@
 use crate::target;
 
 const ACCOUNT_COUNT: usize = 100;
-/// Load reports of each endpoint.
+/// Load reports read from each endpoint.
 const REPORTS_PER_ENDPOINT: u32 = 10;
 const REPORT_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Endpoints of the pools that one node is home of.
+/// Endpoints in the pools whose home is one node.
 pub const ENDPOINTS: Bench = Bench {
     name: "home-endpoints",
     size_title: "endpoints whose home a node is, 100 accounts",
@@ -53,7 +53,7 @@
         accounts: ACCOUNT_COUNT,
         requests_per_s: 1,
     });
-    // Such a node needs no others to be home of every pool.
+    // With this scope a node is the home of every pool without any other members.
     settings.fair.scope = FairScope::Router;
     let member = Member {
         host: design::host_id(0),
--- a/crates/slopes/src/roles/load_reports.rs
+++ b/crates/slopes/src/roles/load_reports.rs
@@ -1,4 +1,4 @@
-//! Reads of endpoints' load reports over HTTP, as the home of a pool makes them.
+//! Load reports read from endpoints over HTTP, as the home of a pool does.
 
 use std::io;
 use std::io::BufRead;
@@ -25,9 +25,9 @@
 use crate::sample::Sample;
 use crate::target;
 
-/// Reads a second that a pool of 550 endpoints takes at the default `health.report_interval_ms`.
+/// Reads a second for a pool of 550 endpoints at the default `health.report_interval_ms`.
 const READS_PER_POOL_PER_S: f64 = target::ENDPOINTS / target::POOLS * 4.0;
-/// IPv4 and TCP headers with timestamps of one segment.
+/// IPv4 and TCP headers of one segment, with the timestamp option.
 pub const SEGMENT_OVERHEAD_BYTES: u64 = 52;
 const TIMEOUT: Duration = Duration::from_secs(5);
 
@@ -58,7 +58,7 @@
 
 fn measure(point: Point) -> Sample {
     let request_bytes = Arc::new(AtomicU64::new(0));
-    let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("loopback is there");
+    let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("loopback is available");
     let address = listener.local_addr().expect("a listener has an address");
     let counter = Arc::clone(&request_bytes);
     thread::spawn(move || serve(&listener, &counter));
@@ -75,9 +75,9 @@
         assert_eq!(report.slots, design::SLOTS_PER_ENGINE);
     }
     let cpu = meter::main_thread_cpu_time() - cpu_before;
-    let acks = SEGMENT_OVERHEAD_BYTES * 2;
-    let sent = request_bytes.load(Ordering::Relaxed) + acks * point.size;
-    let received = (answer().len() as u64 + acks) * point.size;
+    let overhead_bytes = SEGMENT_OVERHEAD_BYTES * 2;
+    let sent = request_bytes.load(Ordering::Relaxed) + overhead_bytes * point.size;
+    let received = (answer().len() as u64 + overhead_bytes) * point.size;
     let mut sample = Sample::default();
     sample.set("cpu_ms", cpu.as_secs_f64() * 1e3);
     sample.set("sent_wire_kb", sent as f64 / 1_024.0);
@@ -87,7 +87,7 @@
 
 fn serve(listener: &TcpListener, request_bytes: &AtomicU64) {
     for stream in listener.incoming().flatten() {
-        // A connection that ends is the end of the bench.
+        // The connection ends with the bench.
         let _ = answer_requests(stream, request_bytes);
     }
 }
--- a/crates/slopes/src/roles/mod.rs
+++ b/crates/slopes/src/roles/mod.rs
@@ -1,4 +1,4 @@
-//! What is measured: one module for each role or group of roles.
+//! Benches: one module for each role or group of roles.
 
 pub mod claims;
 pub mod config;
@@ -14,14 +14,14 @@
 
 use crate::sample::Sample;
 
-/// One measurement to run.
+/// One run of a bench at one size.
 #[derive(Debug, Clone, Copy)]
 pub struct Point {
-    /// The size.
+    /// Size to run at.
     pub size: u64,
-    /// Feeds every random choice.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// Whether a rough figure is enough.
+    /// Whether to measure for a shorter time, for a trial.
     pub quick: bool,
 }
 
@@ -30,27 +30,27 @@
 pub struct Metric {
     /// Name in a [`Sample`].
     pub name: &'static str,
-    /// What it is, with its unit.
+    /// Description with its unit.
     pub title: &'static str,
 }
 
 /// A bench: runs at several sizes, each in a process of its own.
 #[derive(Debug, Clone, Copy)]
 pub struct Bench {
-    /// Name on the command line and of the plots.
+    /// Name on the command line and in the plots' file names.
     pub name: &'static str,
-    /// What the size counts.
+    /// Description of what the size counts.
     pub size_title: &'static str,
     /// Sizes to measure.
     pub sizes: &'static [u64],
     /// Sizes of a trial.
     pub quick_sizes: &'static [u64],
-    /// Size to which the slope is drawn out.
+    /// Size to which the curve is extrapolated.
     pub target: f64,
-    /// What it measures.
+    /// Metrics that it measures.
     pub metrics: &'static [Metric],
-    /// Whether it measures processor time or memory, which other work on the machine disturbs;
-    /// counts and simulated times are the same however busy the machine is.
+    /// Whether it measures processor time or memory, which other load on the machine disturbs.
+    /// Counts and simulated times do not depend on the load.
     pub is_timed: bool,
     /// Measures one point.
     pub measure: fn(Point) -> Sample,
--- a/crates/slopes/src/roles/tools.rs
+++ b/crates/slopes/src/roles/tools.rs
@@ -1,4 +1,4 @@
-//! Operators' tools: pages of every router, and loading a configuration.
+//! Operators' tools: sizes of a router's pages, and the cost of loading a configuration.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddr;
@@ -26,7 +26,7 @@
 
 const INCARNATION: u64 = 1_800_000_000_000_000;
 
-/// Pages and files of a fleet in proportion.
+/// Pages and files of a fleet, by its number of nodes with all else in proportion.
 pub const NODES: Bench = Bench {
     name: "tools-nodes",
     size_title: "nodes, all else in proportion",
@@ -70,7 +70,9 @@
     let mut watch = Stopwatch::start();
     let loaded = watch.measure(|| {
         let document = ConfigDocument::from_texts(&text, &[]);
-        let settings = document.settings("site-0").expect("the file is sound");
+        let settings = document
+            .settings("site-0")
+            .expect("the generated file is valid");
         (document, settings)
     });
     let memory = meter::resident_bytes().saturating_sub(before);
--- a/crates/slopes/src/runner.rs
+++ b/crates/slopes/src/runner.rs
@@ -1,4 +1,4 @@
-//! Runs each point in a process of its own, so that the memory of one is not the next one's.
+//! Runs each point in its own process, so that memory measurements do not affect each other.
 
 use std::env;
 use std::io;
@@ -14,25 +14,25 @@
 use crate::sample::Sample;
 use crate::series::Series;
 
-/// Why a bench gave no series.
+/// Error that stopped a bench.
 #[derive(Debug, Error)]
 pub enum RunError {
-    /// The process of a point cannot be started.
-    #[error("cannot start the run of a point: {0}")]
+    /// The process of a point could not be started.
+    #[error("cannot start the process of a point: {0}")]
     Start(#[from] io::Error),
     /// The process of a point failed.
-    #[error("{bench} at {size} failed: {message}")]
+    #[error("bench {bench} at size {size} failed: {message}")]
     Failed {
-        /// The bench.
+        /// Name of the bench.
         bench: &'static str,
-        /// The size.
+        /// Size of the point.
         size: u64,
-        /// What it said.
+        /// Standard error of the process.
         message: String,
     },
 }
 
-/// Runs benches: those that measure time or memory one after another, then the others at once.
+/// Runs benches: those that measure time or memory one after another, then the others in parallel.
 ///
 /// # Errors
 ///
@@ -53,7 +53,9 @@
             .map(|bench| scope.spawn(move || run_bench(bench, seed, quick)))
             .collect();
         let ended = runs.into_iter();
-        ended.map(|run| run.join().expect("a run ends")).collect()
+        ended
+            .map(|run| run.join().expect("a bench thread does not panic"))
+            .collect()
     });
     all.extend(untimed?);
     Ok(all)
--- a/crates/slopes/src/sample.rs
+++ b/crates/slopes/src/sample.rs
@@ -1,15 +1,15 @@
-//! What one run at one size measured, and its form between two processes.
+//! Values measured by one run at one size, and their text form for passing between processes.
 
 use std::collections::BTreeMap;
 
-/// Values by name of the metric.
+/// Measured values by metric name.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Sample {
     values: BTreeMap<String, f64>,
 }
 
 impl Sample {
-    /// Notes a value.
+    /// Records a value.
     pub fn set(&mut self, metric: &str, value: f64) {
         self.values.insert(metric.to_owned(), value);
     }
@@ -19,13 +19,13 @@
         self.values.get(metric).copied()
     }
 
-    /// Writes one line for each value.
+    /// Formats one line for each value.
     pub fn to_lines(&self) -> String {
         let lines = self.values.iter().map(|(name, v)| format!("{name} {v}\n"));
         lines.collect()
     }
 
-    /// Reads what [`Self::to_lines`] wrote; other lines are left out.
+    /// Parses the output of [`Self::to_lines`]; other lines are ignored.
     ///
     /// ```
     /// use sedgeridge_slopes::sample::Sample;
--- a/crates/slopes/src/series.rs
+++ b/crates/slopes/src/series.rs
@@ -2,22 +2,22 @@
 
 use crate::fit::Fit;
 
-/// Points of one metric of one bench, with the curve through them.
+/// Points of one metric of one bench, with the fitted curve.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Series {
     /// Bench that measured it.
     pub bench: &'static str,
     /// Name of the metric.
     pub metric: &'static str,
-    /// What it is, with its unit.
+    /// Description of the metric with its unit, as printed in the table and the plot.
     pub title: &'static str,
-    /// What the size counts.
+    /// Description of what the size counts.
     pub size_title: &'static str,
-    /// Sizes and values.
+    /// Measured points, each a size and a value.
     pub points: Vec<(f64, f64)>,
-    /// Size to which the curve is drawn out.
+    /// Size to which the curve is extrapolated.
     pub target: f64,
-    /// The curve.
+    /// Curve fitted to the points.
     pub fit: Fit,
 }
 
@@ -27,7 +27,7 @@
         self.fit.value_at(self.target)
     }
 
-    /// Returns the name of the plot's file.
+    /// Returns the file name of the plot.
     pub fn file_name(&self) -> String {
         format!("{}-{}.svg", self.bench, self.metric.replace('_', "-"))
     }
--- a/crates/slopes/src/svg.rs
+++ b/crates/slopes/src/svg.rs
@@ -9,13 +9,13 @@
 const PLOT_LEFT: f64 = 80.0;
 const RIGHT_MARGIN: f64 = 20.0;
 const PLOT_TOP: f64 = 40.0;
-/// Lower edge of the plot of values.
+/// Lower edge of the value plot.
 const PLOT_BOTTOM: f64 = 270.0;
-/// Middle of the plot of residuals.
+/// Zero line of the residual plot.
 const RESIDUAL_MIDDLE: f64 = 340.0;
-/// Height of the largest residual.
+/// Drawn height of the largest residual.
 const RESIDUAL_HEIGHT: f64 = 25.0;
-/// Straight pieces of which the curve is made.
+/// Straight segments that approximate the curve.
 const CURVE_SEGMENTS: u32 = 60;
 const TICK_COUNT: u32 = 4;
 
@@ -38,7 +38,7 @@
     svg
 }
 
-/// How sizes and values become places.
+/// Mapping from sizes and values to coordinates.
 struct Scales {
     largest_size: f64,
     largest_value: f64,
@@ -163,7 +163,7 @@
     );
 }
 
-/// Writes a number with three digits that count.
+/// Formats a number with about three significant digits.
 pub fn format_short(value: f64) -> String {
     let size = value.abs();
     if size >= 999_500.0 {
--- a/crates/slopes/tests/fit.rs
+++ b/crates/slopes/tests/fit.rs
@@ -1,4 +1,4 @@
-//! Curves through points.
+//! Tests of curve fitting.
 
 use sedgeridge_slopes::fit::Fit;
 use sedgeridge_slopes::fit::Shape;
--- a/crates/slopes/tests/fleet.rs
+++ b/crates/slopes/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! The simulated fleet: same seed, same messages; work is done; failures are seen.
+//! The simulated fleet: it is deterministic, serves requests and detects failures.
 
 use std::time::Duration;
 
@@ -43,8 +43,8 @@
     assert!(running * 10 > slots * 8, "{running} of {slots}");
 }
 
-/// The home of a pool is killed. The other hosts hold it for dead, another host becomes the home
-/// and grants again; the killed host comes back with no memory and is known to all.
+/// Kills the home of a pool: the other hosts detect it as dead, and another host becomes the home
+/// and grants again. After a restart with empty state, every host lists the killed host again.
 #[test]
 fn a_killed_home_is_replaced_and_comes_back() {
     let mut fleet = loaded(SEED);
@@ -63,8 +63,8 @@
     assert!(fleet.is_membership_agreed());
 }
 
-/// Two regions lose each other and find each other again: each side holds the other for dead, and
-/// after the heal all agree.
+/// Partitions the fleet: each side detects the other as dead, and after the partition ends all
+/// hosts agree on the members again.
 #[test]
 fn regions_part_and_meet_again() {
     let mut fleet = joined(SEED);
--- a/crates/slopes/tests/page.rs
+++ b/crates/slopes/tests/page.rs
@@ -1,4 +1,4 @@
-//! The page, its plots and the lines between processes.
+//! The capacity page, its plots, and the text form of samples.
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -14,7 +14,7 @@
 
 const SEED: u64 = 7;
 
-/// Series of every bench in which every metric is one for each unit of size.
+/// Series of every metric of every bench, with each value equal to its size.
 fn made_up_figures() -> Figures {
     let mut figures = Figures::default();
     for bench in roles::BENCHES {
