--- a/crates/slopes/src/design.rs
+++ b/crates/slopes/src/design.rs
@@ -22,7 +22,7 @@
 pub const SITE_COUNT: usize = 7;
 /// Number of regions.
 pub const REGION_COUNT: usize = 2;
-/// Requests that an engine runs at once: a tenth less than the peak needs, so that requests queue.
+/// Requests that an engine runs at once: a tenth less than the peak needs, so that accounts wait.
 pub const SLOTS_PER_ENGINE: u32 = 28;
 
 /// Size of a fleet.
