--- a/crates/slopes/src/data_paths.rs
+++ b/crates/slopes/src/data_paths.rs
@@ -1,7 +1,7 @@
-//! `sedgeridge-data-paths`: the same streams through both data paths, one after the other.
+//! `sedgeridge-data-paths`: runs the same streams through both data paths, one after the other.
 //!
-//! Prints processor time for each event, waits and memory of a router process: `sedgeridge-router`
-//! (threads and rings) and `sedgeridge-edge` (one event loop).
+//! Prints processor time per event, voluntary context switches and memory of each router process:
+//! `sedgeridge-router` (threads and rings) and `sedgeridge-edge` (one event loop).
 
 use std::error::Error;
 use std::fs;
@@ -38,14 +38,14 @@
 use sedgeridge_soak::routers::Router;
 use sedgeridge_soak::routers::find_program;
 
-/// Streams that are open at once.
+/// Numbers of concurrent streams.
 const SIZES: [u64; 3] = [50, 100, 200];
-/// Time in which the router takes in its configuration.
+/// Time for the router to load its configuration.
 const START_TIME: Duration = Duration::from_secs(2);
-/// Time until all streams are open.
+/// Time for all streams to open.
 const OPEN_TIME: Duration = Duration::from_secs(3);
 const MEASURED_TIME: Duration = Duration::from_secs(8);
-/// So many that no stream ends while it is measured.
+/// Events of a stream: enough that no stream ends while it is measured.
 const EVENTS: u64 = 1_000;
 const SLOTS: u32 = 400;
 const TIMEOUT_MS: u64 = 60_000;
@@ -58,17 +58,17 @@
             seed: 1,
             quick: false,
         };
-        print(
+        print_row(
             size,
             "sedgeridge-router",
             &(data_path::STREAMS.measure)(point),
         );
-        print(size, "sedgeridge-edge", &measure_edge(size)?);
+        print_row(size, "sedgeridge-edge", &measure_edge(size)?);
     }
     Ok(())
 }
 
-fn print(size: u64, program: &str, sample: &Sample) {
+fn print_row(size: u64, program: &str, sample: &Sample) {
     let value = |name| sample.get(name).unwrap_or(f64::NAN);
     let events_per_s = size as f64 * 1e3 / target::TOKEN_INTERVAL_MS;
     let each_us = value("cpu_ms") * 1e3 / events_per_s;
@@ -101,18 +101,25 @@
     router.start()?;
     thread::sleep(START_TIME);
     for number in 0..size {
-        let stream = open(router.callers_address(), number)?;
+        let stream = open_stream(router.callers_address(), number)?;
         thread::spawn(move || drain(stream));
     }
     thread::sleep(OPEN_TIME);
     let id = router.process();
-    let (begin, cpu, waits) = (Instant::now(), meter::process_time(id), meter::waits(id));
+    let (started_at, cpu, waits) = (
+        Instant::now(),
+        meter::process_cpu_time(id),
+        meter::voluntary_context_switches(id),
+    );
     thread::sleep(MEASURED_TIME);
-    let seconds = begin.elapsed().as_secs_f64();
+    let seconds = started_at.elapsed().as_secs_f64();
     let mut sample = Sample::default();
-    let cpu = meter::process_time(id) - cpu;
+    let cpu = meter::process_cpu_time(id) - cpu;
     sample.set("cpu_ms", cpu.as_secs_f64() * 1e3 / seconds);
-    sample.set("waits", (meter::waits(id) - waits) as f64 / seconds);
+    sample.set(
+        "waits",
+        (meter::voluntary_context_switches(id) - waits) as f64 / seconds,
+    );
     sample.set("memory_kb", router.memory_kb() as f64);
     drop(router);
     fs::remove_dir_all(&dir)?;
@@ -138,8 +145,8 @@
     }
 }
 
-/// Sends a request and checks that its stream begins.
-fn open(address: SocketAddr, number: u64) -> io::Result<TcpStream> {
+/// Sends a request and checks that it is answered with status 200.
+fn open_stream(address: SocketAddr, number: u64) -> io::Result<TcpStream> {
     let mut stream = TcpStream::connect(address)?;
     let request = format!(
         "POST {STREAM_PATH} HTTP/1.1\r\nHost: desk.example\r\nAuthorization: Bearer secret\r\n\
@@ -150,7 +157,9 @@
     stream.read_exact(&mut status)?;
     if !status.ends_with(b" 200") {
         let status = String::from_utf8_lossy(&status);
-        return Err(io::Error::other(format!("answered {status}")));
+        return Err(io::Error::other(format!(
+            "expected status 200, got {status}"
+        )));
     }
     Ok(stream)
 }
--- a/crates/slopes/src/lib.rs
+++ b/crates/slopes/src/lib.rs
@@ -1,5 +1,4 @@
-//! Measures what each role costs at several sizes and draws the slopes out to the size to design
-//! for.
+//! Measures the cost of each role at several sizes and extrapolates it to the size to design for.
 
 pub mod design;
 pub mod figures;
@@ -9,7 +8,7 @@
 pub mod meter;
 pub mod page;
 pub mod page_failures;
-pub mod page_overs;
+pub mod page_overruns;
 pub mod random;
 pub mod role_rows;
 pub mod roles;
--- a/crates/slopes/src/memory_table.rs
+++ b/crates/slopes/src/memory_table.rs
@@ -1,4 +1,4 @@
-//! A table service in memory that always answers, and counts.
+//! An in-memory table service that always answers and counts its calls.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -13,25 +13,25 @@
 use sedgeridge_coordination::store_call::StoreWrite;
 use sedgeridge_protocol::table;
 
-/// Rows and counts.
+/// Rows of the table and counts of its calls.
 #[derive(Debug, Default)]
 pub struct MemoryTable {
-    /// Transactions made.
+    /// Transactions executed, conflicts included.
     pub transactions: u64,
-    /// Reads made.
+    /// Reads executed.
     pub reads: u64,
     /// Rows written.
     pub rows_written: u64,
-    /// Bytes of the calls' bodies.
+    /// Bytes of all request bodies.
     pub call_bytes: u64,
     version: u64,
     rows: BTreeMap<Arc<str>, StoreRow>,
 }
 
 impl MemoryTable {
-    /// Makes a call.
-    pub fn call(&mut self, action: &StoreAction) -> StoreEvent {
-        self.call_bytes += body_bytes(action);
+    /// Executes a call and returns its result.
+    pub fn execute(&mut self, action: &StoreAction) -> StoreEvent {
+        self.call_bytes += request_body_bytes(action);
         match action {
             StoreAction::Transact {
                 call,
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Writes one row whatever stands there; returns its version.
+    /// Writes a row unconditionally and returns its version.
     pub fn put(&mut self, key: &str, value: &str) -> u64 {
         self.version += 1;
         let row = StoreRow {
@@ -60,13 +60,13 @@
         self.version
     }
 
-    /// Counts the rows.
-    pub fn rows(&self) -> usize {
+    /// Returns the number of rows.
+    pub fn row_count(&self) -> usize {
         self.rows.len()
     }
 
-    /// Returns the bytes of all keys and values.
-    pub fn rows_bytes(&self) -> u64 {
+    /// Returns the total size of all keys and values.
+    pub fn row_bytes(&self) -> u64 {
         let rows = self.rows.values();
         let bytes = rows.map(|row| row.key.len() + row.value.as_ref().map_or(0, |v| v.len()));
         bytes.sum::<usize>() as u64
@@ -78,7 +78,7 @@
             let row = self.rows.get(&check.key);
             row.map_or(ABSENT_VERSION, |row| row.version) != check.version
         });
-        let failed: Vec<StoreRow> = failed.map(|check| self.row(&check.key)).collect();
+        let failed: Vec<StoreRow> = failed.map(|check| self.row_or_absent(&check.key)).collect();
         if !failed.is_empty() {
             return StoreResult::Conflict { rows: failed };
         }
@@ -97,7 +97,7 @@
         }
     }
 
-    fn row(&self, key: &Arc<str>) -> StoreRow {
+    fn row_or_absent(&self, key: &Arc<str>) -> StoreRow {
         self.rows.get(key).cloned().unwrap_or_else(|| StoreRow {
             key: Arc::clone(key),
             version: ABSENT_VERSION,
@@ -123,7 +123,7 @@
 }
 
 /// Returns the size of a call's body as the real codec writes it.
-fn body_bytes(action: &StoreAction) -> u64 {
+fn request_body_bytes(action: &StoreAction) -> u64 {
     let body = match action {
         StoreAction::Transact { checks, writes, .. } => {
             let checks = checks.iter().map(|check| table::VersionCheck {
--- a/crates/slopes/src/roles/home_endpoints.rs
+++ b/crates/slopes/src/roles/home_endpoints.rs
@@ -1,4 +1,4 @@
-//! What a node keeps for each endpoint whose home it is.
+//! Cost of a node for each endpoint whose home it is.
 
 use std::time::Duration;
 
@@ -19,12 +19,12 @@
 use crate::sample::Sample;
 use crate::target;
 
-const ACCOUNTS: usize = 100;
-/// Load reports of each endpoint.
-const ROUNDS: u32 = 10;
+const ACCOUNT_COUNT: usize = 100;
+/// Load reports read from each endpoint.
+const REPORTS_PER_ENDPOINT: u32 = 10;
 const REPORT_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Endpoints of the pools that one node is home of.
+/// Endpoints in the pools whose home is one node.
 pub const ENDPOINTS: Bench = Bench {
     name: "home-endpoints",
     size_title: "endpoints whose home a node is, 100 accounts",
@@ -50,10 +50,10 @@
     let mut settings = design::settings(FleetSize {
         nodes: 1,
         endpoints,
-        accounts: ACCOUNTS,
+        accounts: ACCOUNT_COUNT,
         requests_per_s: 1,
     });
-    // Such a node needs no others to be home of every pool.
+    // With this scope a node is the home of every pool without any other members.
     settings.fair.scope = FairScope::Router;
     let member = Member {
         host: design::host_id(0),
@@ -65,24 +65,24 @@
     let load = EndpointLoad {
         running: 0,
         waiting: 0,
-        slots: design::SLOTS,
+        slots: design::SLOTS_PER_ENGINE,
         age: Duration::ZERO,
         leaving: false,
     };
-    for round in 0..ROUNDS {
+    for round in 0..REPORTS_PER_ENDPOINT {
         let now = REPORT_INTERVAL * round;
         for index in 0..endpoints {
             let event = NodeEvent::LoadRead {
                 endpoint: design::endpoint_id(index),
                 load: Some(load),
             };
-            watch.time(|| node.handle(now, event, &mut Vec::new()));
+            watch.measure(|| node.handle(now, event, &mut Vec::new()));
         }
     }
     let memory = meter::resident_bytes().saturating_sub(before);
-    let reports = f64::from(ROUNDS) * endpoints as f64;
+    let reports = f64::from(REPORTS_PER_ENDPOINT) * endpoints as f64;
     let mut sample = Sample::default();
     sample.set("memory_kb", memory as f64 / 1_024.0);
-    sample.set("report_cpu_us", watch.micros() / reports);
+    sample.set("report_cpu_us", watch.cpu_micros() / reports);
     sample
 }
--- a/crates/slopes/src/runner.rs
+++ b/crates/slopes/src/runner.rs
@@ -1,4 +1,4 @@
-//! Runs each point in a process of its own, so that the memory of one is not the next one's.
+//! Runs each point in its own process, so that memory measurements do not affect each other.
 
 use std::env;
 use std::io;
@@ -14,25 +14,25 @@
 use crate::sample::Sample;
 use crate::series::Series;
 
-/// Why a bench gave no series.
+/// Error that stopped a bench.
 #[derive(Debug, Error)]
 pub enum RunError {
-    /// The process of a point cannot be started.
-    #[error("cannot start the run of a point: {0}")]
+    /// The process of a point could not be started.
+    #[error("cannot start the process of a point: {0}")]
     Start(#[from] io::Error),
     /// The process of a point failed.
-    #[error("{bench} at {size} failed: {message}")]
+    #[error("bench {bench} at size {size} failed: {message}")]
     Failed {
-        /// The bench.
+        /// Name of the bench.
         bench: &'static str,
-        /// The size.
+        /// Size of the point.
         size: u64,
-        /// What it said.
+        /// Standard error of the process.
         message: String,
     },
 }
 
-/// Runs benches: those that measure time or memory one after another, then the others at once.
+/// Runs benches: those that measure time or memory one after another, then the others in parallel.
 ///
 /// # Errors
 ///
@@ -42,20 +42,22 @@
     seed: u64,
     quick: bool,
 ) -> Result<Vec<Vec<Series>>, RunError> {
-    let (timed, counted): (Vec<_>, Vec<_>) = benches.iter().partition(|bench| bench.is_timed);
+    let (timed, untimed): (Vec<_>, Vec<_>) = benches.iter().partition(|bench| bench.is_timed);
     let mut all = Vec::new();
     for bench in timed {
         all.push(run_bench(bench, seed, quick)?);
     }
-    let counted: Result<Vec<_>, RunError> = thread::scope(|scope| {
-        let runs: Vec<_> = counted
+    let untimed: Result<Vec<_>, RunError> = thread::scope(|scope| {
+        let runs: Vec<_> = untimed
             .into_iter()
             .map(|bench| scope.spawn(move || run_bench(bench, seed, quick)))
             .collect();
         let ended = runs.into_iter();
-        ended.map(|run| run.join().expect("a run ends")).collect()
+        ended
+            .map(|run| run.join().expect("a bench thread does not panic"))
+            .collect()
     });
-    all.extend(counted?);
+    all.extend(untimed?);
     Ok(all)
 }
 
@@ -81,7 +83,7 @@
     }
     let series = bench.metrics.iter();
     Ok(series
-        .filter_map(|metric| series_of(bench, *metric, &samples))
+        .filter_map(|metric| fit_series(bench, *metric, &samples))
         .collect())
 }
 
@@ -106,7 +108,7 @@
     Ok(sample)
 }
 
-fn series_of(bench: &Bench, metric: Metric, samples: &[(f64, Sample)]) -> Option<Series> {
+fn fit_series(bench: &Bench, metric: Metric, samples: &[(f64, Sample)]) -> Option<Series> {
     let points: Vec<(f64, f64)> = samples
         .iter()
         .filter_map(|(size, sample)| Some((*size, sample.get(metric.name)?)))
--- a/crates/slopes/tests/fleet.rs
+++ b/crates/slopes/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! The simulated fleet: same seed, same messages; work is done; failures are seen.
+//! The simulated fleet: it is deterministic, serves requests and detects failures.
 
 use std::time::Duration;
 
@@ -11,16 +11,16 @@
 const JOIN_TIME: Duration = Duration::from_secs(5);
 
 fn joined(seed: u64) -> Fleet {
-    let mut fleet = Fleet::new(FleetSize::of_nodes(NODES), seed);
-    fleet.run(JOIN_TIME);
-    assert!(fleet.agrees(), "all hosts started together");
+    let mut fleet = Fleet::new(FleetSize::for_nodes(NODES), seed);
+    fleet.run_for(JOIN_TIME);
+    assert!(fleet.is_membership_agreed(), "all hosts started together");
     fleet
 }
 
 fn loaded(seed: u64) -> Fleet {
     let mut fleet = joined(seed);
-    fleet.open();
-    fleet.run(Duration::from_secs(14));
+    fleet.start_callers();
+    fleet.run_for(Duration::from_secs(14));
     fleet
 }
 
@@ -34,17 +34,17 @@
 #[test]
 fn requests_fill_the_slots_and_end() {
     let mut fleet = loaded(SEED);
-    fleet.run(Duration::from_secs(10));
+    fleet.run_for(Duration::from_secs(10));
     let counts = fleet.callers.counts;
     assert!(counts.ended > 0 && counts.refused == 0, "{counts:?}");
-    let slots = FleetSize::of_nodes(NODES).endpoints as u64 * u64::from(design::SLOTS);
+    let slots = FleetSize::for_nodes(NODES).endpoints as u64 * u64::from(design::SLOTS_PER_ENGINE);
     let running = fleet.requests_running();
     assert!(running <= slots, "{running} of {slots}");
     assert!(running * 10 > slots * 8, "{running} of {slots}");
 }
 
-/// The home of a pool is killed. The other hosts hold it for dead, another host becomes the home
-/// and grants again; the killed host comes back with no memory and is known to all.
+/// Kills the home of a pool: the other hosts detect it as dead, and another host becomes the home
+/// and grants again. After a restart with empty state, every host lists the killed host again.
 #[test]
 fn a_killed_home_is_replaced_and_comes_back() {
     let mut fleet = loaded(SEED);
@@ -52,27 +52,27 @@
     let home = fleet.home_of(&pool).expect("a pool has a home");
     fleet.kill(&[home]);
     fleet.run_until_agreed(Duration::from_secs(30));
-    assert!(fleet.agrees());
+    assert!(fleet.is_membership_agreed());
     let next = fleet.home_of(&pool).expect("a pool has a home again");
     assert_ne!(next, home);
     let before = fleet.grants()[&pool];
-    fleet.run(Duration::from_secs(5));
+    fleet.run_for(Duration::from_secs(5));
     assert!(fleet.grants()[&pool] > before, "the new home grants");
     fleet.restart(&[home]);
     fleet.run_until_agreed(Duration::from_secs(30));
-    assert!(fleet.agrees());
+    assert!(fleet.is_membership_agreed());
 }
 
-/// Two regions lose each other and find each other again: each side holds the other for dead, and
-/// after the heal all agree.
+/// Partitions the fleet: each side detects the other as dead, and after the partition ends all
+/// hosts agree on the members again.
 #[test]
 fn regions_part_and_meet_again() {
     let mut fleet = joined(SEED);
-    fleet.cut(&[1, 3, 5]);
-    assert!(!fleet.agrees());
+    fleet.isolate(&[1, 3, 5]);
+    assert!(!fleet.is_membership_agreed());
     fleet.run_until_agreed(Duration::from_secs(60));
-    assert!(fleet.agrees());
-    fleet.heal();
+    assert!(fleet.is_membership_agreed());
+    fleet.heal_partition();
     fleet.run_until_agreed(Duration::from_secs(60));
-    assert!(fleet.agrees());
+    assert!(fleet.is_membership_agreed());
 }
