--- a/crates/coordination/benches/saturated/mod.rs
+++ b/crates/coordination/benches/saturated/mod.rs
@@ -95,7 +95,6 @@
             let report = full_report(router, size);
             saturated.event(HomeEvent::Report(report));
         }
-        // Past the gather time of routers with nothing to say.
         saturated.event(HomeEvent::Tick);
         saturated
     }
--- a/crates/coordination/src/account_ceilings.rs
+++ b/crates/coordination/src/account_ceilings.rs
@@ -1,10 +1,8 @@
 //! Limits of client accounts: requests started per second, and requests in progress.
 //!
-//! The limits are checked at two places. An entry router checks them on arrival against its own
-//! requests in progress: if one router alone exceeds a limit, so does the fleet, and the refusal is
-//! correct and immediate. The home of a pool checks them before a grant against the holdings of the
-//! account in the whole fleet. So the limits hold at whichever routers the traffic of the account
-//! arrives, without extra messages.
+//! An entry router checks them on arrival against its own starts and requests in progress, without
+//! extra messages. If one router alone exceeds a limit, so does the fleet, and the refusal is
+//! correct and immediate.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/crates/coordination/src/order_events.rs
+++ b/crates/coordination/src/order_events.rs
@@ -30,7 +30,8 @@
     pub poll_interval_ms: u64,
     /// Time until every router knows of a drain that one of them accepted.
     pub drain_propagation_ms: u64,
-    /// Time after which routers may drop a drain that was not announced again.
+    /// Time for which routers are assumed to honour a drain after its last announcement, and after
+    /// its end.
     pub drain_expiry_ms: u64,
 }
 
--- a/crates/coordination/src/orders.rs
+++ b/crates/coordination/src/orders.rs
@@ -1,10 +1,10 @@
 //! Orders to engines. The holder first writes the intent to the table and then sends the order; the
 //! next holder completes what is left open.
 //!
-//! The intent's write is the commit point of the related paper. A holder that dies before it has
-//! had no effect. If a holder dies after it, the next holder completes the order, as it reads all
-//! open intents before it accepts new orders. Instead of the paper's log there is one row for each
-//! endpoint, replaced by the next order, so nothing has to be invalidated or compacted.
+//! The intent's write is the commit point. A holder that dies before it has had no effect. If a
+//! holder dies after it, the next holder completes the order, as it reads all open intents before
+//! it accepts new orders. Instead of a log there is one row for each endpoint, replaced by the next
+//! order, so nothing has to be invalidated or compacted.
 
 mod drain;
 mod job;
--- a/crates/coordination/tests/coordinator.rs
+++ b/crates/coordination/tests/coordinator.rs
@@ -229,8 +229,9 @@
     assert_eq!(harness.sent.len(), 1);
 }
 
-// A drain lasts until the engine has obeyed. Routers honour an announcement for ten seconds, so it
-// is repeated; otherwise an engine would get new requests while it carries out an order.
+// A drain lasts until the engine has obeyed. Routers honour an announcement only for a limited time,
+// so it is repeated less than nine seconds after the last one; otherwise an engine would get new
+// requests while it carries out an order.
 #[test]
 fn a_drain_is_announced_again_until_the_order_ends() {
     let mut harness = Harness::new();
--- a/crates/fleet/src/account_shares.rs
+++ b/crates/fleet/src/account_shares.rs
@@ -23,9 +23,9 @@
 /// Users consider a ratio of two unfair. The margin covers requests that start unevenly within the window and the delay
 /// of reports between hosts.
 const LARGE_LEAD_RATIO: f64 = 1.2;
-/// The same ratio above which an account has to wait, even if engines are idle: the idle engines that all hosts see add
-/// up to more than twice what a backlogged account gets. With a lower ratio, accounts of equal size hold each other back
-/// in a burst.
+/// The same ratio above which an account has to wait, even if engines are idle. Each host sees its own idle engines,
+/// and the requests that all hosts send to engines that they see as idle add up to more than twice what a backlogged
+/// account gets. With a lower ratio, accounts of equal size hold each other back in a burst.
 const TOO_LARGE_LEAD_RATIO: f64 = 1.6;
 /// A backlogged account counts as having got at least this fraction of the fair share. Its host may be cut off, and must
 /// not hold back all other accounts.
--- a/crates/fleet/src/config.rs
+++ b/crates/fleet/src/config.rs
@@ -37,7 +37,8 @@
     pub repeat: Repeat,
     /// Maximum time until the final answer to a request.
     pub timeout: Duration,
-    /// Time within which the first piece of an answer should reach the caller.
+    /// Time from arrival within which the caller should get the whole answer or, of a stream, the
+    /// first event. The gateway's metric and log measure a stream up to its response head.
     pub latency_target: Duration,
     /// Priority among routes; 0 is the highest.
     pub priority: u32,
--- a/crates/fleet/src/dispatcher/admission.rs
+++ b/crates/fleet/src/dispatcher/admission.rs
@@ -82,7 +82,8 @@
 /// Retry delay for a request that is suspected of crashing endpoints. By then the endpoint that runs it has answered or is
 /// known to be down.
 const QUARANTINE_RETRY_DELAY: Duration = Duration::from_millis(2_000);
-/// Retry delay when no endpoint can be reached: the time of detection plus restart.
+/// Retry delay when no endpoint can be reached: the time of detection plus restart. Refusals because the host is busy
+/// or the request is out of time use the same delay, although this reason does not apply to them.
 const OUTAGE_RETRY_DELAY: Duration = Duration::from_millis(400);
 
 /// An endpoint that could take a request.
--- a/crates/fleet/src/store_followers.rs
+++ b/crates/fleet/src/store_followers.rs
@@ -10,7 +10,8 @@
 /// call a store that is unavailable.
 const MAX_FAILING_CALLERS: usize = 8;
 /// Interval at which one more host calls the store while it refuses that many. A store may refuse
-/// nearly all hosts; each of the others then reaches it within a fraction of that time.
+/// nearly all hosts; each host that it does not refuse then reaches it within a fraction of
+/// that time.
 const EXTRA_CALLER_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Pause of a standby after a change. The store answers a call at each change, a large fleet sees
--- a/crates/fleet/src/store_outage.rs
+++ b/crates/fleet/src/store_outage.rs
@@ -35,7 +35,7 @@
     started_at: Option<Duration>,
     /// Time of the store's first answer to any host after it.
     ended_at: Option<Duration>,
-    /// A confirmed answer that no fleet-wide outage can have followed unseen.
+    /// Time of a confirmed answer. A fleet-wide outage that came later cannot have stayed unseen.
     confirmed_answer: Option<Duration>,
 }
 
--- a/crates/fleet/tests/table_spread.rs
+++ b/crates/fleet/tests/table_spread.rs
@@ -1,8 +1,9 @@
 //! Tests for how soon every host of a large fleet knows that an endpoint has left.
 //!
-//! The store acknowledges that an endpoint leaves. From the limit of the site on, two seconds at
-//! the least, no request may reach it. The change passes through the store, the first follower, its
-//! report, the fetch of a copy, and the host; each test makes one of them fail.
+//! The store acknowledges that an endpoint leaves. The shortest time in which hosts may have to
+//! leave it alone is two seconds; after that no request may reach it. The change passes through the
+//! store, the first follower, its report, the fetch of a copy, and the host; each test makes one of
+//! them fail.
 
 mod support;
 
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -240,8 +240,8 @@
     ) -> VerdictReceiver {
         let receiver = self.register_waiter(id);
         if failure == Failure::ConnectionLost {
-            // The request may have crashed the endpoint. From here on its fingerprint identifies
-            // it.
+            // The request may have crashed the endpoint. With the fingerprint the dispatcher counts
+            // crashes from here on and recognises the same request when it is sent again.
             self.handle(DispatchEvent::FingerprintComputed(
                 id,
                 outgoing.fingerprint(),
--- a/crates/gateway/src/table_copies.rs
+++ b/crates/gateway/src/table_copies.rs
@@ -75,7 +75,8 @@
     key: String,
     version: u64,
     remaining_ms: u64,
-    /// Hosts of an earlier version do not send it, and are believed.
+    /// Hosts of an earlier version do not send it. With 0 the outage counts as starting when the
+    /// copy arrives; no answer can refute that yet, so the receiver keeps the row as lapsing.
     #[serde(default)]
     lost_ms: u64,
 }
--- a/crates/gateway/tests/kept_connections.rs
+++ b/crates/gateway/tests/kept_connections.rs
@@ -307,7 +307,7 @@
     let script = vec![responses("kit list", 2)];
     run(Repeat::Idempotent, 1, script, async |fleet| {
         let mut slow = Vec::new();
-        // Half of the host's 64 MiB, less 5 KB.
+        // The lengths add up to 33,090,128 bytes, 464,304 less than half of the host's 64 MiB.
         for (id, length) in [4_194_304; 7].into_iter().chain([3_730_000]).enumerate() {
             let mut caller = connect(&fleet).await;
             let head = format!(
--- a/crates/gateway/tests/requests.rs
+++ b/crates/gateway/tests/requests.rs
@@ -119,8 +119,8 @@
     });
 }
 
-/// A success without the endpoint's proof, or with an encoding that nobody asked for, is not the
-/// endpoint's response.
+/// A success without the endpoint's proof is not the endpoint's response and must not reach the
+/// caller.
 #[test]
 fn an_answer_without_proof_is_not_passed_on() {
     let script = vec![vec![
@@ -287,7 +287,7 @@
     });
 }
 
-/// A planned stop cuts off nobody: requests in progress get their responses, the balancer is told,
+/// After a planned stop the readiness page answers 503, so that the balancer sends no more callers,
 /// an idle kept connection is closed, and the process ends.
 #[test]
 fn a_stop_finishes_what_is_in_progress_and_closes_kept_connections() {
--- a/crates/state/src/settings.rs
+++ b/crates/state/src/settings.rs
@@ -196,7 +196,8 @@
 pub struct RetrySettings {
     /// Maximum number of attempts of one repeatable request.
     pub max_attempts: u32,
-    /// Retries allowed per hundred successes.
+    /// Retries that a hundred successful attempts add to the retry budget. An attempt succeeds when
+    /// the whole answer went to the caller.
     pub budget_percent: u32,
     /// First backoff; it doubles with each attempt and has jitter.
     pub base_backoff_ms: u64,
