--- a/crates/coordination/src/order_events.rs
+++ b/crates/coordination/src/order_events.rs
@@ -30,8 +30,8 @@
     pub poll_interval_ms: u64,
     /// Time until every router knows of a drain that one of them accepted.
     pub drain_propagation_ms: u64,
-    /// Time for which routers are assumed to honour a drain after its last announcement, and after
-    /// its end.
+    /// Time for which routers are assumed to honour a drain: after its last announcement, after its
+    /// end, and after a new holder first reads an order that needs one.
     pub drain_expiry_ms: u64,
 }
 
