--- a/crates/coordination/src/poison_notice.rs
+++ b/crates/coordination/src/poison_notice.rs
@@ -1,34 +1,35 @@
-//! Notices between routers about requests that were in progress when an endpoint crashed.
+//! Notices that routers exchange about requests suspected of crashing endpoints (poison requests),
+//! so that all routers quarantine the same ones.
 
 use std::time::Duration;
 
 use sedgeridge_state::fingerprint::Fingerprint;
 use sedgeridge_state::ids::EndpointId;
 
-/// Notice of a router about one request.
+/// Notice from a router about one request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PoisonNotice {
-    /// The request.
+    /// Fingerprint of the request.
     pub fingerprint: Fingerprint,
-    /// What happened to it.
+    /// What happened to the request.
     pub event: PoisonEvent,
 }
 
 /// Event in a notice. Times are relative, since routers share no clock.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PoisonEvent {
-    /// It was in progress on an endpoint that crashed.
+    /// The request was in progress on an endpoint that crashed.
     Crashed {
-        /// The endpoint.
+        /// The endpoint that crashed.
         endpoint: EndpointId,
         /// Time since the crash.
         age: Duration,
     },
-    /// It is quarantined.
+    /// The request is quarantined.
     Quarantined {
         /// Remaining time of the quarantine.
         remaining: Duration,
     },
-    /// It finished.
+    /// The request finished.
     Finished,
 }
--- a/crates/fleet/src/dispatcher/closed.rs
+++ b/crates/fleet/src/dispatcher/closed.rs
@@ -13,32 +13,33 @@
 use crate::config::ServiceSpec;
 use crate::endpoint_table::Endpoint;
 
-/// Time within which the entry of an endpoint that is down expires, or tells that the endpoint is back.
+/// Longest time until the entry of an endpoint that is down expires, or is updated after the endpoint has restarted.
 const ENTRY_EXPIRY: Duration = Duration::from_secs(4);
 /// Time until a retry when all endpoints are evacuated. Only the operator knows how long the evacuation lasts.
 const EVACUATION_RETRY_DELAY: Duration = Duration::from_secs(2);
 
 impl Dispatcher {
-    /// Notes how long a listed endpoint stays cold. An endpoint that replaces an earlier run has just started, even if its
-    /// entry was written too early to say so.
+    /// Marks a listed endpoint as cold for the time that its entry states. An endpoint that replaces an earlier run has just
+    /// started, so it counts as cold for at least the configured time from now, even if its entry was written too early to
+    /// report it.
     pub(super) fn note_cold_start(&mut self, now: Duration, id: &EndpointId, is_later_run: bool) {
         let Some(listed) = self.endpoints.get(id).cloned() else {
             return;
         };
-        let Some(stated) = self.cold_start_of(&listed) else {
+        let Some(cold_start) = self.configured_cold_start(&listed) else {
             return;
         };
         let cold_for = match is_later_run {
-            true => listed.cold_for.max(stated.duration),
+            true => listed.cold_for.max(cold_start.duration),
             false => listed.cold_for,
         };
         if !cold_for.is_zero() {
-            self.cold.mark_cold(listed.key, stated, now + cold_for);
+            self.cold.mark_cold(listed.key, cold_start, now + cold_for);
         }
     }
 
-    /// Notes cold endpoints of services that were added to the configuration. A host that starts may list endpoints before
-    /// it knows their services.
+    /// Marks endpoints of services that were added to the configuration as cold, for the time that their entries state and
+    /// counted from now. A host that starts may list endpoints before it knows their services.
     pub(super) fn note_cold_starts_of_new_services(
         &mut self,
         now: Duration,
@@ -48,14 +49,15 @@
         let added = added.filter(|endpoint| !old_services.contains_key(&endpoint.service));
         for endpoint in added.filter(|endpoint| !endpoint.cold_for.is_zero()) {
             let spec = self.services.get(&endpoint.service);
-            if let Some(stated) = spec.and_then(|spec| spec.cold_start) {
+            if let Some(cold_start) = spec.and_then(|spec| spec.cold_start) {
                 let until = now + endpoint.cold_for;
-                self.cold.mark_cold(endpoint.key, stated, until);
+                self.cold.mark_cold(endpoint.key, cold_start, until);
             }
         }
     }
 
-    /// Opens the endpoints of a data centre again. They are cold, and their entries say so a moment later.
+    /// Makes the endpoints of a data centre available again. They are cold, and their entries report it only a moment
+    /// later, so they are marked as cold for the configured time from now.
     pub(super) fn on_evacuation_ended(&mut self, now: Duration, data_centre: &Arc<str>) {
         if !self.evacuated.remove(data_centre) {
             return;
@@ -63,31 +65,32 @@
         let evacuated = self.endpoints.iter();
         let evacuated = evacuated.filter(|it| it.data_centre == *data_centre);
         for endpoint in evacuated {
-            if let Some(stated) = self.cold_start_of(endpoint) {
+            if let Some(cold_start) = self.configured_cold_start(endpoint) {
                 self.cold
-                    .mark_cold(endpoint.key, stated, now + stated.duration);
+                    .mark_cold(endpoint.key, cold_start, now + cold_start.duration);
             }
         }
     }
 
-    /// Returns the cold start that the endpoint's service states, if any.
-    fn cold_start_of(&self, endpoint: &Endpoint) -> Option<ColdStart> {
+    /// Returns the cold start configured for the endpoint's service, if any.
+    fn configured_cold_start(&self, endpoint: &Endpoint) -> Option<ColdStart> {
         self.services.get(&endpoint.service)?.cold_start
     }
 
     /// Tells whether this host may send a request to the endpoint now.
     pub(super) fn is_open(&self, now: Duration, endpoint: &Endpoint) -> bool {
         let is_paused = self.pauses.until(now, endpoint.key).is_some();
-        let is_closed = is_paused || self.is_evacuated(&endpoint.data_centre);
-        !is_closed && self.cold.may_send(now, endpoint.key)
+        let is_blocked = is_paused || self.is_evacuated(&endpoint.data_centre);
+        !is_blocked && self.cold.may_send(now, endpoint.key)
     }
 
-    /// Marks an endpoint that is down as cold for the time after its return, since its entry says so only a moment later.
-    /// Otherwise all hosts choose it at once, because it seems idle.
+    /// Marks an endpoint that went down as cold in advance, until its entry has been updated and its cold start is over. A
+    /// restarted endpoint has no requests in progress, so without this all hosts would send to it at once, before its entry
+    /// reports it as cold.
     pub(super) fn expect_cold_start(&mut self, now: Duration, endpoint: &Endpoint) {
-        if let Some(stated) = self.cold_start_of(endpoint) {
-            let until = now + ENTRY_EXPIRY + stated.duration;
-            self.cold.mark_cold(endpoint.key, stated, until);
+        if let Some(cold_start) = self.configured_cold_start(endpoint) {
+            let until = now + ENTRY_EXPIRY + cold_start.duration;
+            self.cold.mark_cold(endpoint.key, cold_start, until);
         }
     }
 
@@ -95,8 +98,9 @@
         self.evacuated.contains(data_centre)
     }
 
-    /// Returns when this host may send to the service again, if each of its endpoints is evacuated, paused, or cold and
-    /// left to other hosts.
+    /// Returns the earliest time at which this host may send to the service again, if each of its usable endpoints is
+    /// evacuated, paused, or cold with only other hosts as senders; `None` if one of them is not, or if the service has no
+    /// usable endpoints. An evacuated endpoint counts as available after `EVACUATION_RETRY_DELAY`.
     pub(super) fn closed_until(&self, now: Duration, service: &ServiceId) -> Option<Duration> {
         let usable = self.endpoints.usable(service);
         let until = usable.iter().map(|it| self.endpoint_closed_until(now, it));
--- a/crates/gateway/src/caller_connection.rs
+++ b/crates/gateway/src/caller_connection.rs
@@ -37,19 +37,22 @@
 use crate::response::StreamInterrupted;
 use crate::wire::WireFormat;
 
-/// Limit on a connection's read and write buffers: a typical prompt fits in one read. hyper's own
-/// limit is so high that some hundred callers with long bodies would fill a small host's memory.
+/// Limit on hyper's read and write buffers for a connection, unless `max_header_bytes` is larger. A
+/// typical prompt fits in one read. hyper's default limit is so high that a few hundred callers
+/// with long bodies would fill a small host's memory.
 const MAX_BUFFERED_BYTES: usize = 32 * 1024;
 
 /// Serves one connection until either end closes it.
 ///
-/// Between requests only the socket is kept. hyper's state of a connection has buffers as large as
-/// the largest body that the connection ever carried. Kept with each open connection, they fill the
-/// memory of a small host, and the process is killed with requests in progress.
+/// Between requests only the socket is kept, without hyper's state for the connection. The buffers
+/// in that state grow with the bodies that the connection carries and do not shrink again. If every
+/// open connection kept them, they would fill a small host's memory, and the process would be
+/// killed with requests in progress.
 pub(crate) async fn serve<W: WireFormat, C: Clock>(gateway: Rc<Gateway<W, C>>, stream: TcpStream) {
     let stream = CallerStream::new(stream);
     let history = ConnectionHistory::default();
-    // A request that is refused early needs no HTTP state, so none is created before one arrives.
+    // A request that is refused early needs no hyper state, so none is created before a request
+    // arrives.
     if gateway.is_refusing_many() && !wait_for_request(&gateway, &stream, &history).await {
         return;
     }
@@ -68,11 +71,13 @@
             }
         }
         let serving = serve_requests(&gateway, &stream, &history);
-        // Boxed, so that it takes no memory in this task, which lives as long as the connection.
+        // Boxed, so that this future, which lives as long as the connection, reserves no memory for
+        // hyper's state between requests.
         if Box::pin(serving).await == NextStep::Close {
             return;
         }
-        // hyper stops after some pipelined requests although it has read more.
+        // hyper yields after some pipelined requests although it has read more. Those were put back
+        // and are served without waiting for further bytes.
         if !stream.has_put_back_bytes() && !wait_for_request(&gateway, &stream, &history).await {
             return;
         }
@@ -91,7 +96,9 @@
 /// Next step for a connection on which no request is in progress.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum NextStep {
+    /// The connection is closed.
     Close,
+    /// hyper's state is dropped until the next request.
     Wait,
 }
 
@@ -176,7 +183,8 @@
     next.unwrap_or(NextStep::Close)
 }
 
-/// Decides whether a connection with nothing to do at the moment needs its HTTP state.
+/// Decides what happens to an open connection after hyper has done what it can for now. It keeps
+/// hyper's state (`Pending`) while a request is being received or answered.
 fn poll_next_step<W: WireFormat, C: Clock>(
     gateway: &Rc<Gateway<W, C>>,
     stream: &CallerStream,
@@ -196,11 +204,13 @@
     }
 }
 
-/// A request's head that has arrived only in part.
+/// Counts a connection on which only part of a request's head has arrived, until this value is
+/// dropped.
 ///
-/// Nearly all heads arrive in one piece. A partial head holds its connection's buffers, and no
-/// request is counted for it, so heads that never end would fill a small host's memory. When
-/// partial heads hold more than their part of the memory, such connections are closed unread.
+/// Nearly all heads arrive in one piece. A connection with a partial head holds hyper's buffers,
+/// but no request is counted for it, so callers that never complete a head would fill a small
+/// host's memory. While partial heads take more than their part of the memory, connections with a
+/// partial head are closed without a response.
 struct PartialHead<W: WireFormat, C: Clock> {
     gateway: Rc<Gateway<W, C>>,
 }
@@ -221,7 +231,8 @@
     }
 }
 
-/// Body of a response. Its connection counts as busy until the body has been handed over.
+/// Body of a response. Its connection counts as busy until hyper drops the body: after it has taken
+/// all of it, or when the connection ends.
 struct TrackedBody {
     body: ResponseBody,
     _busy: BusyGuard,
